--- a/scenario/arguments.go
+++ b/scenario/arguments.go
@@ -7,43 +7,44 @@
 	"strings"
 )
 
-// arguments are a command's words: name=value ones are options, ones that
-// begin with two hyphens are flags for a process, and the rest stand by their order.
+// arguments are the arguments of a command: options of the form name=value,
+// flags for a process, which begin with two hyphens, and positional ones.
 type arguments struct {
-	words   []string
-	options map[string]string
-	flags   []string
+	positional []string
+	options    map[string]string
+	flags      []string
 }
 
-var option = regexp.MustCompile(`^([a-z][a-z-]*)=((?s).*)$`)
+var optionPattern = regexp.MustCompile(`^([a-z][a-z-]*)=((?s).*)$`)
 
-func parse(args []string) arguments {
+func parseArguments(args []string) arguments {
 	a := arguments{options: map[string]string{}}
 	for _, arg := range args {
 		if strings.HasPrefix(arg, "--") {
 			a.flags = append(a.flags, arg)
 			continue
 		}
-		if match := option.FindStringSubmatch(arg); match != nil {
+		if match := optionPattern.FindStringSubmatch(arg); match != nil {
 			a.options[match[1]] = match[2]
 			continue
 		}
-		a.words = append(a.words, arg)
+		a.positional = append(a.positional, arg)
 	}
 	return a
 }
 
-// need returns an error unless there are at least n words.
-func (a arguments) need(n int, usage string) error {
-	if len(a.words) < n {
-		return fmt.Errorf("usage: %s; found %q", usage, a.words)
+// requirePositional returns an error unless there are at least n positional
+// arguments.
+func (a arguments) requirePositional(n int, usage string) error {
+	if len(a.positional) < n {
+		return fmt.Errorf("usage: %s; found %q", usage, a.positional)
 	}
 	return nil
 }
 
-// allow returns an error for an option that the command does not know, so
-// that a misspelt expectation does not pass.
-func (a arguments) allow(names ...string) error {
+// allowOptions returns an error for an unknown option, so that a misspelt
+// expectation is not ignored.
+func (a arguments) allowOptions(names ...string) error {
 	for name := range a.options {
 		known := false
 		for _, n := range names {
@@ -56,23 +57,24 @@
 	return nil
 }
 
-func (a arguments) number(name string, standard int) (int, error) {
+// intOption returns the value of an option, or fallback if it is not given.
+func (a arguments) intOption(name string, fallback int) (int, error) {
 	text, ok := a.options[name]
 	if !ok {
-		return standard, nil
+		return fallback, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return 0, fmt.Errorf("option %s is %q, which is no whole number", name, text)
+		return 0, fmt.Errorf("option %s: %q is not an integer", name, text)
 	}
 	return n, nil
 }
 
-// numbers returns several options, each zero when it is not given.
-func (a arguments) numbers(names ...string) ([]int, error) {
+// intOptions returns the values of several options; those not given are zero.
+func (a arguments) intOptions(names ...string) ([]int, error) {
 	values := make([]int, len(names))
 	for i, name := range names {
-		n, err := a.number(name, 0)
+		n, err := a.intOption(name, 0)
 		if err != nil {
 			return nil, err
 		}
@@ -81,8 +83,8 @@
 	return values, nil
 }
 
-// list returns the parts of an option that are separated by commas.
-func (a arguments) list(name string) []string {
+// listOption splits the value of an option at commas.
+func (a arguments) listOption(name string) []string {
 	text := a.options[name]
 	if text == "" {
 		return nil
--- a/scenario/call.go
+++ b/scenario/call.go
@@ -10,37 +10,41 @@
 	"strings"
 )
 
-// expectations are the options that a reply is checked by.
+// expectations are the options that state what a reply has to be.
 var expectations = []string{"status", "reason", "outcome", "retry-after", "equal", "contains", "header", "broken", "refused"}
 
-// callOptions are the options of a call besides the expectations.
+// callOptions are the options of a call other than expectations.
 var callOptions = []string{"as", "stream", "tokens", "key", "timeout-ms", "non-idempotent", "resumable"}
 
-func (a arguments) allowCall() error { return a.allow(append(callOptions, expectations...)...) }
+func (a arguments) allowCallOptions() error {
+	return a.allowOptions(append(callOptions, expectations...)...)
+}
 
-// chat asks a model through a router as an account. With stream=yes the answer
-// is streamed. With as=NAME it goes on in the background until join:
+// chat sends a chat request to a model through a router as an account. With
+// stream=yes the answer is streamed. With as=NAME the call runs in the
+// background until join:
 //
 //	chat ROUTER ACCOUNT SERVICE PROMPT [stream=yes] [tokens=20] [as=NAME] [key=TEXT]
 //	  [timeout-ms=N] [non-idempotent=yes] [resumable=yes] [EXPECTATION...]
 //
-// The expectations, of which status=200 holds when none is given:
+// The expectations, where status defaults to 200:
 //
 //	status=N reason=NAME outcome=NAME retry-after=yes contains=TEXT header=NAME:VALUE
-//	equal=UPSTREAM  the body is what the upstream itself answers, byte for byte
-//	broken=yes      the connection breaks before the answer is whole
-//	refused=yes     no connection can be made
-func chat(w *World, a arguments) error {
-	if err := a.need(4, "chat ROUTER ACCOUNT SERVICE PROMPT"); err != nil {
+//	equal=UPSTREAM  the body equals that of a direct call to the upstream
+//	broken=yes      the connection breaks before the answer is complete
+//	refused=yes     no connection can be established
+func chat(s *script, a arguments) error {
+	if err := a.requirePositional(4, "chat ROUTER ACCOUNT SERVICE PROMPT"); err != nil {
 		return err
 	}
-	tokens, err := a.number("tokens", 20)
+	tokens, err := a.intOption("tokens", 20)
 	if err != nil {
 		return err
 	}
-	body := chatBody(a.words[2], a.words[3], tokens, a.options["stream"] == "yes")
+	body := chatBody(a.positional[2], a.positional[3], tokens, a.options["stream"] == "yes")
+	// The URL is completed with the address of the router or upstream.
 	direct := request{method: http.MethodPost, url: "/v1/chat/completions", body: body}
-	return w.call(a, direct.url, direct)
+	return s.callRouter(a, direct.url, direct)
 }
 
 func chatBody(model, prompt string, tokens int, stream bool) string {
@@ -51,46 +55,47 @@
 // callService calls a plain service through a router as an account:
 //
 //	call ROUTER ACCOUNT SERVICE METHOD PATH [BODY] [key=TEXT] [as=NAME] ... [EXPECTATION...]
-func callService(w *World, a arguments) error {
-	if err := a.need(5, "call ROUTER ACCOUNT SERVICE METHOD PATH [BODY]"); err != nil {
+func callService(s *script, a arguments) error {
+	if err := a.requirePositional(5, "call ROUTER ACCOUNT SERVICE METHOD PATH [BODY]"); err != nil {
 		return err
 	}
-	direct := request{method: a.words[3], url: a.words[4]}
-	if len(a.words) > 5 {
-		direct.body = a.words[5]
+	direct := request{method: a.positional[3], url: a.positional[4]}
+	if len(a.positional) > 5 {
+		direct.body = a.positional[5]
 	}
-	return w.call(a, "/v1/services/"+a.words[2]+a.words[4], direct)
+	return s.callRouter(a, "/v1/services/"+a.positional[2]+a.positional[4], direct)
 }
 
-// call sends direct to a path of the router that the first word names.
-func (w *World) call(a arguments, path string, direct request) error {
-	if err := a.allowCall(); err != nil {
+// callRouter makes a call to a path of the router that the first argument
+// names. direct is the corresponding request to an upstream.
+func (s *script) callRouter(a arguments, path string, direct request) error {
+	if err := a.allowCallOptions(); err != nil {
 		return err
 	}
-	p, err := w.find(a.words[0])
+	p, err := s.findProcess(a.positional[0])
 	if err != nil {
 		return err
 	}
 	x := &exchange{request: direct, direct: direct}
 	x.request.url = "http://" + p.address + path
-	x.request.key = a.words[1] + keySuffix
-	x.request.header = a.header()
-	w.begin(x)
+	x.request.key = a.positional[1] + keySuffix
+	x.request.header = a.requestHeader()
+	s.startExchange(x)
 	if name, ok := a.options["as"]; ok {
-		w.calls[name] = x
+		s.calls[name] = x
 		return nil
 	}
-	return w.check(x, a, x.wait())
+	return s.checkReply(x, a, x.wait())
 }
 
-func (a arguments) header() http.Header {
+func (a arguments) requestHeader() http.Header {
 	header := http.Header{}
-	names := map[string]string{
+	headerNames := map[string]string{
 		"key": "Idempotency-Key", "timeout-ms": "nutmeglock-timeout-ms",
 	}
-	for name, text := range names {
-		if value, ok := a.options[name]; ok {
-			header.Set(text, value)
+	for option, name := range headerNames {
+		if value, ok := a.options[option]; ok {
+			header.Set(name, value)
 		}
 	}
 	for _, name := range []string{"non-idempotent", "resumable"} {
@@ -101,63 +106,63 @@
 	return header
 }
 
-// join waits for the end of a call in the background and checks its reply:
+// join waits for the end of a background call and checks its reply:
 //
 //	join NAME [EXPECTATION...]
-func join(w *World, a arguments) error {
-	if err := a.need(1, "join NAME"); err != nil {
+func join(s *script, a arguments) error {
+	if err := a.requirePositional(1, "join NAME"); err != nil {
 		return err
 	}
-	if err := a.allow(expectations...); err != nil {
+	if err := a.allowOptions(expectations...); err != nil {
 		return err
 	}
-	x, err := w.background(a.words[0])
+	x, err := s.backgroundCall(a.positional[0])
 	if err != nil {
 		return err
 	}
-	return w.check(x, a, x.wait())
+	return s.checkReply(x, a, x.wait())
 }
 
-func (w *World) background(name string) (*exchange, error) {
-	x, ok := w.calls[name]
+func (s *script) backgroundCall(name string) (*exchange, error) {
+	x, ok := s.calls[name]
 	if !ok {
-		return nil, fmt.Errorf("the script has made no call as=%s", name)
+		return nil, fmt.Errorf("no call was made with as=%s", name)
 	}
 	return x, nil
 }
 
-// events waits until a streamed call in the background has a number of events:
+// events waits until a streamed background call has received N events:
 //
 //	events NAME N
-func events(w *World, a arguments) error {
-	if err := a.need(2, "events NAME N"); err != nil {
+func events(s *script, a arguments) error {
+	if err := a.requirePositional(2, "events NAME N"); err != nil {
 		return err
 	}
-	x, err := w.background(a.words[0])
+	x, err := s.backgroundCall(a.positional[0])
 	if err != nil {
 		return err
 	}
-	expected, err := strconv.Atoi(a.words[1])
+	expected, err := strconv.Atoi(a.positional[1])
 	if err != nil {
 		return err
 	}
 	return poll("events", func() error {
-		_, last, err := wholeEvents(x.sofar().body)
+		_, last, err := wholeEvents(x.partialReply().body)
 		if err == nil && last < expected {
-			err = fmt.Errorf("event %d is the last so far: %+v", last, x.sofar())
+			err = fmt.Errorf("the last event so far is %d: %+v", last, x.partialReply())
 		}
 		return err
 	})
 }
 
-// cut breaks the connection of a call in the background from the caller's side:
+// cut closes the connection of a background call from the caller's side:
 //
 //	cut NAME
-func cut(w *World, a arguments) error {
-	if err := a.need(1, "cut NAME"); err != nil {
+func cut(s *script, a arguments) error {
+	if err := a.requirePositional(1, "cut NAME"); err != nil {
 		return err
 	}
-	x, err := w.background(a.words[0])
+	x, err := s.backgroundCall(a.positional[0])
 	if err != nil {
 		return err
 	}
@@ -167,28 +172,28 @@
 }
 
 // resume resumes a broken stream through a router, as an account, after the
-// last whole event. The expectations are for both parts together:
+// last complete event. The expectations apply to both parts together:
 //
 //	resume ROUTER ACCOUNT NAME [as=NAME] [EXPECTATION...]
-func resume(w *World, a arguments) error {
-	if err := a.need(3, "resume ROUTER ACCOUNT NAME"); err != nil {
+func resume(s *script, a arguments) error {
+	if err := a.requirePositional(3, "resume ROUTER ACCOUNT NAME"); err != nil {
 		return err
 	}
-	if err := a.allowCall(); err != nil {
+	if err := a.allowCallOptions(); err != nil {
 		return err
 	}
-	p, err := w.find(a.words[0])
+	p, err := s.findProcess(a.positional[0])
 	if err != nil {
 		return err
 	}
-	first, err := w.background(a.words[2])
+	first, err := s.backgroundCall(a.positional[2])
 	if err != nil {
 		return err
 	}
-	head := first.sofar()
+	head := first.partialReply()
 	token := head.header.Get("nutmeglock-resume-token")
 	if token == "" {
-		return fmt.Errorf("the first answer carries no resume token: %+v", head)
+		return fmt.Errorf("the first answer has no resume token: %+v", head)
 	}
 	text, last, err := wholeEvents(head.body)
 	if err != nil {
@@ -196,23 +201,23 @@
 	}
 	path := "/v1/streams/" + url.PathEscape(token) + "?after=" + strconv.Itoa(last)
 	x := &exchange{
-		request: request{method: http.MethodGet, url: "http://" + p.address + path, key: a.words[1] + keySuffix},
+		request: request{method: http.MethodGet, url: "http://" + p.address + path, key: a.positional[1] + keySuffix},
 		direct:  first.direct,
 	}
-	w.begin(x)
+	s.startExchange(x)
 	r := x.wait()
 	if r.status == http.StatusOK {
 		r.body = text + r.body
 	}
-	return w.check(x, a, r)
+	return s.checkReply(x, a, r)
 }
 
-// check compares a reply with the expectations.
-func (w *World) check(x *exchange, a arguments, r reply) error {
-	if done, err := checkBreak(a, r); done {
+// checkReply checks a reply against the expectations.
+func (s *script) checkReply(x *exchange, a arguments, r reply) error {
+	if done, err := checkConnection(a, r); done {
 		return err
 	}
-	if err := checkHead(a, r); err != nil {
+	if err := checkStatusAndHeader(a, r); err != nil {
 		return err
 	}
 	if text := a.options["contains"]; !strings.Contains(r.body, text) {
@@ -222,17 +227,18 @@
 		return err
 	}
 	if upstream, ok := a.options["equal"]; ok {
-		return w.checkEqual(x.direct, upstream, r)
+		return s.checkEqual(x.direct, upstream, r)
 	}
 	return nil
 }
 
-// checkBreak reports whether a broken connection settles the check.
-func checkBreak(a arguments, r reply) (bool, error) {
+// checkConnection checks whether the connection broke or was refused as
+// expected. It returns false if the reply itself remains to be checked.
+func checkConnection(a arguments, r reply) (bool, error) {
 	switch {
 	case a.options["refused"] == "yes":
 		if r.err == nil || r.status != 0 {
-			return true, fmt.Errorf("the call was answered with %d", r.status)
+			return true, fmt.Errorf("the call was answered with status %d", r.status)
 		}
 		return true, nil
 	case a.options["broken"] == "yes":
@@ -247,8 +253,10 @@
 	}
 }
 
-func checkHead(a arguments, r reply) error {
-	status, err := a.number("status", http.StatusOK)
+// checkStatusAndHeader checks the status, the request ID and the other headers
+// of a reply.
+func checkStatusAndHeader(a arguments, r reply) error {
+	status, err := a.intOption("status", http.StatusOK)
 	if err != nil {
 		return err
 	}
@@ -270,6 +278,7 @@
 	return nil
 }
 
+// checkRefusal checks the reason and outcome of a refusal, if they are expected.
 func checkRefusal(a arguments, r reply) error {
 	var body struct {
 		Error struct {
@@ -283,28 +292,28 @@
 		return nil
 	}
 	if err := json.Unmarshal([]byte(r.body), &body); err != nil {
-		return fmt.Errorf("the answer is no refusal: %s", r.body)
+		return fmt.Errorf("the answer is not a refusal: %s", r.body)
 	}
 	if hasReason && body.Error.Reason != reason || hasOutcome && body.Error.Outcome != outcome {
-		return fmt.Errorf("reason %q and outcome %q: %s", body.Error.Reason, body.Error.Outcome, r.body)
+		return fmt.Errorf("unexpected reason %q or outcome %q: %s", body.Error.Reason, body.Error.Outcome, r.body)
 	}
 	return nil
 }
 
-// directKey begins the idempotency keys of calls that a script makes to an
-// upstream itself, which are no runs of the fleet.
-const directKey = "direct-"
+// directKeyPrefix is the prefix of the idempotency keys of direct calls to an
+// upstream. They are not counted as runs of the fleet.
+const directKeyPrefix = "direct-"
 
-// checkEqual compares a body with what an upstream itself answers.
-func (w *World) checkEqual(direct request, upstream string, r reply) error {
-	p, err := w.find(upstream)
+// checkEqual compares a reply with that of a direct call to the upstream.
+func (s *script) checkEqual(direct request, upstream string, r reply) error {
+	p, err := s.findProcess(upstream)
 	if err != nil {
 		return err
 	}
-	w.directs++
+	s.directCalls++
 	direct.url = "http://" + p.address + direct.url
-	direct.header = http.Header{"Idempotency-Key": {directKey + strconv.Itoa(w.directs)}}
-	expected := w.send(direct)
+	direct.header = http.Header{"Idempotency-Key": {directKeyPrefix + strconv.Itoa(s.directCalls)}}
+	expected := s.send(direct)
 	if expected.err != nil {
 		return expected.err
 	}
--- a/scenario/exchange.go
+++ b/scenario/exchange.go
@@ -20,7 +20,8 @@
 	header http.Header
 }
 
-// reply is what came back. An error with a status means that the body broke off.
+// reply is the reply to a request. If both status and err are set, the
+// connection broke within the body.
 type reply struct {
 	status int
 	header http.Header
@@ -29,18 +30,18 @@
 }
 
 // send sends a request and reads the whole reply.
-func (w *World) send(r request) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (s *script) send(r request) reply {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	x := &exchange{request: r, done: make(chan struct{})}
-	x.run(ctx, w.client)
+	x.run(ctx, s.client)
 	return x.reply
 }
 
-// exchange is a request on its way, which a script can look at while it streams.
+// exchange is a request with its reply, which can be read while it is streamed.
 type exchange struct {
 	request request
-	// direct is the same request as the upstream itself would get it.
+	// direct is the corresponding request to an upstream, without its address.
 	direct request
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -49,24 +50,24 @@
 	reply reply
 }
 
-// begin sends a request in the background.
-func (w *World) begin(x *exchange) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+// startExchange sends the request of x in the background.
+func (s *script) startExchange(x *exchange) {
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	x.cancel = cancel
 	x.done = make(chan struct{})
-	go x.run(ctx, w.client)
+	go x.run(ctx, s.client)
 }
 
 func (x *exchange) run(ctx context.Context, client *http.Client) {
 	defer close(x.done)
-	if err := x.exchange(ctx, client); err != nil {
+	if err := x.roundTrip(ctx, client); err != nil {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		x.reply.err = err
 	}
 }
 
-func (x *exchange) exchange(ctx context.Context, client *http.Client) error {
+func (x *exchange) roundTrip(ctx context.Context, client *http.Client) error {
 	r := x.request
 	httpRequest, err := http.NewRequestWithContext(ctx, r.method, r.url, strings.NewReader(r.body))
 	if err != nil {
@@ -89,10 +90,10 @@
 	x.mu.Lock()
 	x.reply.status, x.reply.header = response.StatusCode, response.Header
 	x.mu.Unlock()
-	return x.read(response.Body)
+	return x.readBody(response.Body)
 }
 
-func (x *exchange) read(body io.Reader) error {
+func (x *exchange) readBody(body io.Reader) error {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := body.Read(buffer)
@@ -108,21 +109,21 @@
 	}
 }
 
-// sofar returns what has come back until now.
-func (x *exchange) sofar() reply {
+// partialReply returns the part of the reply that has been received.
+func (x *exchange) partialReply() reply {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.reply
 }
 
-// wait returns the reply once it is whole or broken.
+// wait waits until the reply is complete or broken, and returns it.
 func (x *exchange) wait() reply {
 	<-x.done
-	return x.sofar()
+	return x.partialReply()
 }
 
-// wholeEvents returns the part of a streamed body that ends with a whole
-// event, and the number of the last one.
+// wholeEvents returns the complete events at the start of a streamed body, and
+// the number of the last one.
 func wholeEvents(body string) (text string, last int, err error) {
 	end := strings.LastIndex(body, "\n\n")
 	if end < 0 {
@@ -131,7 +132,7 @@
 	text = body[:end+len("\n\n")]
 	start := strings.LastIndex(text, "id: ")
 	if start < 0 {
-		return "", 0, fmt.Errorf("a stream without event numbers: %q", text)
+		return "", 0, fmt.Errorf("the stream has no event IDs: %q", text)
 	}
 	line, _, _ := strings.Cut(text[start+len("id: "):], "\n")
 	last, err = strconv.Atoi(line)
--- a/scenario/fleet.go
+++ b/scenario/fleet.go
@@ -14,7 +14,7 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// The keys that scripts use. An account's key is its id with keySuffix.
+// The keys and names that scripts use. An account's key is its ID plus keySuffix.
 const (
 	operatorName = "operator"
 	operatorKey  = "operator-key"
@@ -23,29 +23,31 @@
 	dataCenter   = "kuopio"
 )
 
+// routerSettings is the settings file of a router.
 type routerSettings struct {
-	ID            string           `json:"id"`
-	DataCenter    string           `json:"data-center"`
-	CallerAddress string           `json:"caller-address"`
-	PeerAddress   string           `json:"peer-address"`
-	AdminAddress  string           `json:"admin-address"`
-	Platform      platformSettings `json:"platform"`
-	FleetKey      string           `json:"fleet-key"`
-	OperatorKeys  []operator       `json:"operator-keys"`
+	ID            string             `json:"id"`
+	DataCenter    string             `json:"data-center"`
+	CallerAddress string             `json:"caller-address"`
+	PeerAddress   string             `json:"peer-address"`
+	AdminAddress  string             `json:"admin-address"`
+	Platform      platformSettings   `json:"platform"`
+	FleetKey      string             `json:"fleet-key"`
+	OperatorKeys  []operatorSettings `json:"operator-keys"`
 }
 
 type platformSettings struct {
 	URL string `json:"url"`
 }
 
-type operator struct {
+type operatorSettings struct {
 	Name string `json:"name"`
 	Key  string `json:"key-sha256"`
 }
 
-// prepareRouter allocates a router's addresses and writes its settings.
-func (w *World) prepareRouter(p *process, a arguments) error {
-	if err := w.connectPlatform(p, a.options["platform"]); err != nil {
+// prepareRouter starts a router's proxy, allocates its addresses and writes its
+// settings file.
+func (s *script) prepareRouter(p *process, a arguments) error {
+	if err := s.startProxy(p, a.options["platform"]); err != nil {
 		return err
 	}
 	var err error
@@ -57,9 +59,9 @@
 	settings := routerSettings{
 		ID: p.name, DataCenter: dataCenter,
 		CallerAddress: p.address, PeerAddress: p.peer, AdminAddress: p.admin,
-		Platform:     platformSettings{URL: "http://" + p.line.address()},
+		Platform:     platformSettings{URL: "http://" + p.proxy.address()},
 		FleetKey:     fleetKey,
-		OperatorKeys: []operator{{Name: operatorName, Key: note.HashKey(operatorKey)}},
+		OperatorKeys: []operatorSettings{{Name: operatorName, Key: note.HashKey(operatorKey)}},
 	}
 	if center, ok := a.options["data-center"]; ok {
 		settings.DataCenter = center
@@ -68,54 +70,57 @@
 	if err != nil {
 		return err
 	}
-	p.args = []string{"router", "--settings", p.path(".settings")}
-	return os.WriteFile(p.path(".settings"), data, 0o600)
+	p.args = []string{"router", "--settings", p.filePath(".settings")}
+	return os.WriteFile(p.filePath(".settings"), data, 0o600)
 }
 
-func (w *World) healthy(p *process) error { return w.expectStatus(p.admin, "/healthz", http.StatusOK) }
+// checkHealth returns an error unless a router answers its health check.
+func (s *script) checkHealth(p *process) error {
+	return s.expectStatus(p.admin, "/healthz", http.StatusOK)
+}
 
-func (w *World) expectStatus(address, path string, status int) error {
-	r := w.send(request{method: http.MethodGet, url: "http://" + address + path})
+func (s *script) expectStatus(address, path string, status int) error {
+	r := s.send(request{method: http.MethodGet, url: "http://" + address + path})
 	if r.err != nil {
 		return r.err
 	}
 	if r.status != status {
-		return fmt.Errorf("%s is answered with %d: %s", path, r.status, r.body)
+		return fmt.Errorf("%s was answered with status %d: %s", path, r.status, r.body)
 	}
 	return nil
 }
 
-// isReady checks that routers would be sent callers by a balancer:
+// isReady checks that routers report that they are ready:
 //
 //	ready ROUTER...
-func isReady(w *World, a arguments) error {
-	return w.each(a, func(p *process) error { return w.expectStatus(p.admin, "/readyz", http.StatusOK) })
+func isReady(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error { return s.expectStatus(p.admin, "/readyz", http.StatusOK) })
 }
 
-// unready checks that routers say that they take no callers:
+// unready checks that routers report that they are not ready:
 //
 //	unready ROUTER...
-func unready(w *World, a arguments) error {
-	return w.each(a, func(p *process) error {
-		return w.expectStatus(p.admin, "/readyz", http.StatusServiceUnavailable)
+func unready(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error {
+		return s.expectStatus(p.admin, "/readyz", http.StatusServiceUnavailable)
 	})
 }
 
-// metric checks a figure of a router's metrics; a missing one counts as zero:
+// metric checks a value of a router's metrics; a missing one counts as zero:
 //
 //	metric ROUTER 'NAME{LABELS}' [is=N] [least=N] [most=N]
-func metric(w *World, a arguments) error {
-	if err := a.need(2, "metric ROUTER NAME"); err != nil {
+func metric(s *script, a arguments) error {
+	if err := a.requirePositional(2, "metric ROUTER NAME"); err != nil {
 		return err
 	}
-	if err := a.allow("is", "least", "most"); err != nil {
+	if err := a.allowOptions("is", "least", "most"); err != nil {
 		return err
 	}
-	p, err := w.find(a.words[0])
+	p, err := s.findProcess(a.positional[0])
 	if err != nil {
 		return err
 	}
-	found, err := w.gauge(p, a.words[1])
+	found, err := s.metricValue(p, a.positional[1])
 	if err != nil {
 		return err
 	}
@@ -130,15 +135,15 @@
 			return err
 		}
 		if !holds[name](bound) {
-			return fmt.Errorf("%s is %v, expected %s %v", a.words[1], found, name, bound)
+			return fmt.Errorf("%s is %v, expected %s %v", a.positional[1], found, name, bound)
 		}
 	}
 	return nil
 }
 
-// gauge returns one figure of a router's metrics.
-func (w *World) gauge(p *process, name string) (float64, error) {
-	r := w.send(request{method: http.MethodGet, url: "http://" + p.admin + "/metrics"})
+// metricValue returns a value of a router's metrics, or zero if it is missing.
+func (s *script) metricValue(p *process, name string) (float64, error) {
+	r := s.send(request{method: http.MethodGet, url: "http://" + p.admin + "/metrics"})
 	if r.err != nil {
 		return 0, r.err
 	}
@@ -150,20 +155,20 @@
 	return 0, nil
 }
 
-// vms sets the platform's list of VMs to the named routers and upstreams:
+// vms sets the platform's list of VMs to the given routers and upstreams:
 //
 //	vms PLATFORM NAME... [leaving=NAME,...]
-func vms(w *World, a arguments) error {
-	if err := a.need(1, "vms PLATFORM NAME..."); err != nil {
+func vms(s *script, a arguments) error {
+	if err := a.requirePositional(1, "vms PLATFORM NAME..."); err != nil {
 		return err
 	}
 	leaving := map[string]bool{}
-	for _, name := range a.list("leaving") {
+	for _, name := range a.listOption("leaving") {
 		leaving[name] = true
 	}
 	reply := standin.VMsOrder{VMs: []standin.VM{}}
-	for _, name := range a.words[1:] {
-		p, err := w.find(name)
+	for _, name := range a.positional[1:] {
+		p, err := s.findProcess(name)
 		if err != nil {
 			return err
 		}
@@ -173,72 +178,72 @@
 		}
 		reply.VMs = append(reply.VMs, vm)
 	}
-	return w.order(a.words[0], http.MethodPut, standin.VMsPath, reply)
+	return s.sendOrder(a.positional[0], http.MethodPut, standin.VMsPath, reply)
 }
 
-// setFault replaces the faults of a stand-in by one, or by none:
+// setFault replaces the injected faults of a stand-in with one, or none:
 //
 //	fault NAME KIND [operation=NAME] [prefix=TEXT] [times=N] [delay=MS] [commits=N] [commit=N] [events=N]
 //	fault NAME clear
-func setFault(w *World, a arguments) error {
-	if err := a.need(2, "fault NAME KIND"); err != nil {
+func setFault(s *script, a arguments) error {
+	if err := a.requirePositional(2, "fault NAME KIND"); err != nil {
 		return err
 	}
-	if err := a.allow("operation", "prefix", "times", "delay", "commits", "commit", "events"); err != nil {
+	if err := a.allowOptions("operation", "prefix", "times", "delay", "commits", "commit", "events"); err != nil {
 		return err
 	}
-	n, err := a.numbers("times", "delay", "commits", "commit", "events")
+	n, err := a.intOptions("times", "delay", "commits", "commit", "events")
 	if err != nil {
 		return err
 	}
 	orders := fault.Orders{Faults: []fault.Fault{}}
-	if a.words[1] != "clear" {
+	if a.positional[1] != "clear" {
 		orders.Faults = append(orders.Faults, fault.Fault{
-			Kind: fault.Kind(a.words[1]), Operation: a.options["operation"], Prefix: a.options["prefix"],
+			Kind: fault.Kind(a.positional[1]), Operation: a.options["operation"], Prefix: a.options["prefix"],
 			Times: n[0], DelayMs: n[1], Commits: n[2], Commit: n[3], Events: n[4],
 		})
 	}
-	return w.order(a.words[0], http.MethodPut, standin.FaultsPath, orders)
+	return s.sendOrder(a.positional[0], http.MethodPut, standin.FaultsPath, orders)
 }
 
-// limits bounds the operations a second of a platform:
+// limits sets the maximum operations per second of a platform:
 //
 //	limits PLATFORM [reads=N] [writes=N]
-func limits(w *World, a arguments) error {
-	if err := a.need(1, "limits PLATFORM"); err != nil {
+func limits(s *script, a arguments) error {
+	if err := a.requirePositional(1, "limits PLATFORM"); err != nil {
 		return err
 	}
-	n, err := a.numbers("reads", "writes")
+	n, err := a.intOptions("reads", "writes")
 	if err != nil {
 		return err
 	}
-	return w.order(a.words[0], http.MethodPut, standin.LimitsPath, standin.Limits{Reads: float64(n[0]), Writes: float64(n[1])})
+	return s.sendOrder(a.positional[0], http.MethodPut, standin.LimitsPath, standin.Limits{Reads: float64(n[0]), Writes: float64(n[1])})
 }
 
-// drain tells upstreams to take no new work and finish what they have:
+// drain tells upstreams to refuse new work and finish their current work:
 //
 //	drain UPSTREAM...
-func drain(w *World, a arguments) error {
-	return w.each(a, func(p *process) error { return w.order(p.name, http.MethodPost, "/drain", nil) })
+func drain(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error { return s.sendOrder(p.name, http.MethodPost, "/drain", nil) })
 }
 
-// crash breaks an engine's connections and loses its streams, until restore:
+// crash breaks an engine's connections and drops its streams, until restore:
 //
 //	crash ENGINE...
-func crash(w *World, a arguments) error {
-	return w.each(a, func(p *process) error { return w.order(p.name, http.MethodPost, "/crash", nil) })
+func crash(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error { return s.sendOrder(p.name, http.MethodPost, "/crash", nil) })
 }
 
 // restore ends a crash:
 //
 //	restore ENGINE...
-func restore(w *World, a arguments) error {
-	return w.each(a, func(p *process) error { return w.order(p.name, http.MethodPost, "/restore", nil) })
+func restore(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error { return s.sendOrder(p.name, http.MethodPost, "/restore", nil) })
 }
 
-// order sends a test's order to a stand-in.
-func (w *World) order(name, method, path string, message any) error {
-	p, err := w.find(name)
+// sendOrder sends a control request to a stand-in.
+func (s *script) sendOrder(name, method, path string, message any) error {
+	p, err := s.findProcess(name)
 	if err != nil {
 		return err
 	}
@@ -246,28 +251,28 @@
 	if err != nil {
 		return err
 	}
-	r := w.send(request{method: method, url: "http://" + p.address + path, body: string(data)})
+	r := s.send(request{method: method, url: "http://" + p.address + path, body: string(data)})
 	if r.err == nil && r.status != http.StatusNoContent {
-		r.err = fmt.Errorf("%s is answered with %d: %s", path, r.status, r.body)
+		r.err = fmt.Errorf("%s was answered with status %d: %s", path, r.status, r.body)
 	}
 	return r.err
 }
 
-// show fails with what the administration API of a router answers, for a
-// look at a router while a script is written:
+// show fails with the answer of a router's administration API, to inspect a
+// router while writing a script:
 //
 //	show ROUTER PATH
-func show(w *World, a arguments) error {
-	if err := a.need(2, "show ROUTER PATH"); err != nil {
+func show(s *script, a arguments) error {
+	if err := a.requirePositional(2, "show ROUTER PATH"); err != nil {
 		return err
 	}
-	p, err := w.find(a.words[0])
+	p, err := s.findProcess(a.positional[0])
 	if err != nil {
 		return err
 	}
-	r := w.send(request{method: http.MethodGet, url: "http://" + p.admin + a.words[1], key: operatorKey})
+	r := s.send(request{method: http.MethodGet, url: "http://" + p.admin + a.positional[1], key: operatorKey})
 	if r.err != nil {
 		return r.err
 	}
-	return fmt.Errorf("%s answers %d: %s", a.words[1], r.status, r.body)
+	return fmt.Errorf("%s was answered with status %d: %s", a.positional[1], r.status, r.body)
 }
--- a/scenario/line.go
+++ b/scenario/line.go
@@ -8,9 +8,9 @@
 	"sync"
 )
 
-// line carries one router's connections to the platform, so that a script can
-// cut that router off from it while the others are not.
-type line struct {
+// platformProxy forwards one router's connections to the platform, so that a
+// script can cut off a single router.
+type platformProxy struct {
 	listener net.Listener
 	target   string
 
@@ -19,111 +19,112 @@
 	conns map[net.Conn]bool
 }
 
-// newLine returns a line to an address.
-func newLine(target string) (*line, error) {
+// newPlatformProxy starts a proxy that connects to target.
+func newPlatformProxy(target string) (*platformProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // returns at once
 	if err != nil {
 		return nil, err
 	}
-	l := &line{listener: listener, target: target, conns: map[net.Conn]bool{}}
-	go l.accept()
-	return l, nil
+	p := &platformProxy{listener: listener, target: target, conns: map[net.Conn]bool{}}
+	go p.accept()
+	return p, nil
 }
 
-func (l *line) address() string { return l.listener.Addr().String() }
+func (p *platformProxy) address() string { return p.listener.Addr().String() }
 
-func (l *line) accept() {
+func (p *platformProxy) accept() {
 	for {
-		conn, err := l.listener.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.carry(conn)
+		go p.forward(conn)
 	}
 }
 
-// carry copies bytes both ways until either side ends or the line is cut.
-func (l *line) carry(near net.Conn) {
-	defer near.Close()
-	if !l.add(near) {
+// forward copies bytes in both directions until either side closes or the proxy
+// is cut.
+func (p *platformProxy) forward(client net.Conn) {
+	defer client.Close()
+	if !p.add(client) {
 		return
 	}
-	defer l.remove(near)
-	far, err := net.Dial("tcp", l.target) //nolint:noctx // an address of this machine
+	defer p.remove(client)
+	server, err := net.Dial("tcp", p.target) //nolint:noctx // an address of this machine
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer server.Close()
 	go func() {
-		defer far.Close()
-		_, _ = io.Copy(far, near)
+		defer server.Close()
+		_, _ = io.Copy(server, client)
 	}()
-	_, _ = io.Copy(near, far)
+	_, _ = io.Copy(client, server)
 }
 
-// add keeps a connection, and returns false when the line is cut.
-func (l *line) add(conn net.Conn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.cut {
-		l.conns[conn] = true
+// add registers a connection, and returns false if the proxy is cut.
+func (p *platformProxy) add(conn net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.cut {
+		p.conns[conn] = true
 	}
-	return !l.cut
+	return !p.cut
 }
 
-func (l *line) remove(conn net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.conns, conn)
+func (p *platformProxy) remove(conn net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, conn)
 }
 
-// set cuts the line or joins it again.
-func (l *line) set(cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cut = cut
+// setCut breaks all connections and refuses new ones, or allows them again.
+func (p *platformProxy) setCut(cut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cut = cut
 	if !cut {
 		return
 	}
-	for conn := range l.conns {
+	for conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-func (l *line) close() {
-	l.set(true)
-	_ = l.listener.Close()
+func (p *platformProxy) close() {
+	p.setCut(true)
+	_ = p.listener.Close()
 }
 
-// sever cuts routers off from the platform; the other routers still reach it:
+// sever cuts routers off from the platform, which others still reach:
 //
 //	sever ROUTER...
-func sever(w *World, a arguments) error { return w.setLines(a, true) }
+func sever(s *script, a arguments) error { return s.setProxiesCut(a, true) }
 
-// rejoin gives severed routers their connection to the platform back:
+// rejoin restores the connection of severed routers to the platform:
 //
 //	rejoin ROUTER...
-func rejoin(w *World, a arguments) error { return w.setLines(a, false) }
+func rejoin(s *script, a arguments) error { return s.setProxiesCut(a, false) }
 
-func (w *World) setLines(a arguments, cut bool) error {
-	return w.each(a, func(p *process) error {
-		if p.line == nil {
-			return errors.New("it is no router")
+func (s *script) setProxiesCut(a arguments, cut bool) error {
+	return s.forEachProcess(a, func(p *process) error {
+		if p.proxy == nil {
+			return errors.New("not a router")
 		}
-		p.line.set(cut)
+		p.proxy.setCut(cut)
 		return nil
 	})
 }
 
-// connectPlatform gives a router a line of its own to the platform.
-func (w *World) connectPlatform(p *process, name string) error {
-	store, err := w.find(name)
+// startProxy starts a router's own proxy to the platform.
+func (s *script) startProxy(p *process, name string) error {
+	platform, err := s.findProcess(name)
 	if err != nil {
 		return err
 	}
-	p.line, err = newLine(store.address)
+	p.proxy, err = newPlatformProxy(platform.address)
 	if err != nil {
-		return fmt.Errorf("a line from %s to %s: %w", p.name, name, err)
+		return fmt.Errorf("starting a proxy from %s to %s: %w", p.name, name, err)
 	}
 	return nil
 }
--- a/scenario/load.go
+++ b/scenario/load.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// loadPrompts is how many different prompts a load asks.
+// loadPrompts is the number of different prompts that a load sends.
 const loadPrompts = 8
 
-// load is steady work from several callers at once, through a balancer of the
-// script's own: each call goes to the next router that is ready.
+// load is a continuous load from several callers. As with a load balancer, each
+// call goes to the next router that is ready.
 type load struct {
-	world    *World
+	script   *script
 	routers  []*process
 	account  string
 	service  string
@@ -26,49 +26,49 @@
 	plain    bool
 	tokens   int
 	name     string
-	// stubborn callers repeat also what may have been run, with the same key.
+	// stubborn callers also repeat calls that may have been run, with the same key.
 	stubborn bool
 
-	next    atomic.Int64
-	stopped atomic.Bool
-	group   sync.WaitGroup
+	nextIndex atomic.Int64
+	stopped   atomic.Bool
+	callers   sync.WaitGroup
 
-	mu       sync.Mutex
-	expected map[string]string
-	answered []string
-	unknown  []string
-	repeats  int
-	faults   []error
+	mu             sync.Mutex
+	expected       map[string]string
+	answered       []string
+	unknownOutcome []string
+	retries        int
+	failures       []error
 }
 
-// startLoad starts callers in the background, which ask one after the other
-// and repeat what was refused as not run:
+// startLoad starts callers in the background. Each makes one call after the
+// other, and repeats calls that were refused as not run:
 //
 //	load NAME ACCOUNT SERVICE UPSTREAM routers=NAME,... [callers=4] [tokens=20] [stubborn=yes]
 //
-// The upstream tells what the right answers are. Stubborn callers of a plain
-// service also repeat, with the same key, a call whose connection broke, and
-// take outcome-unknown for an answer the second time.
-func startLoad(w *World, a arguments) error {
-	if err := a.need(4, "load NAME ACCOUNT SERVICE UPSTREAM"); err != nil {
+// The expected answers are those of the upstream to direct calls. Stubborn
+// callers of a plain service also repeat, with the same key, a call whose
+// connection broke, and accept outcome-unknown as an answer the second time.
+func startLoad(s *script, a arguments) error {
+	if err := a.requirePositional(4, "load NAME ACCOUNT SERVICE UPSTREAM"); err != nil {
 		return err
 	}
-	if err := a.allow("routers", "callers", "tokens", "stubborn"); err != nil {
+	if err := a.allowOptions("routers", "callers", "tokens", "stubborn"); err != nil {
 		return err
 	}
-	callers, err := a.number("callers", 4)
+	callers, err := a.intOption("callers", 4)
 	if err != nil {
 		return err
 	}
-	l := &load{world: w, name: a.words[0], account: a.words[1], service: a.words[2], expected: map[string]string{}}
-	if l.tokens, err = a.number("tokens", 20); err != nil {
+	l := &load{script: s, name: a.positional[0], account: a.positional[1], service: a.positional[2], expected: map[string]string{}}
+	if l.tokens, err = a.intOption("tokens", 20); err != nil {
 		return err
 	}
-	if l.upstream, err = w.find(a.words[3]); err != nil {
+	if l.upstream, err = s.findProcess(a.positional[3]); err != nil {
 		return err
 	}
-	for _, name := range a.list("routers") {
-		p, err := w.find(name)
+	for _, name := range a.listOption("routers") {
+		p, err := s.findProcess(name)
 		if err != nil {
 			return err
 		}
@@ -76,64 +76,68 @@
 	}
 	l.plain = l.upstream.kind == applicationKind
 	l.stubborn = a.options["stubborn"] == "yes"
-	if err := l.learn(); err != nil {
+	if err := l.fetchExpected(); err != nil {
 		return err
 	}
-	w.loads[l.name] = l
+	s.loads[l.name] = l
 	for i := range callers {
-		l.group.Go(func() { l.caller(i) })
+		l.callers.Go(func() { l.runCaller(i) })
 	}
 	return nil
 }
 
-// learn asks the upstream itself for the answers to a model's prompts.
-func (l *load) learn() error {
+// fetchExpected gets the expected answers to a model's prompts by direct calls
+// to the upstream.
+func (l *load) fetchExpected() error {
 	for i := range loadPrompts {
 		if l.plain {
 			return nil
 		}
-		body := l.body(i)
-		r := l.world.send(request{method: http.MethodPost, url: "http://" + l.upstream.address + "/v1/chat/completions", body: body})
+		body := l.requestBody(i)
+		r := l.script.send(request{method: http.MethodPost, url: "http://" + l.upstream.address + "/v1/chat/completions", body: body})
 		if r.err != nil || r.status != http.StatusOK {
-			return fmt.Errorf("asking %s: %d %w", l.upstream.name, r.status, r.err)
+			return fmt.Errorf("calling %s directly: status %d: %w", l.upstream.name, r.status, r.err)
 		}
 		l.expected[body] = r.body
 	}
 	return nil
 }
 
-func (l *load) body(n int) string {
+// requestBody returns the body of a caller's nth call.
+func (l *load) requestBody(n int) string {
 	if l.plain {
 		return `{"order":` + strconv.Itoa(n) + `}`
 	}
 	return chatBody(l.service, "load "+strconv.Itoa(n%loadPrompts), l.tokens, n%2 == 0)
 }
 
-// caller makes one call after the other until the load is stopped.
-func (l *load) caller(number int) {
+// runCaller makes one call after the other until the load is stopped. number
+// identifies the caller.
+func (l *load) runCaller(number int) {
 	for n := 0; !l.stopped.Load(); n++ {
 		key := fmt.Sprintf("%s-%d-%d", l.name, number, n)
-		if err := l.ask(key, l.body(n)); err != nil {
+		if err := l.callUntilFinal(key, l.requestBody(n)); err != nil {
 			l.mu.Lock()
-			l.faults = append(l.faults, fmt.Errorf("call %s: %w", key, err))
+			l.failures = append(l.failures, fmt.Errorf("call %s: %w", key, err))
 			l.mu.Unlock()
 		}
 	}
 }
 
-// ask makes one call, and repeats it only while it certainly was not run.
-func (l *load) ask(key, body string) error {
-	deadline := time.Now().Add(patience)
+// callUntilFinal makes one call, and repeats it while checkReply says so or, if
+// the caller is stubborn, once after an unknown outcome.
+func (l *load) callUntilFinal(key, body string) error {
+	deadline := time.Now().Add(waitTimeout)
 	unknown := false
 	for {
-		p := l.pick()
-		r := l.world.send(l.request(p, key, body))
+		p := l.nextRouter()
+		r := l.script.send(l.routerRequest(p, key, body))
 		if l.stubborn && !unknown && strings.Contains(r.body, `"outcome-unknown"`) {
 			unknown = true
 			continue
 		}
-		again, err := l.judge(key, body, r)
-		if !again {
+		repeat, err := l.checkReply(key, body, r)
+		if !repeat {
 			if err != nil {
 				return fmt.Errorf("through %s: %w", p.name, err)
 			}
@@ -143,24 +147,24 @@
 			return fmt.Errorf("through %s: still not run: %d %s %w", p.name, r.status, r.body, r.err)
 		}
 		l.mu.Lock()
-		l.repeats++
+		l.retries++
 		l.mu.Unlock()
 		time.Sleep(pollInterval)
 	}
 }
 
-// pick returns the next router that says it is ready, as a balancer does.
-func (l *load) pick() *process {
+// nextRouter returns the next router that is ready or, if none is, the next one.
+func (l *load) nextRouter() *process {
 	for range len(l.routers) {
-		p := l.routers[int(l.next.Add(1))%len(l.routers)]
-		if l.world.expectStatus(p.admin, "/readyz", http.StatusOK) == nil {
+		p := l.routers[int(l.nextIndex.Add(1))%len(l.routers)]
+		if l.script.expectStatus(p.admin, "/readyz", http.StatusOK) == nil {
 			return p
 		}
 	}
-	return l.routers[int(l.next.Add(1))%len(l.routers)]
+	return l.routers[int(l.nextIndex.Add(1))%len(l.routers)]
 }
 
-func (l *load) request(p *process, key, body string) request {
+func (l *load) routerRequest(p *process, key, body string) request {
 	r := request{
 		method: http.MethodPost, url: "http://" + p.address + "/v1/chat/completions",
 		body: body, key: l.account + keySuffix,
@@ -172,11 +176,12 @@
 	return r
 }
 
-// judge says whether a call is to be repeated, or what is wrong with its answer.
-func (l *load) judge(key, body string, r reply) (again bool, err error) {
-	var dial *net.OpError
+// checkReply reports whether a call has to be repeated, or else returns an error
+// if its answer is wrong.
+func (l *load) checkReply(key, body string, r reply) (repeat bool, err error) {
+	var opError *net.OpError
 	switch {
-	case r.err != nil && errors.As(r.err, &dial) && dial.Op == "dial":
+	case r.err != nil && errors.As(r.err, &opError) && opError.Op == "dial":
 		return true, nil
 	case r.err != nil && l.stubborn && l.plain:
 		return true, nil
@@ -185,18 +190,18 @@
 	case r.status != http.StatusOK && strings.Contains(r.body, `"not-run"`):
 		return true, nil
 	case l.stubborn && strings.Contains(r.body, `"outcome-unknown"`):
-		l.note(&l.unknown, key)
+		l.addKey(&l.unknownOutcome, key)
 		return false, nil
 	case r.status != http.StatusOK:
 		return false, fmt.Errorf("status %d: %s", r.status, r.body)
 	case !l.plain && r.body != l.expected[body]:
 		return false, fmt.Errorf("the answer differs from that of %s:\n%s", l.upstream.name, r.body)
 	}
-	l.note(&l.answered, key)
+	l.addKey(&l.answered, key)
 	return false, nil
 }
 
-func (l *load) note(keys *[]string, key string) {
+func (l *load) addKey(keys *[]string, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*keys = append(*keys, key)
@@ -204,61 +209,62 @@
 
 func (l *load) stop() {
 	l.stopped.Store(true)
-	l.group.Wait()
+	l.callers.Wait()
 }
 
-// progress waits until a load has had a number of answers more than now:
+// progress waits until a load has received N more answers:
 //
 //	progress NAME N
-func progress(w *World, a arguments) error {
-	if err := a.need(2, "progress NAME N"); err != nil {
+func progress(s *script, a arguments) error {
+	if err := a.requirePositional(2, "progress NAME N"); err != nil {
 		return err
 	}
-	l, ok := w.loads[a.words[0]]
+	l, ok := s.loads[a.positional[0]]
 	if !ok {
-		return fmt.Errorf("the script has started no load %q", a.words[0])
+		return fmt.Errorf("no load %q was started", a.positional[0])
 	}
-	more, err := strconv.Atoi(a.words[1])
+	more, err := strconv.Atoi(a.positional[1])
 	if err != nil {
 		return err
 	}
-	wanted := l.count() + more
+	expected := l.answeredCount() + more
 	return poll("answers", func() error {
-		if found := l.count(); found < wanted {
-			return fmt.Errorf("%d calls were answered, expected %d", found, wanted)
+		if found := l.answeredCount(); found < expected {
+			return fmt.Errorf("%d calls were answered, expected %d", found, expected)
 		}
 		return nil
 	})
 }
 
-func (l *load) count() int {
+func (l *load) answeredCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.answered)
 }
 
-// endLoad stops a load and checks that each call was answered whole, that each
-// answered one of a plain service was run once, and no other one twice:
+// endLoad stops a load and checks that every call got a complete answer. For a
+// plain service it also checks that each answered call was run once, and that
+// none was run twice:
 //
 //	unload NAME [least=CALLS]
-func endLoad(w *World, a arguments) error {
-	if err := a.need(1, "unload NAME"); err != nil {
+func endLoad(s *script, a arguments) error {
+	if err := a.requirePositional(1, "unload NAME"); err != nil {
 		return err
 	}
-	least, err := a.number("least", 1)
+	least, err := a.intOption("least", 1)
 	if err != nil {
 		return err
 	}
-	l, ok := w.loads[a.words[0]]
+	l, ok := s.loads[a.positional[0]]
 	if !ok {
-		return fmt.Errorf("the script has started no load %q", a.words[0])
+		return fmt.Errorf("no load %q was started", a.positional[0])
 	}
 	l.stop()
-	w.log.Log(fmt.Sprintf("load %s: %d answered, %d of unknown outcome, %d repeats, %d failed",
-		l.name, len(l.answered), len(l.unknown), l.repeats, len(l.faults)))
-	if len(l.faults) > 0 {
+	s.log.Log(fmt.Sprintf("load %s: %d answered, %d of unknown outcome, %d repeats, %d failed",
+		l.name, len(l.answered), len(l.unknownOutcome), l.retries, len(l.failures)))
+	if len(l.failures) > 0 {
 		return fmt.Errorf("%d of %d calls failed; the first ones: %w",
-			len(l.faults), len(l.faults)+len(l.answered), errors.Join(l.faults[:min(3, len(l.faults))]...))
+			len(l.failures), len(l.failures)+len(l.answered), errors.Join(l.failures[:min(3, len(l.failures))]...))
 	}
 	if len(l.answered) < least {
 		return fmt.Errorf("only %d calls were answered, expected %d", len(l.answered), least)
@@ -269,8 +275,9 @@
 	return nil
 }
 
+// checkRuns checks that each answered call was run once and no call twice.
 func (l *load) checkRuns() error {
-	counts, err := l.world.counts(l.upstream.name)
+	counts, err := l.script.runCounts(l.upstream.name)
 	if err != nil {
 		return err
 	}
--- a/scenario/port.go
+++ b/scenario/port.go
@@ -8,28 +8,28 @@
 	"sync/atomic"
 )
 
-// The ports that routers are given. They lie below those that the machine
-// gives to outgoing connections, which could else take a port between its
-// choice and the router's start, or while the router is down for a restart.
+// The ports of routers. They are below the ephemeral port range, from which an
+// outgoing connection could take a port before the router listens on it, or
+// while the router is down for a restart.
 const (
-	firstPort = 10000
-	ports     = 20000
-	portTries = 100
+	firstPort    = 10000
+	portCount    = 20000
+	maxPortTries = 100
 )
 
-// lastPort counts up from a place of this process's own, so that two test
-// processes on one machine seldom meet.
-var lastPort = func() *atomic.Int64 {
+// portCounter starts at a random offset, so that test processes on one machine
+// seldom try the same ports.
+var portCounter = func() *atomic.Int64 {
 	var n atomic.Int64
-	n.Store(rand.Int64N(ports))
+	n.Store(rand.Int64N(portCount))
 	return &n
 }()
 
-// freePort returns an address of the loopback that nobody listens on and that
-// was not returned before.
+// freePort returns a loopback address that is not in use and was not returned
+// before.
 func freePort() (string, error) {
-	for range portTries {
-		address := "127.0.0.1:" + strconv.FormatInt(firstPort+lastPort.Add(1)%ports, 10)
+	for range maxPortTries {
+		address := "127.0.0.1:" + strconv.FormatInt(firstPort+portCounter.Add(1)%portCount, 10)
 		listener, err := net.Listen("tcp", address) //nolint:noctx // returns at once
 		if err == nil {
 			return address, listener.Close()
--- a/scenario/process.go
+++ b/scenario/process.go
@@ -13,48 +13,50 @@
 	"syscall"
 )
 
-// kind is what a process is.
-type kind string
+// processKind is the kind of a process, as in the start command.
+type processKind string
 
 const (
-	routerKind      kind = "router"
-	engineKind      kind = "engine"
-	applicationKind kind = "application"
-	platformKind    kind = "platform"
+	routerKind      processKind = "router"
+	engineKind      processKind = "engine"
+	applicationKind processKind = "application"
+	platformKind    processKind = "platform"
 )
 
-// tailBytes is how much of a log is shown when a script fails.
-const tailBytes = 6000
+// logTailBytes is the number of bytes at the end of a log that are shown when a
+// script fails.
+const logTailBytes = 6000
 
-// process is one process that the script has started, by the name that the
-// script gave it. It keeps its addresses over a restart.
+// process is a process that a script has started under a name. It keeps its
+// addresses when it is restarted.
 type process struct {
 	name string
-	kind kind
+	kind processKind
 	dir  string
-	// address is where callers or routers connect; admin and peer are a router's.
+	// address is for callers of a router and for the clients of a stand-in;
+	// admin and peer are a router's other addresses.
 	address string
 	admin   string
 	peer    string
 	args    []string
-	// line is a router's connection to the platform.
-	line *line
+	// proxy connects a router to the platform; nil for stand-ins.
+	proxy *platformProxy
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-func (p *process) path(suffix string) string { return filepath.Join(p.dir, p.name+suffix) }
+func (p *process) filePath(suffix string) string { return filepath.Join(p.dir, p.name+suffix) }
 
-// run starts the process.
-func (p *process) run(program string, env []string) error {
-	log, err := os.OpenFile(p.path(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// start starts the process. Its standard error is appended to its log.
+func (p *process) start(program string, env []string) error {
+	log, err := os.OpenFile(p.filePath(".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	out, err := os.Create(p.path(".out"))
+	out, err := os.Create(p.filePath(".out"))
 	if err != nil {
 		return err
 	}
@@ -87,21 +89,22 @@
 	}
 }
 
-// announced reads the line of JSON that a stand-in prints once it listens.
-func (p *process) announced() error {
-	data, err := os.ReadFile(p.path(".out"))
+// readAddress reads the address from the line of JSON that a stand-in prints
+// when it listens.
+func (p *process) readAddress() error {
+	data, err := os.ReadFile(p.filePath(".out"))
 	if err != nil {
 		return err
 	}
 	line, _, whole := bytes.Cut(data, []byte("\n"))
 	if !whole {
-		return errors.New("it has printed nothing yet")
+		return errors.New("no address printed yet")
 	}
 	var ready struct {
 		Address string `json:"address"`
 	}
 	if err := json.Unmarshal(line, &ready); err != nil {
-		return fmt.Errorf("it printed %q: %w", line, err)
+		return fmt.Errorf("unexpected output %q: %w", line, err)
 	}
 	p.address = ready.Address
 	return nil
@@ -113,35 +116,36 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// end kills the process and waits until it has gone. A frozen one dies too.
-func (p *process) end() {
+// kill kills the process, even if it is frozen, and waits until it has ended.
+func (p *process) kill() {
 	_ = p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-func (p *process) tail() string {
-	data, err := os.ReadFile(p.path(".log"))
+// logTail returns the end of the process's log.
+func (p *process) logTail() string {
+	data, err := os.ReadFile(p.filePath(".log"))
 	if err != nil {
 		return err.Error()
 	}
-	return string(data[max(0, len(data)-tailBytes):])
+	return string(data[max(0, len(data)-logTailBytes):])
 }
 
-func (w *World) find(name string) (*process, error) {
-	p, ok := w.processes[name]
+func (s *script) findProcess(name string) (*process, error) {
+	p, ok := s.processes[name]
 	if !ok {
-		return nil, fmt.Errorf("the script has started no %q", name)
+		return nil, fmt.Errorf("no process %q was started", name)
 	}
 	return p, nil
 }
 
-// each applies fn to the processes that the words name.
-func (w *World) each(a arguments, fn func(*process) error, options ...string) error {
-	if err := a.allow(options...); err != nil {
+// forEachProcess calls fn for the processes that the arguments name.
+func (s *script) forEachProcess(a arguments, fn func(*process) error, options ...string) error {
+	if err := a.allowOptions(options...); err != nil {
 		return err
 	}
-	for _, name := range a.words {
-		p, err := w.find(name)
+	for _, name := range a.positional {
+		p, err := s.findProcess(name)
 		if err != nil {
 			return err
 		}
@@ -149,44 +153,45 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	return a.need(1, "COMMAND NAME...")
+	return a.requirePositional(1, "COMMAND NAME...")
 }
 
 // start starts processes and waits until they listen:
 //
 //	start platform|engine|application NAME... [--FLAG=VALUE...]
 //	start router NAME... platform=NAME [data-center=NAME]
-func start(w *World, a arguments) error {
-	if err := a.need(2, "start KIND NAME..."); err != nil {
+func start(s *script, a arguments) error {
+	if err := a.requirePositional(2, "start KIND NAME..."); err != nil {
 		return err
 	}
-	if err := a.allow("platform", "data-center"); err != nil {
+	if err := a.allowOptions("platform", "data-center"); err != nil {
 		return err
 	}
-	for _, name := range a.words[1:] {
-		p := &process{name: name, kind: kind(a.words[0]), dir: w.dir}
-		if err := w.prepare(p, a); err != nil {
+	for _, name := range a.positional[1:] {
+		p := &process{name: name, kind: processKind(a.positional[0]), dir: s.dir}
+		if err := s.prepareProcess(p, a); err != nil {
 			return err
 		}
-		if err := w.launch(p); err != nil {
+		if err := s.startProcess(p); err != nil {
 			return err
 		}
-		w.processes[name] = p
+		s.processes[name] = p
 	}
 	return nil
 }
 
-func (w *World) prepare(p *process, a arguments) error {
+// prepareProcess sets the command line of a process.
+func (s *script) prepareProcess(p *process, a arguments) error {
 	if p.kind == routerKind {
-		return w.prepareRouter(p, a)
+		return s.prepareRouter(p, a)
 	}
 	p.args = append([]string{"stand-in", string(p.kind), "--address", "127.0.0.1:0"}, a.flags...)
 	return nil
 }
 
-// launch runs a process and waits until it listens.
-func (w *World) launch(p *process) error {
-	if err := p.run(w.program, w.env); err != nil {
+// startProcess starts a process and waits until it listens.
+func (s *script) startProcess(p *process) error {
+	if err := p.start(s.program, s.env); err != nil {
 		return err
 	}
 	err := poll(p.name+" to listen", func() error {
@@ -194,78 +199,78 @@
 			return nil
 		}
 		if p.kind == routerKind {
-			return w.healthy(p)
+			return s.checkHealth(p)
 		}
-		return p.announced()
+		return p.readAddress()
 	})
 	if err == nil && !p.alive() {
-		err = errors.New("it has ended")
+		err = errors.New("the process has ended")
 	}
 	if err != nil {
-		p.end()
-		return fmt.Errorf("starting %s: %w\n%s", p.name, err, p.tail())
+		p.kill()
+		return fmt.Errorf("starting %s: %w\n%s", p.name, err, p.logTail())
 	}
 	return nil
 }
 
-// restart starts processes that have ended again, at the same addresses:
+// restart restarts processes that have ended, at the same addresses:
 //
 //	restart NAME...
-func restart(w *World, a arguments) error {
-	return w.each(a, func(p *process) error {
+func restart(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error {
 		if p.alive() {
-			return errors.New("it is still running")
+			return errors.New("still running")
 		}
 		if p.kind != routerKind {
 			p.args[3] = p.address
 		}
-		return w.launch(p)
+		return s.startProcess(p)
 	})
 }
 
-// shutdown asks processes for a graceful shutdown and returns at once:
+// shutdown requests a graceful shutdown of processes and returns at once:
 //
 //	shutdown NAME...
-func shutdown(w *World, a arguments) error {
-	return w.each(a, func(p *process) error { return p.signal(syscall.SIGTERM) })
+func shutdown(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error { return p.signal(syscall.SIGTERM) })
 }
 
-// abort kills processes and waits until they have gone:
+// abort kills processes and waits until they have ended:
 //
 //	abort NAME...
-func abort(w *World, a arguments) error {
-	return w.each(a, func(p *process) error {
-		p.end()
+func abort(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error {
+		p.kill()
 		return nil
 	})
 }
 
-// freeze pauses processes; they keep their connections and notice nothing:
+// freeze pauses processes, which keep their connections:
 //
 //	freeze NAME...
-func freeze(w *World, a arguments) error {
-	return w.each(a, func(p *process) error { return p.signal(syscall.SIGSTOP) })
+func freeze(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error { return p.signal(syscall.SIGSTOP) })
 }
 
-// thaw lets frozen processes go on:
+// thaw resumes frozen processes:
 //
 //	thaw NAME...
-func thaw(w *World, a arguments) error {
-	return w.each(a, func(p *process) error { return p.signal(syscall.SIGCONT) })
+func thaw(s *script, a arguments) error {
+	return s.forEachProcess(a, func(p *process) error { return p.signal(syscall.SIGCONT) })
 }
 
-// exited waits until processes have ended by themselves with a code:
+// exited waits until processes have ended by themselves with an exit code:
 //
 //	exited NAME... [code=0]
-func exited(w *World, a arguments) error {
-	code, err := a.number("code", 0)
+func exited(s *script, a arguments) error {
+	code, err := a.intOption("code", 0)
 	if err != nil {
 		return err
 	}
-	return w.each(a, func(p *process) error {
-		err := poll("its end", func() error {
+	return s.forEachProcess(a, func(p *process) error {
+		err := poll("the exit", func() error {
 			if p.alive() {
-				return errors.New("it is still running")
+				return errors.New("still running")
 			}
 			return nil
 		})
@@ -273,7 +278,7 @@
 			return err
 		}
 		if found := p.cmd.ProcessState.ExitCode(); found != code {
-			return errors.New("it ended with code " + strconv.Itoa(found) + "\n" + p.tail())
+			return errors.New("ended with exit code " + strconv.Itoa(found) + "\n" + p.logTail())
 		}
 		return nil
 	}, "code")
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario is a small test language for the whole fleet: scripts that
-// start routers and stand-ins as separate processes, break them, call them as
-// client accounts do, and compare what comes back. It adds commands to
-// testscript; docs of each command stand at its function.
+// Package scenario adds commands to testscript for tests of a whole fleet.
+// Scripts start routers and stand-ins as separate processes, cause failures,
+// send requests as client accounts, and check the replies. Each command is
+// documented at its function.
 package scenario
 
 import (
@@ -17,35 +17,38 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// patience bounds each wait of a script. It is far longer than any promise, so
-// that a busy machine changes no verdict.
-const patience = 40 * time.Second
+// waitTimeout limits each wait of a script. It is far longer than any documented
+// time limit, so that tests do not fail on a busy machine.
+const waitTimeout = 40 * time.Second
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 10 * time.Millisecond
 
 // program is the name of the command that TestMain installs.
 const program = "nutmeglock"
 
-// World is what one script has started. Its commands run one after the other.
-type World struct {
+// script is the state of a running script. Its commands run one after the other.
+type script struct {
 	dir       string
 	program   string
 	env       []string
 	client    *http.Client
 	processes map[string]*process
-	calls     map[string]*exchange
-	loads     map[string]*load
-	marks     map[string]map[string]int
-	log       testscript.T
-	directs   int
+	// calls holds the background calls by name.
+	calls map[string]*exchange
+	loads map[string]*load
+	// marks holds each platform's operation counts at its last mark.
+	marks map[string]map[string]int
+	log   testscript.T
+	// directCalls counts the direct calls to upstreams.
+	directCalls int
 }
 
-type worldKey struct{}
+type scriptKey struct{}
 
-// running bounds the scripts that run at once, because each is a small fleet
-// of its own on the same machine.
-var running = make(chan struct{}, 3)
+// scriptSlots limits the number of concurrent scripts, because each runs a small
+// fleet on the same machine.
+var scriptSlots = make(chan struct{}, 3)
 
 // Params returns the testscript parameters for the scripts in a directory.
 func Params(dir string) testscript.Params {
@@ -53,12 +56,12 @@
 }
 
 func setup(env *testscript.Env) error {
-	path, err := lookPath(env)
+	path, err := findProgram(env)
 	if err != nil {
 		return err
 	}
-	running <- struct{}{}
-	w := &World{
+	scriptSlots <- struct{}{}
+	s := &script{
 		dir: env.WorkDir, program: path, env: env.Vars,
 		client:    &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 		processes: map[string]*process{},
@@ -67,49 +70,51 @@
 		marks:     map[string]map[string]int{},
 		log:       env.T(),
 	}
-	env.Values[worldKey{}] = w
+	env.Values[scriptKey{}] = s
 	var once sync.Once
 	env.Defer(func() {
 		once.Do(func() {
-			w.end(env.T())
-			<-running
+			s.cleanUp(env.T())
+			<-scriptSlots
 		})
 	})
 	return nil
 }
 
-func lookPath(env *testscript.Env) (string, error) {
+func findProgram(env *testscript.Env) (string, error) {
 	for _, dir := range strings.Split(env.Getenv("PATH"), ":") {
 		if path, err := exec.LookPath(dir + "/" + program); err == nil {
 			return path, nil
 		}
 	}
-	return "", errors.New("the test's main function has not installed " + program)
+	return "", errors.New("TestMain has not installed the command " + program)
 }
 
-// end ends every process that the script has started, and shows the ends of
-// their logs when it failed.
-func (w *World) end(t testscript.T) {
-	for _, l := range w.loads {
+// cleanUp kills every process that the script has started, and shows the ends of
+// their logs if the script failed.
+func (s *script) cleanUp(t testscript.T) {
+	for _, l := range s.loads {
 		l.stop()
 	}
-	for _, p := range w.processes {
-		p.end()
-		if p.line != nil {
-			p.line.close()
+	for _, p := range s.processes {
+		p.kill()
+		if p.proxy != nil {
+			p.proxy.close()
 		}
 	}
 	tb, ok := t.(testing.TB)
 	if !ok || !tb.Failed() {
 		return
 	}
-	for _, p := range w.processes {
-		t.Log(fmt.Sprintf("log of %s:\n%s", p.name, p.tail()))
+	for _, p := range s.processes {
+		t.Log(fmt.Sprintf("log of %s:\n%s", p.name, p.logTail()))
 	}
 }
 
-type command func(w *World, a arguments) error
+// command runs a command of a script.
+type command func(s *script, a arguments) error
 
+// commands returns the commands of this package in the form of testscript.
 func commands() map[string]func(*testscript.TestScript, bool, []string) {
 	table := map[string]command{
 		"start": start, "restart": restart, "shutdown": shutdown, "abort": abort, "freeze": freeze, "thaw": thaw, "exited": exited,
@@ -123,43 +128,45 @@
 	for name, run := range table {
 		result[name] = func(ts *testscript.TestScript, neg bool, args []string) {
 			began := time.Now()
-			err := run(world(ts), parse(args))
+			err := run(scriptOf(ts), parseArguments(args))
 			logSlow(ts, time.Since(began))
-			report(ts, neg, err)
+			reportResult(ts, neg, err)
 		}
 	}
 	result["await"] = func(ts *testscript.TestScript, neg bool, args []string) {
 		began := time.Now()
-		err := await(world(ts), table, args)
+		err := await(scriptOf(ts), table, args)
 		logSlow(ts, time.Since(began))
-		report(ts, neg, err)
+		reportResult(ts, neg, err)
 	}
 	return result
 }
 
-func world(ts *testscript.TestScript) *World {
-	w, ok := ts.Value(worldKey{}).(*World)
+func scriptOf(ts *testscript.TestScript) *script {
+	s, ok := ts.Value(scriptKey{}).(*script)
 	if !ok {
-		ts.Fatalf("the script has no world; use scenario.Params")
+		ts.Fatalf("the script was not set up by scenario.Params")
 	}
-	return w
+	return s
 }
 
-// slow is how long a command takes before its time is worth a line in the log.
-const slow = time.Second
+// slowCommand is the duration above which a command's time is logged.
+const slowCommand = time.Second
 
 func logSlow(ts *testscript.TestScript, took time.Duration) {
-	if took > slow {
-		ts.Logf("took %v", took.Round(slow/10))
+	if took > slowCommand {
+		ts.Logf("took %v", took.Round(slowCommand/10))
 	}
 }
 
-func report(ts *testscript.TestScript, neg bool, err error) {
+// reportResult fails the script unless the command ended as expected; neg means
+// that it was expected to fail.
+func reportResult(ts *testscript.TestScript, neg bool, err error) {
 	switch {
 	case err != nil && !neg:
 		ts.Fatalf("%v", err)
 	case err == nil && neg:
-		ts.Fatalf("succeeded, which was not expected")
+		ts.Fatalf("succeeded unexpectedly")
 	case err != nil:
 		ts.Logf("failed as expected: %v", err)
 	}
@@ -168,23 +175,23 @@
 // await repeats a command until it succeeds:
 //
 //	await COMMAND ARGUMENT...
-func await(w *World, table map[string]command, args []string) error {
+func await(s *script, table map[string]command, args []string) error {
 	if len(args) == 0 || table[args[0]] == nil {
-		return fmt.Errorf("await needs one of this package's commands, found %q", args)
+		return fmt.Errorf("await needs a command of package scenario, found %q", args)
 	}
-	return poll(strings.Join(args, " "), func() error { return table[args[0]](w, parse(args[1:])) })
+	return poll(strings.Join(args, " "), func() error { return table[args[0]](s, parseArguments(args[1:])) })
 }
 
-// poll repeats fn until it succeeds or patience is at its end.
+// poll repeats fn until it succeeds or waitTimeout has passed.
 func poll(what string, fn func() error) error {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := fn()
 		if err == nil {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("waited %v for %s: %w", patience, what, err)
+			return fmt.Errorf("waited %v for %s: %w", waitTimeout, what, err)
 		}
 		time.Sleep(pollInterval)
 	}
