--- a/live/caller.go
+++ b/live/caller.go
@@ -16,21 +16,22 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// seed makes every run ask the same.
+// seed is fixed, so that every run sends the same requests.
 const seed = 20261202
 
-// pauseAfterRefusal is used when a refusal names no time to come back.
+// pauseAfterRefusal is the pause after a failure without a Retry-After header.
 const pauseAfterRefusal = 100 * time.Millisecond
 
-// call sends one request after the other until ctx ends.
-func (m *measure) call(ctx context.Context, account, n int, c client) {
+// runCaller sends the requests of an account's nth caller, one after the other,
+// until ctx ends.
+func (m *measurement) runCaller(ctx context.Context, account, n int, c client) {
 	random := rand.New(rand.NewPCG(seed, uint64(account)<<32|uint64(n)))
 	for round := 0; ctx.Err() == nil; round++ {
 		router := c.router
 		if router == anyRouter {
 			router = random.IntN(len(m.fleet.Routers))
 		}
-		pause := m.ask(ctx, account, router, body(c, account, n, round, random))
+		pause := m.sendRequest(ctx, account, router, requestBody(c, account, n, round, random))
 		if pause <= 0 {
 			continue
 		}
@@ -41,45 +42,46 @@
 	}
 }
 
-// body returns a request for an answer of 0.4 to 2.5 times the mean length.
-func body(c client, account, n, round int, random *rand.Rand) []byte {
+// requestBody returns the body of a chat request for an answer of 0.4 to 2.5
+// times the client's mean length.
+func requestBody(c client, account, n, round int, random *rand.Rand) []byte {
 	const least, most = 0.4, 2.5
 	tokens := int(float64(c.tokens) * (least + (most-least)*random.Float64()*random.Float64()))
 	return fmt.Appendf(nil, `{"model":%q,"stream":true,"min_tokens":%d,"max_tokens":%d,"messages":[{"role":"user","content":"account %d caller %d round %d"}]}`,
 		local.ModelService, tokens, tokens, account, n, round)
 }
 
-// ask sends one request and reads its answer. It returns how long to wait
-// before the next.
-func (m *measure) ask(ctx context.Context, account, router int, body []byte) time.Duration {
+// sendRequest sends one request and reads its answer. It returns the pause
+// before the next request.
+func (m *measurement) sendRequest(ctx context.Context, account, router int, body []byte) time.Duration {
 	url := "http://" + m.fleet.Routers[router].Callers.String() + "/v1/chat/completions"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return pauseAfterRefusal
 	}
 	req.Header.Set("Authorization", "Bearer "+local.AccountKey(account))
-	r := m.begin(account, len(body))
-	defer m.end(r)
+	r := m.beginRequest(account, len(body))
+	defer m.endRequest(r)
 	answer, err := m.client.Do(req)
 	if err != nil {
-		m.failed(ctx, "no-answer")
+		m.countFailure(ctx, "no-answer")
 		return pauseAfterRefusal
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		m.failed(ctx, reasonOf(answer.Body))
-		return comeBack(answer.Header)
+		m.countFailure(ctx, refusalReason(answer.Body))
+		return retryAfter(answer.Header)
 	}
-	if err := m.read(r, answer.Body); err != nil {
-		m.failed(ctx, "broken")
+	if err := m.readAnswer(r, answer.Body); err != nil {
+		m.countFailure(ctx, "broken")
 		return pauseAfterRefusal
 	}
-	m.count("answered")
+	m.countAnswer("answered")
 	return 0
 }
 
-// read counts the events of a streamed answer as they arrive.
-func (m *measure) read(r *request, body io.Reader) error {
+// readAnswer reads a streamed answer and counts each event as a token.
+func (m *measurement) readAnswer(r *request, body io.Reader) error {
 	events := stream.NewReader(body)
 	for {
 		event, err := events.Next()
@@ -89,11 +91,12 @@
 		if event.Last() {
 			return nil
 		}
-		m.token(r)
+		m.recordToken(r)
 	}
 }
 
-func reasonOf(body io.Reader) string {
+// refusalReason returns the reason in the body of a refusal, or "unreadable".
+func refusalReason(body io.Reader) string {
 	var refused struct {
 		Error struct{ Reason string }
 	}
@@ -103,7 +106,8 @@
 	return refused.Error.Reason
 }
 
-func comeBack(header http.Header) time.Duration {
+// retryAfter returns the pause that a refusal's Retry-After header asks for.
+func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil {
 		return pauseAfterRefusal
@@ -111,9 +115,10 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// weights are those of a service that names none.
+// weights holds the default token weights.
 var weights estimate.Weights
 
+// inputCost returns the cost of the input of a request body with that many bytes.
 func inputCost(bytes int) float64 {
 	return float64(weights.Cost(estimate.InputTokens(int64(bytes)), 0))
 }
--- a/live/live_test.go
+++ b/live/live_test.go
@@ -12,7 +12,7 @@
 	"nutmeglock.example/nutmeglock/live"
 )
 
-func TestMeasurementReportsWhatCallersGot(t *testing.T) {
+func TestRunReportsMeasurements(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Second)
 	defer cancel()
@@ -31,16 +31,16 @@
 	require.Positive(t, result.TokensPerSecond)
 	require.Positive(t, result.LargestRequest)
 
-	var page, text bytes.Buffer
+	var page, encoded bytes.Buffer
 	require.NoError(t, report.WritePage(&page))
 	require.Contains(t, page.String(), "| few-large | fair |")
-	require.NoError(t, report.WriteJSON(&text))
-	var again live.Report
-	require.NoError(t, json.Unmarshal(text.Bytes(), &again))
-	require.Equal(t, report, again)
+	require.NoError(t, report.WriteJSON(&encoded))
+	var decoded live.Report
+	require.NoError(t, json.Unmarshal(encoded.Bytes(), &decoded))
+	require.Equal(t, report, decoded)
 }
 
-func TestMeasurementEndsWithItsContext(t *testing.T) {
+func TestRunEndsWithItsContext(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/live/load.go
+++ b/live/load.go
@@ -5,51 +5,51 @@
 	"strings"
 )
 
-// Load is what accounts ask for during a run.
+// Load describes the requests that accounts send during a run.
 type Load struct {
 	Name string
-	// slowEngines is the part of the engines that is slow, as one in so many;
-	// zero for none.
-	slowEngines int
-	// clients returns what each account does.
+	// slowOneIn makes one in so many engines slow; zero means none.
+	slowOneIn int
+	// clients returns the behaviour of each account.
 	clients func(options Options) []client
 }
 
-// slow returns how many of so many engines are slow.
-func (l Load) slow(engines int) int {
-	if l.slowEngines == 0 {
+// slowCount returns the number of slow engines.
+func (l Load) slowCount(engines int) int {
+	if l.slowOneIn == 0 {
 		return 0
 	}
-	return engines / l.slowEngines
+	return engines / l.slowOneIn
 }
 
-// client is what one account does: so many callers, each with one request
-// after the other.
+// client describes how one account sends requests. Each of its callers sends
+// one request at a time.
 type client struct {
 	callers int
-	// router pins the account to one router; -1 spreads it over all.
+	// router is the only router that the account uses; -1 spreads its requests
+	// over all.
 	router int
-	// tokens is the mean length of an answer.
+	// tokens is the mean length of its answers.
 	tokens int
 }
 
 const (
-	anyRouter   = -1
-	usualTokens = 320
-	longTokens  = 1600
-	accounts    = 16
-	// smallAccount is the account whose times are reported by themselves.
+	anyRouter    = -1
+	usualTokens  = 320
+	longTokens   = 1600
+	accountCount = 16
+	// smallAccount is the account whose times are also reported separately.
 	smallAccount = 0
 )
 
-// Loads returns all loads. A run without a choice plays the first two.
+// Loads returns all loads. The first two are the default.
 func Loads() []Load {
 	return []Load{
 		{Name: "few-large", clients: fewLarge},
 		{Name: "flood", clients: flood},
 		{Name: "one-router", clients: oneRouter},
 		{Name: "long-among-short", clients: longAmongShort},
-		{Name: "slow-upstream", clients: fewLarge, slowEngines: 5},
+		{Name: "slow-upstream", clients: fewLarge, slowOneIn: 5},
 		{Name: "saturation", clients: saturation},
 	}
 }
@@ -64,7 +64,7 @@
 	return Load{}, false
 }
 
-// LoadNames returns the names of all loads, for messages.
+// LoadNames returns the names of all loads, separated by commas.
 func LoadNames() string {
 	var names []string
 	for _, load := range Loads() {
@@ -73,7 +73,7 @@
 	return strings.Join(names, ", ")
 }
 
-// Policy is a way to share capacity, as the settings of a router name it.
+// Policy is a way to share capacity, by its name in a router's settings.
 type Policy string
 
 // Policies returns all policies; those after the first are baselines.
@@ -84,7 +84,7 @@
 	return Policy(name), slices.Contains(Policies(), Policy(name))
 }
 
-// PolicyNames returns the names of all policies, for messages.
+// PolicyNames returns the names of all policies, separated by commas.
 func PolicyNames() string {
 	var names []string
 	for _, policy := range Policies() {
@@ -93,17 +93,17 @@
 	return strings.Join(names, ", ")
 }
 
-// backlog is the number of callers of an account that keep work waiting all
-// the time: twice its fair part of all slots.
+// backlog returns the number of callers that keep an account backlogged: twice
+// its fair share of all batch slots.
 func backlog(options Options) int {
 	const share = 2
-	return share * options.Engines * options.Batch / accounts
+	return share * options.Engines * options.Batch / accountCount
 }
 
-// fewLarge has three accounts with five times the callers of the others.
+// fewLarge gives three accounts five times the callers of the others.
 func fewLarge(options Options) []client {
 	const large, times = 3, 5
-	clients := make([]client, accounts)
+	clients := make([]client, accountCount)
 	for n := range clients {
 		clients[n] = client{backlog(options), anyRouter, usualTokens}
 		if n > 0 && n <= large {
@@ -113,29 +113,29 @@
 	return clients
 }
 
-// saturation has all accounts ask for eight times what they can get.
+// saturation makes all accounts ask for eight times their fair share.
 func saturation(options Options) []client {
 	const times = 4
-	clients := make([]client, accounts)
+	clients := make([]client, accountCount)
 	for n := range clients {
 		clients[n] = client{times * backlog(options), anyRouter, usualTokens}
 	}
 	return clients
 }
 
-// oneRouter has all accounts' callers at one router.
+// oneRouter sends all requests to the same router.
 func oneRouter(options Options) []client {
-	clients := make([]client, accounts)
+	clients := make([]client, accountCount)
 	for n := range clients {
 		clients[n] = client{backlog(options), 0, usualTokens}
 	}
 	return clients
 }
 
-// longAmongShort has one account in four with long answers.
+// longAmongShort gives one account in four long answers.
 func longAmongShort(options Options) []client {
 	const every = 4
-	clients := make([]client, accounts)
+	clients := make([]client, accountCount)
 	for n := range clients {
 		clients[n] = client{backlog(options), anyRouter, usualTokens}
 		if n%every == 0 {
@@ -145,8 +145,8 @@
 	return clients
 }
 
-// flood has one account that floods the fleet beside one that sends one
-// request at a time; the others are quiet.
+// flood has one account that sends one request at a time and one that floods
+// the fleet; there are no others.
 func flood(options Options) []client {
 	const times = 4
 	return []client{
--- a/live/measure.go
+++ b/live/measure.go
@@ -19,53 +19,61 @@
 
 const (
 	sampleInterval = 50 * time.Millisecond
-	// waitingAfter is the wait from which a request counts as waiting: a grant
-	// takes a round trip in any case.
-	waitingAfter = 10 * time.Millisecond
+	// backloggedAfter is the wait after which a request counts as waiting. Even
+	// with free slots, a grant can take a round trip between routers.
+	backloggedAfter = 10 * time.Millisecond
 )
 
-// measure follows the requests of one run.
-type measure struct {
-	options Options
-	fleet   *local.Fleet
-	client  *http.Client
-	callers sync.WaitGroup
+// measurement collects the results of one run.
+type measurement struct {
+	options     Options
+	fleet       *local.Fleet
+	client      *http.Client
+	callerGroup sync.WaitGroup
 
-	mu        sync.Mutex
+	// mu guards the fields below except controlSent.
+	mu sync.Mutex
+	// measuring is true after the warm-up until the end of the run.
 	measuring bool
-	services  []float64
-	waiting   []map[*request]bool
-	largest   float64
-	gap       *fairness.Gap
-	later     *fairness.Gap
-	used      float64
-	samples   int
-	tokens    int
-	answers   map[string]int64
-	first     *hdrhistogram.Histogram
-	small     *hdrhistogram.Histogram
-	control   map[string]float64
+	// serviceByAccount is the service of each account in weighted tokens.
+	serviceByAccount []float64
+	// waiting holds each account's requests without a first token.
+	waiting            []map[*request]bool
+	largestRequest     float64
+	gap                *fairness.Gap
+	laterGap           *fairness.Gap
+	utilisationSum     float64
+	utilisationSamples int
+	tokens             int
+	answers            map[string]int64
+	firstByteTimes     *hdrhistogram.Histogram
+	smallAccountTimes  *hdrhistogram.Histogram
+	// controlSent is the control bytes sent during the measurement, by kind of
+	// receiver.
+	controlSent map[string]float64
 }
 
 // request is one request in flight.
 type request struct {
 	account int
-	began   time.Time
-	started bool
-	cost    float64
-	input   float64
+	sentAt  time.Time
+	// answering is true from the first token on.
+	answering bool
+	// cost is the cost so far in weighted tokens.
+	cost      float64
+	inputCost float64
 }
 
-func newMeasure(options Options, fleet *local.Fleet, accounts int) *measure {
-	m := &measure{
+func newMeasurement(options Options, fleet *local.Fleet, accounts int) *measurement {
+	m := &measurement{
 		options: options, fleet: fleet,
-		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
-		services: make([]float64, accounts),
-		waiting:  make([]map[*request]bool, accounts),
-		gap:      fairness.New(accounts),
-		later:    fairness.New(accounts),
-		answers:  make(map[string]int64),
-		first:    newHistogram(), small: newHistogram(),
+		client:           &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
+		serviceByAccount: make([]float64, accounts),
+		waiting:          make([]map[*request]bool, accounts),
+		gap:              fairness.New(accounts),
+		laterGap:         fairness.New(accounts),
+		answers:          make(map[string]int64),
+		firstByteTimes:   newHistogram(), smallAccountTimes: newHistogram(),
 	}
 	for n := range m.waiting {
 		m.waiting[n] = make(map[*request]bool)
@@ -73,60 +81,63 @@
 	return m
 }
 
-func (m *measure) begin(account, bytes int) *request {
-	r := &request{account: account, began: time.Now(), input: inputCost(bytes)}
+func (m *measurement) beginRequest(account, bytes int) *request {
+	r := &request{account: account, sentAt: time.Now(), inputCost: inputCost(bytes)}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.waiting[account][r] = true
 	return r
 }
 
-func (m *measure) end(r *request) {
+func (m *measurement) endRequest(r *request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.waiting[r.account], r)
 }
 
-func (m *measure) token(r *request) {
+// recordToken records a token of an answer. The first one ends the request's
+// wait and adds the cost of its input.
+func (m *measurement) recordToken(r *request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !r.started {
-		r.started = true
+	if !r.answering {
+		r.answering = true
 		delete(m.waiting[r.account], r)
-		m.charge(r, r.input)
-		m.firstByte(r)
+		m.addCost(r, r.inputCost)
+		m.recordFirstByte(r)
 	}
-	m.charge(r, 1)
+	m.addCost(r, 1)
 	if m.measuring {
 		m.tokens++
 	}
 }
 
-func (m *measure) charge(r *request, cost float64) {
+func (m *measurement) addCost(r *request, cost float64) {
 	r.cost += cost
-	m.services[r.account] += cost
-	m.largest = max(m.largest, r.cost)
+	m.serviceByAccount[r.account] += cost
+	m.largestRequest = max(m.largestRequest, r.cost)
 }
 
-func (m *measure) firstByte(r *request) {
+func (m *measurement) recordFirstByte(r *request) {
 	if !m.measuring {
 		return
 	}
-	took := max(time.Since(r.began).Microseconds(), 1)
-	_ = m.first.RecordValue(min(took, histogramMost))
+	took := max(time.Since(r.sentAt).Microseconds(), 1)
+	_ = m.firstByteTimes.RecordValue(min(took, histogramMax))
 	if r.account == smallAccount {
-		_ = m.small.RecordValue(min(took, histogramMost))
+		_ = m.smallAccountTimes.RecordValue(min(took, histogramMax))
 	}
 }
 
-// failed counts a request without a whole answer, unless the run is over.
-func (m *measure) failed(ctx context.Context, reason string) {
+// countFailure counts a request without a complete answer, unless the run has
+// ended.
+func (m *measurement) countFailure(ctx context.Context, reason string) {
 	if ctx.Err() == nil {
-		m.count(reason)
+		m.countAnswer(reason)
 	}
 }
 
-func (m *measure) count(reason string) {
+func (m *measurement) countAnswer(reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.measuring {
@@ -134,33 +145,33 @@
 	}
 }
 
-// watch samples the run until its duration has passed.
-func (m *measure) watch(ctx context.Context) error {
+// sampleRun waits for the warm-up and then samples the run for its duration.
+func (m *measurement) sampleRun(ctx context.Context) error {
 	if err := sleep(ctx, m.options.Warmup); err != nil {
 		return err
 	}
-	before, err := m.controlBytes(ctx)
+	before, err := m.readControlBytes(ctx)
 	if err != nil {
 		return err
 	}
 	m.setMeasuring(true)
-	begun := time.Now()
-	for time.Since(begun) < m.options.Duration {
+	start := time.Now()
+	for time.Since(start) < m.options.Duration {
 		if err := sleep(ctx, sampleInterval); err != nil {
 			return err
 		}
-		m.sample(time.Since(begun) > m.options.Duration/2)
+		m.sample(time.Since(start) > m.options.Duration/2)
 	}
 	m.setMeasuring(false)
-	after, err := m.controlBytes(ctx)
+	after, err := m.readControlBytes(ctx)
 	for side := range after {
 		after[side] -= before[side]
 	}
-	m.control = after
+	m.controlSent = after
 	return err
 }
 
-func (m *measure) setMeasuring(on bool) {
+func (m *measurement) setMeasuring(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.measuring = on
@@ -175,46 +186,49 @@
 	}
 }
 
-func (m *measure) sample(later bool) {
+// sample records the service, backlog and utilisation at this time. later is
+// true in the second half of the run.
+func (m *measurement) sample(later bool) {
 	running := m.fleet.Running()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	backlogged := m.backlogged(time.Now())
-	m.gap.Sample(m.services, backlogged)
+	m.gap.Sample(m.serviceByAccount, backlogged)
 	if later {
-		m.later.Sample(m.services, backlogged)
+		m.laterGap.Sample(m.serviceByAccount, backlogged)
 	}
 	if slices.Contains(backlogged, true) {
-		m.samples++
-		m.used += float64(running) / float64(m.options.Engines*m.options.Batch)
+		m.utilisationSamples++
+		m.utilisationSum += float64(running) / float64(m.options.Engines*m.options.Batch)
 	}
 }
 
-// backlogged returns for each account whether one of its requests waits for
-// longer than a grant takes.
-func (m *measure) backlogged(now time.Time) []bool {
+// backlogged returns for each account whether one of its requests has waited
+// for longer than backloggedAfter.
+func (m *measurement) backlogged(now time.Time) []bool {
 	backlogged := make([]bool, len(m.waiting))
 	for account, requests := range m.waiting {
 		for r := range requests {
-			backlogged[account] = backlogged[account] || now.Sub(r.began) > waitingAfter
+			backlogged[account] = backlogged[account] || now.Sub(r.sentAt) > backloggedAfter
 		}
 	}
 	return backlogged
 }
 
-// controlBytes returns what all routers sent so far, by other side.
-func (m *measure) controlBytes(ctx context.Context) (map[string]float64, error) {
+// readControlBytes returns the control bytes that all routers have sent, by kind
+// of receiver.
+func (m *measurement) readControlBytes(ctx context.Context) (map[string]float64, error) {
 	sums := make(map[string]float64)
 	for _, r := range m.fleet.Routers {
-		if err := m.addMetrics(ctx, sums, r.Admin.String()); err != nil {
+		if err := m.addControlBytes(ctx, sums, r.Admin.String()); err != nil {
 			return nil, eris.Wrap(err, "reading the metrics")
 		}
 	}
 	return sums, nil
 }
 
-// addMetrics adds what one router sent so far.
-func (m *measure) addMetrics(ctx context.Context, sums map[string]float64, address string) error {
+// addControlBytes adds the control bytes that one router has sent.
+func (m *measurement) addControlBytes(ctx context.Context, sums map[string]float64, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
 		return err
@@ -226,15 +240,16 @@
 	defer answer.Body.Close()
 	lines := bufio.NewScanner(answer.Body)
 	for lines.Scan() {
-		addControl(sums, lines.Text())
+		addControlLine(sums, lines.Text())
 	}
 	return lines.Err()
 }
 
 const controlPrefix = `nutmeglock_control_bytes_total{direction="sent",side="`
 
-// addControl adds one line of metrics, if it is a count of control bytes sent.
-func addControl(sums map[string]float64, line string) {
+// addControlLine adds the value of a line of metrics, if it is a count of
+// control bytes sent.
+func addControlLine(sums map[string]float64, line string) {
 	rest, found := strings.CutPrefix(line, controlPrefix)
 	if !found {
 		return
@@ -245,27 +260,28 @@
 	}
 }
 
-const microseconds = 1000
+const microsecondsPerMillisecond = 1000
 
-func milliseconds(h *hdrhistogram.Histogram, percentile float64) float64 {
-	return float64(h.ValueAtQuantile(percentile)) / microseconds
+// percentile returns a percentile of a histogram in milliseconds.
+func percentile(h *hdrhistogram.Histogram, percent float64) float64 {
+	return float64(h.ValueAtQuantile(percent)) / microsecondsPerMillisecond
 }
 
-func (m *measure) result(load string, policy Policy) Result {
+func (m *measurement) result(load string, policy Policy) Result {
 	seconds := m.options.Duration.Seconds()
 	r := Result{
-		Load: load, Policy: policy, Gap: m.gap.Widest(), LargestRequest: m.largest,
-		GapMultiple:      m.gap.Widest() / max(m.largest, 1),
-		LaterGapMultiple: m.later.Widest() / max(m.largest, 1),
-		Utilisation:      m.used / float64(max(m.samples, 1)),
-		FirstByteP50:     milliseconds(m.first, 50), FirstByteP99: milliseconds(m.first, 99),
-		SmallP99:        milliseconds(m.small, 99),
+		Load: load, Policy: policy, Gap: m.gap.Widest(), LargestRequest: m.largestRequest,
+		GapMultiple:      m.gap.Widest() / max(m.largestRequest, 1),
+		LaterGapMultiple: m.laterGap.Widest() / max(m.largestRequest, 1),
+		Utilisation:      m.utilisationSum / float64(max(m.utilisationSamples, 1)),
+		FirstByteP50:     percentile(m.firstByteTimes, 50), FirstByteP99: percentile(m.firstByteTimes, 99),
+		SmallAccountP99: percentile(m.smallAccountTimes, 99),
 		TokensPerSecond: float64(m.tokens) / seconds,
 		Answers:         m.answers, Control: make(map[string]float64),
 	}
-	for side, bytes := range m.control {
+	for side, bytes := range m.controlSent {
 		r.Control[side] = bytes / seconds / float64(len(m.fleet.Routers))
 	}
-	r.ControlPerRequest = m.control["peer"] / float64(max(m.answers["answered"], 1))
+	r.PeerBytesPerRequest = m.controlSent["peer"] / float64(max(m.answers["answered"], 1))
 	return r
 }
--- a/live/page.go
+++ b/live/page.go
@@ -8,23 +8,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as JSON.
 func (r Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return eris.Wrap(encoder.Encode(r), "writing the report")
 }
 
-// WritePage writes the report as a page of Markdown.
+// WritePage writes the report as a Markdown page.
 func (r Report) WritePage(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, pageHead, r.Routers, r.Engines, r.Batch, r.Seconds, 1/r.TimeScale); err != nil {
 		return eris.Wrap(err, "writing the page")
 	}
 	for _, result := range r.Results {
 		if _, err := fmt.Fprintf(w, pageRow, result.Load, result.Policy, result.Gap, result.GapMultiple, result.LaterGapMultiple,
-			result.Utilisation, result.FirstByteP50, result.FirstByteP99, result.SmallP99, result.TokensPerSecond,
+			result.Utilisation, result.FirstByteP50, result.FirstByteP99, result.SmallAccountP99, result.TokensPerSecond,
 			result.Control["peer"], result.Control["upstream"], result.Control["platform"],
-			result.ControlPerRequest, result.answers()); err != nil {
+			result.PeerBytesPerRequest, result.answers()); err != nil {
 			return eris.Wrap(err, "writing the page")
 		}
 	}
