--- a/local/bench_test.go
+++ b/local/bench_test.go
@@ -20,17 +20,17 @@
 	"nutmeglock.example/nutmeglock/standin/engine"
 )
 
-// BenchmarkAddedCost compares a call through a router with the same call made
-// directly to the same stand-in. It reports the ratio of their times, and for
-// streams the ratio of the times of one token.
+// BenchmarkAddedCost compares calls through a router with the same calls made
+// directly to the same stand-in. It reports the ratio of their times, and the
+// time added per request and per token.
 func BenchmarkAddedCost(b *testing.B) {
 	ctx, cancel := context.WithTimeout(b.Context(), time.Minute)
 	defer cancel()
-	started, err := local.Start(ctx, local.Options{Engine: engine.Options{TimeScale: 1e-4}})
+	running, err := local.Start(ctx, local.Options{Engine: engine.Options{TimeScale: 1e-4}})
 	require.NoError(b, err)
-	b.Cleanup(started.Close)
+	b.Cleanup(running.Close)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	direct, routed := started.Engines[0], started.Routers[0].Callers.String()
+	direct, routed := running.Engines[0], running.Routers[0].Callers.String()
 
 	for _, load := range []struct {
 		name   string
@@ -40,8 +40,8 @@
 		b.Run(load.name, func(b *testing.B) {
 			var tookDirect, tookRouted time.Duration
 			for n := 0; b.Loop(); n++ {
-				tookDirect += timed(b, client, direct, n, load.tokens, load.stream)
-				tookRouted += timed(b, client, routed, n, load.tokens, load.stream)
+				tookDirect += timeCall(b, client, direct, n, load.tokens, load.stream)
+				tookRouted += timeCall(b, client, routed, n, load.tokens, load.stream)
 			}
 			b.ReportMetric(float64(tookRouted)/float64(tookDirect), "routed/direct")
 			added := (tookRouted - tookDirect) / time.Duration(b.N)
@@ -51,7 +51,8 @@
 	}
 }
 
-func timed(b *testing.B, client *http.Client, address string, n, tokens int, stream bool) time.Duration {
+// timeCall makes a chat request and returns the time until its answer is read.
+func timeCall(b *testing.B, client *http.Client, address string, n, tokens int, stream bool) time.Duration {
 	b.Helper()
 	body := fmt.Sprintf(`{"model":"findings","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"duct %d"}]}`, stream, tokens, n)
 	start := time.Now()
@@ -67,8 +68,8 @@
 	return time.Since(start)
 }
 
-// BenchmarkPublish measures the time from a publish at one router until the
-// note is in force at the last of six, on loopback.
+// BenchmarkPublish measures the time from publishing a note at one router until
+// it is in force at all six, on loopback.
 func BenchmarkPublish(b *testing.B) {
 	const routers = 6
 	ctx, cancel := context.WithTimeout(b.Context(), time.Minute)
@@ -87,7 +88,7 @@
 		})
 		require.NoError(b, err)
 		for router := range routers {
-			untilVersion(ctx, b, running.Operator(router), version)
+			waitForVersion(ctx, b, running.Operator(router), version)
 		}
 		require.NoError(b, took.RecordValue(time.Since(start).Microseconds()))
 	}
@@ -95,7 +96,8 @@
 	b.ReportMetric(float64(took.ValueAtQuantile(99)), "p99-us")
 }
 
-func untilVersion(ctx context.Context, b *testing.B, api *operator.Client, version fleet.Version) {
+// waitForVersion returns once a router uses at least a release note version.
+func waitForVersion(ctx context.Context, b *testing.B, api *operator.Client, version fleet.Version) {
 	b.Helper()
 	for {
 		list, err := api.Routers(ctx)
--- a/local/bytes_test.go
+++ b/local/bytes_test.go
@@ -16,11 +16,11 @@
 	"nutmeglock.example/nutmeglock/standin/engine"
 )
 
-// A caller on a slow line takes an answer more slowly than its engine gives it,
-// so that the router's and the machine's buffers fill and writes block. What it
-// gets has to be what the engine gave, to the byte: a client that splices
-// events by itself would notice nothing of one that is missing.
-func TestAnswerIsThatOfADirectCall(t *testing.T) {
+// A caller on a slow connection reads an answer more slowly than the engine
+// sends it, so that the buffers of the router and the machine fill and writes
+// block. The answer has to equal the engine's byte for byte, because a client
+// that joins the events by itself would not notice a missing one.
+func TestAnswerEqualsThatOfADirectCall(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 40*time.Second)
 	defer cancel()
@@ -35,8 +35,8 @@
 		{fewTokens, true, http.DefaultClient},
 		{manyTokens, true, slowClient(t)},
 	} {
-		want := send(t, completion(ctx, t, direct, c.tokens, c.stream))
-		response, err := c.client.Do(completion(ctx, t, routed, c.tokens, c.stream))
+		want := send(t, chatRequest(ctx, t, direct, c.tokens, c.stream))
+		response, err := c.client.Do(chatRequest(ctx, t, routed, c.tokens, c.stream))
 		require.NoError(t, err)
 		got, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
@@ -47,23 +47,24 @@
 	}
 }
 
-// slowConn reads nothing for a while, with a small buffer behind it.
+// slowConn delays its first read. It is used with a small receive buffer, so
+// that the sender blocks meanwhile.
 type slowConn struct {
 	net.Conn
 	stalled sync.Once
 }
 
 const (
-	stall      = 500 * time.Millisecond
-	slowBuffer = 256 << 10
-	fewTokens  = 800
-	// manyTokens make an answer of more than what the buffers between a router
-	// and its caller hold, some 5 MB.
+	readStall      = 500 * time.Millisecond
+	slowReadBuffer = 256 << 10
+	fewTokens      = 800
+	// manyTokens is the length of an answer that exceeds the buffers between a
+	// router and its caller, about 5 MB.
 	manyTokens = 60_000
 )
 
 func (c *slowConn) Read(p []byte) (int, error) {
-	c.stalled.Do(func() { time.Sleep(stall) })
+	c.stalled.Do(func() { time.Sleep(readStall) })
 	return c.Conn.Read(p)
 }
 
@@ -74,7 +75,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &slowConn{Conn: conn}, conn.(*net.TCPConn).SetReadBuffer(slowBuffer)
+		return &slowConn{Conn: conn}, conn.(*net.TCPConn).SetReadBuffer(slowReadBuffer)
 	}}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
--- a/local/local.go
+++ b/local/local.go
@@ -1,6 +1,6 @@
-// Package local runs a whole fleet on loopback in one process: the platform,
-// engines, a plain service and routers, with a release note that puts them in
-// force. It serves a first look, and measurements of real routers.
+// Package local runs a whole fleet on loopback in one process: a platform,
+// engines, a plain service, routers, and a release note that configures them.
+// It is meant for trying out the software and for measuring real routers.
 package local
 
 import (
@@ -35,59 +35,63 @@
 	PlainService fleet.ServiceID = "orders"
 )
 
-// Options size a Fleet. Zeros mean one of each, and one account.
+// Options configure a Fleet. Zero counts mean one.
 type Options struct {
 	Routers      int
 	Engines      int
 	Applications int
 	Accounts     int
 	Engine       engine.Options
-	// SlowEngines is how many of the engines take four times as long.
+	// SlowEngines is the number of engines that take four times as long.
 	SlowEngines int
 	Application application.Options
-	// EngineSlots and ApplicationSlots bound what one upstream is sent.
+	// EngineSlots and ApplicationSlots limit the requests in flight at one
+	// upstream; zero means 32.
 	EngineSlots      int
 	ApplicationSlots int
-	// Sharing names the way that capacity is shared, as in the settings.
+	// Sharing names the sharing policy, as in a router's settings.
 	Sharing string
-	// StopNotice is that of the routers' settings; zero means 1 ms, since no
-	// balancer has to notice.
+	// StopNotice is the stop notice in the routers' settings. Zero means 1 ms,
+	// since there is no load balancer that has to notice the stop.
 	StopNotice time.Duration
 	Log        *slog.Logger
-	// Settings may change those of the nth router, from 0, before it starts.
+	// Settings, if set, may change the settings of router n, from 0, before it
+	// starts.
 	Settings func(n int, s *schema.RouterSettings)
-	// Extensions are added to each router's own.
+	// Extensions are added to each router.
 	Extensions []daemon.Extension
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
-	// Platform is the memory behind the platform's address.
+	// Platform is the in-memory platform that the routers use.
 	Platform *memory.Platform
-	Routers  []daemon.Addresses
-	// Engines and Applications are the addresses of the upstreams.
+	// Routers holds the addresses of the routers.
+	Routers []daemon.Addresses
+	// Engines and Applications hold the addresses of the upstreams.
 	Engines      []string
 	Applications []string
 
-	options      Options
-	operator     string
+	options Options
+	// operatorKey is also the fleet key.
+	operatorKey  string
 	engines      []*engine.Engine
 	applications []*application.Application
 	routers      []*router
-	standIns     sync.WaitGroup
+	standInGroup sync.WaitGroup
 	servers      []*http.Server
 	stop         context.CancelFunc
 }
 
-// AccountKey returns the key of the nth account, from 0.
+// AccountKey returns the key of account n, from 0.
 func AccountKey(n int) string { return fmt.Sprintf("account-%d-key", n+1) }
 
-// Start returns a fleet whose routers are ready. It fails when it can't be
-// put in force before ctx ends. Close ends it.
+// Start starts a fleet and waits until its routers are ready. It fails if ctx
+// ends before. The fleet runs until Close.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	options = options.withDefaults()
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
-	f := &Fleet{options: options, operator: rand.Text(), stop: stop, Platform: memory.New(timer.System{})}
+	f := &Fleet{options: options, operatorKey: rand.Text(), stop: stop, Platform: memory.New(timer.System{})}
 	if err := f.start(ctx, running); err != nil {
 		f.Close()
 		return nil, err
@@ -111,11 +115,12 @@
 	return o
 }
 
-// defaultSlots is the batch of a default engine stand-in.
+// defaultSlots is the default batch size of an engine stand-in.
 const defaultSlots = 32
 
+// start starts everything and waits for the routers. They run until running ends.
 func (f *Fleet) start(ctx, running context.Context) error {
-	url, err := f.serve(ctx, standin.New(f.Platform))
+	url, err := f.serveHandler(ctx, standin.New(f.Platform))
 	if err != nil {
 		return err
 	}
@@ -127,18 +132,18 @@
 			return err
 		}
 	}
-	f.listVMs()
-	if _, err := f.Publish(ctx, 0, f.note()); err != nil {
+	f.setVMs()
+	if _, err := f.Publish(ctx, 0, f.releaseNote()); err != nil {
 		return err
 	}
-	return f.untilReady(ctx)
+	return f.waitReady(ctx)
 }
 
-// slowdown is how many times as long a slow engine takes for a token.
-const slowdown = 4
+// slowEngineFactor is the ratio of a slow engine's times to normal ones.
+const slowEngineFactor = 4
 
-// engine returns the options of an engine, numbered from 0.
-func (o Options) engine(n int) engine.Options {
+// engineOptions returns the options of engine n, from 0.
+func (o Options) engineOptions(n int) engine.Options {
 	options := o.Engine
 	if n >= o.SlowEngines {
 		return options
@@ -146,14 +151,14 @@
 	if options.TimeScale == 0 {
 		options.TimeScale = 1
 	}
-	options.TimeScale *= slowdown
+	options.TimeScale *= slowEngineFactor
 	return options
 }
 
 func (f *Fleet) startUpstreams(ctx context.Context) error {
 	for n := range f.options.Engines {
-		e := engine.New(f.options.engine(n))
-		address, err := f.serve(ctx, e)
+		e := engine.New(f.options.engineOptions(n))
+		address, err := f.serveHandler(ctx, e)
 		if err != nil {
 			return err
 		}
@@ -162,7 +167,7 @@
 	}
 	for range f.options.Applications {
 		a := application.New(f.options.Application)
-		address, err := f.serve(ctx, a)
+		address, err := f.serveHandler(ctx, a)
 		if err != nil {
 			return err
 		}
@@ -172,32 +177,34 @@
 	return nil
 }
 
-// serve returns the address at which it serves handler.
-func (f *Fleet) serve(ctx context.Context, handler http.Handler) (string, error) {
-	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", anyPort)
+// serveHandler serves handler on a free port and returns the address.
+func (f *Fleet) serveHandler(ctx context.Context, handler http.Handler) (string, error) {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", anyLoopbackPort)
 	if err != nil {
 		return "", eris.Wrap(err, "listening on loopback")
 	}
 	s := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	f.servers = append(f.servers, s)
-	f.standIns.Go(func() { _ = s.Serve(listener) })
+	f.standInGroup.Go(func() { _ = s.Serve(listener) })
 	return listener.Addr().String(), nil
 }
 
 const (
-	anyPort      = "127.0.0.1:0"
-	dataCenter   = "local"
-	operatorName = "local-operator"
+	anyLoopbackPort = "127.0.0.1:0"
+	dataCenter      = "local"
+	operatorName    = "local-operator"
 )
 
-func (f *Fleet) log() *slog.Logger {
+// logger returns the log of the options, or one that discards everything.
+func (f *Fleet) logger() *slog.Logger {
 	if f.options.Log == nil {
 		return slog.New(slog.DiscardHandler)
 	}
 	return f.options.Log
 }
 
-func (f *Fleet) listVMs() {
+// setVMs lists the routers as VMs at the platform.
+func (f *Fleet) setVMs() {
 	vms := make([]store.VM, 0, len(f.Routers))
 	for n, r := range f.Routers {
 		vms = append(vms, store.VM{
@@ -207,12 +214,12 @@
 	f.Platform.SetVMs(vms...)
 }
 
-// Publish publishes a release note at a router, numbered from 0, and returns
-// its version.
+// Publish publishes a release note through a router, from 0, and returns its
+// version.
 func (f *Fleet) Publish(ctx context.Context, router int, n *schema.ReleaseNote) (fleet.Version, error) {
 	text, err := protojson.Marshal(n)
 	if err != nil {
-		return 0, eris.Wrap(err, "writing a release note")
+		return 0, eris.Wrap(err, "encoding a release note")
 	}
 	answer, err := f.Operator(router).Publish(ctx, text, note.NewPublishID())
 	if err != nil {
@@ -221,12 +228,13 @@
 	return fleet.Version(answer.GetVersion()), nil
 }
 
-// Operator returns a client of a router's administration API.
+// Operator returns a client for the administration API of a router, from 0.
 func (f *Fleet) Operator(router int) *operator.Client {
-	return operator.NewClient(f.operator, "http://"+f.Routers[router].Admin.String())
+	return operator.NewClient(f.operatorKey, "http://"+f.Routers[router].Admin.String())
 }
 
-func (f *Fleet) note() *schema.ReleaseNote {
+// releaseNote returns the note with the services, accounts and upstreams.
+func (f *Fleet) releaseNote() *schema.ReleaseNote {
 	added := &schema.Entries{Services: []*schema.Service{
 		{Id: string(ModelService), Kind: "model"},
 		{Id: string(PlainService), Kind: "plain"},
@@ -251,15 +259,15 @@
 	return &schema.ReleaseNote{Summary: "the services of a first look", Added: added}
 }
 
-const readyPoll = 10 * time.Millisecond
+const readyPollInterval = 10 * time.Millisecond
 
-// untilReady waits until every router holds the release note and is connected
-// to the others.
-func (f *Fleet) untilReady(ctx context.Context) error {
-	ticker := time.NewTicker(readyPoll)
+// waitReady waits until every router has the release note and is connected to
+// the others.
+func (f *Fleet) waitReady(ctx context.Context) error {
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
-		if f.ready(ctx) {
+		if f.allReady(ctx) {
 			return nil
 		}
 		select {
@@ -270,9 +278,9 @@
 	}
 }
 
-// ready reports whether all routers count each other among the dispatchers.
-// Before, two may both hold the slots of an upstream, and it is sent too much.
-func (f *Fleet) ready(ctx context.Context) bool {
+// allReady reports whether every router lists all routers as ready dispatchers.
+// Until then, two routers may both dispatch an upstream and overload it.
+func (f *Fleet) allReady(ctx context.Context) bool {
 	for n := range f.Routers {
 		list, err := f.Operator(n).Routers(ctx)
 		if err != nil || len(list.GetRouters()) != len(f.Routers) {
@@ -287,7 +295,7 @@
 	return true
 }
 
-// Running returns how many requests are in the batches of the engines.
+// Running returns the number of requests in the batches of all engines.
 func (f *Fleet) Running() int {
 	running := 0
 	for _, e := range f.engines {
@@ -296,13 +304,13 @@
 	return running
 }
 
-// Engine returns the nth engine, from 0.
+// Engine returns engine n, from 0.
 func (f *Fleet) Engine(n int) *engine.Engine { return f.engines[n] }
 
-// Application returns the nth plain service, from 0.
+// Application returns the nth upstream of the plain service, from 0.
 func (f *Fleet) Application(n int) *application.Application { return f.applications[n] }
 
-// Close stops the routers gracefully, then the rest.
+// Close stops the routers gracefully, and then the platform and the upstreams.
 func (f *Fleet) Close() {
 	f.stop()
 	for n := range f.routers {
@@ -311,5 +319,5 @@
 	for _, s := range f.servers {
 		_ = s.Close()
 	}
-	f.standIns.Wait()
+	f.standInGroup.Wait()
 }
--- a/local/local_test.go
+++ b/local/local_test.go
@@ -39,24 +39,26 @@
 // chat returns the answer to a chat completion of eight tokens.
 func chat(ctx context.Context, t *testing.T, address string, stream bool) string {
 	t.Helper()
-	answer := send(t, completion(ctx, t, address, 8, stream))
+	answer := send(t, chatRequest(ctx, t, address, 8, stream))
 	require.Equal(t, http.StatusOK, answer.StatusCode, answer.text)
 	return answer.text
 }
 
-func completion(ctx context.Context, t *testing.T, address string, tokens int, stream bool) *http.Request {
+// chatRequest returns a request for a chat completion.
+func chatRequest(ctx context.Context, t *testing.T, address string, tokens int, stream bool) *http.Request {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"findings","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":"duct 7"}]}`, stream, tokens)
-	return request(ctx, t, address+"/v1/chat/completions", body)
+	return newRequest(ctx, t, address+"/v1/chat/completions", body)
 }
 
-// order returns a call that may run at most once.
-func order(ctx context.Context, t *testing.T, address string) *http.Request {
+// orderRequest returns a request for a plain call that may run at most once.
+func orderRequest(ctx context.Context, t *testing.T, address string) *http.Request {
 	t.Helper()
-	return request(ctx, t, address+"/v1/services/orders/dig", "manhole 12")
+	return newRequest(ctx, t, address+"/v1/services/orders/dig", "manhole 12")
 }
 
-func request(ctx context.Context, t *testing.T, url, body string) *http.Request {
+// newRequest returns a POST request of the first account.
+func newRequest(ctx context.Context, t *testing.T, url, body string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -64,21 +66,22 @@
 	return req
 }
 
+// answer is a response with its whole body.
 type answer struct {
 	*http.Response
 	text string
 }
 
-// send returns the whole answer to a request.
+// send sends a request and returns its answer.
 func send(t *testing.T, req *http.Request) answer {
 	t.Helper()
-	a, err := exchange(req)
+	a, err := sendRequest(req)
 	require.NoError(t, err)
 	return a
 }
 
-// exchange is send for a goroutine of its own.
-func exchange(req *http.Request) (answer, error) {
+// sendRequest is like send, for goroutines other than the test's.
+func sendRequest(req *http.Request) (answer, error) {
 	response, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return answer{}, err
--- a/local/once_test.go
+++ b/local/once_test.go
@@ -20,12 +20,12 @@
 	"nutmeglock.example/nutmeglock/store/memory"
 )
 
-// A caller sends a work order, hears nothing or that it failed, and repeats it
-// through whichever router the balancer gives it, at times through two at once.
-// Meanwhile the platform's table is down, loses replies of writes that took
-// effect, or lets them take effect late, and the application breaks off before
-// or after a run. A second run is a second team at the manhole; a "not-run"
-// that is not true is a team that nobody ordered.
+// A caller sends a work order, gets no answer or a failure, and repeats it
+// through random routers, sometimes through two at once. Meanwhile the
+// platform's table is down, loses the replies to writes that took effect, or
+// applies writes late, and the application's connections break before or after a
+// run. A second run would send a second team to the manhole; a wrong "not-run"
+// would send a team that nobody expects.
 func TestOrderRepeatedThroughAllRoutersRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -40,22 +40,22 @@
 
 const (
 	repeatedOrders = 25
-	repeatTimes    = 6
-	// repeatApplications are so many that one which failed, and is left alone
-	// for a while, does not hold up the test.
+	maxRounds      = 6
+	// repeatApplications is large enough that the test is not delayed when a
+	// failed application gets no requests for a while.
 	repeatApplications = 8
 )
 
 func repeatOrders(ctx context.Context, t *testing.T, random *rand.Rand) {
 	t.Helper()
 	fleet := start(ctx, t, local.Options{Routers: 3, Applications: repeatApplications})
-	told := make([][]told, repeatedOrders)
-	for n := range told {
+	answersByOrder := make([][]callerAnswer, repeatedOrders)
+	for n := range answersByOrder {
 		fleet.Platform.Faults.Set(platformFaults(random)...)
 		for n := range repeatApplications {
 			fleet.Application(n).Faults.Set(applicationFaults(random)...)
 		}
-		told[n] = repeatOrder(ctx, t, random, fleet, n)
+		answersByOrder[n] = repeatOrder(ctx, t, random, fleet, n)
 	}
 	fleet.Platform.Faults.Set()
 	counts, runs := map[string]int{}, map[string]int{}
@@ -67,14 +67,14 @@
 			runs[key] += count
 		}
 	}
-	for n, answers := range told {
-		checkTold(t, answers, runs[orderKey(n)])
+	for n, answers := range answersByOrder {
+		checkAnswers(t, answers, runs[orderKey(n)])
 		for _, answer := range answers {
 			counts[answer.kind()]++
 		}
 	}
 	t.Log(counts)
-	// The faults must not be so many that nothing is tried.
+	// Each kind of answer must occur, or the faults are too frequent or too rare.
 	require.Positive(t, counts["answered"])
 	require.Positive(t, counts[string(refusal.NotRun)])
 	require.Positive(t, counts[string(refusal.Unknown)])
@@ -83,16 +83,16 @@
 func platformFaults(random *rand.Rand) []fault.Fault {
 	kinds := []fault.Kind{"", "", fault.Down, fault.RequestLost, fault.ReplyLost, fault.ReplyLost, fault.Late, fault.Late, fault.Slow}
 	operations := []string{memory.OperationCommit, memory.OperationCommit, memory.OperationRead, memory.OperationPut, memory.OperationGet}
-	return faults(random, kinds, operations)
+	return randomFaults(random, kinds, operations)
 }
 
 func applicationFaults(random *rand.Rand) []fault.Fault {
 	kinds := []fault.Kind{"", "", fault.RequestLost, fault.ReplyLost, fault.RefuseFull, fault.RefuseFull, fault.Slow}
-	return faults(random, kinds, []string{application.OperationCall})
+	return randomFaults(random, kinds, []string{application.OperationCall})
 }
 
-// faults returns up to three faults, each for one or two operations.
-func faults(random *rand.Rand, kinds []fault.Kind, operations []string) []fault.Fault {
+// randomFaults returns up to three faults, each affecting one or two operations.
+func randomFaults(random *rand.Rand, kinds []fault.Kind, operations []string) []fault.Fault {
 	var list []fault.Fault
 	for range random.IntN(4) {
 		kind := kinds[random.IntN(len(kinds))]
@@ -109,43 +109,45 @@
 
 func orderKey(n int) string { return fmt.Sprint("order-", n) }
 
-// told is what a caller was told of one request.
-type told struct {
+// callerAnswer is an answer with the outcome and reason of a refusal.
+type callerAnswer struct {
 	answer
 	outcome refusal.Outcome
 	reason  refusal.Reason
 }
 
-func (a told) kind() string {
+func (a callerAnswer) kind() string {
 	if a.StatusCode == http.StatusOK {
 		return "answered"
 	}
 	return string(a.outcome)
 }
 
-// final reports whether no repeat can bring the caller anything else.
-func (a told) final() bool { return a.StatusCode == http.StatusOK || a.reason == refusal.OutcomeLost }
+// final reports whether repeating the order can't change its outcome.
+func (a callerAnswer) final() bool {
+	return a.StatusCode == http.StatusOK || a.reason == refusal.OutcomeLost
+}
 
-// repeatOrder sends one order through routers drawn by lot until it has a
-// final answer, and once more.
-func repeatOrder(ctx context.Context, t *testing.T, random *rand.Rand, fleet *local.Fleet, n int) []told {
+// repeatOrder sends an order through random routers until it has a final
+// answer, and then once more.
+func repeatOrder(ctx context.Context, t *testing.T, random *rand.Rand, fleet *local.Fleet, n int) []callerAnswer {
 	t.Helper()
-	var all []told
-	for range repeatTimes {
+	var all []callerAnswer
+	for range maxRounds {
 		answers := make([]answer, 1+random.IntN(2))
 		failures := make([]error, len(answers))
 		var group sync.WaitGroup
 		for i := range answers {
-			req := order(ctx, t, fleet.Routers[random.IntN(len(fleet.Routers))].Callers.String())
+			req := orderRequest(ctx, t, fleet.Routers[random.IntN(len(fleet.Routers))].Callers.String())
 			req.Header.Set("Idempotency-Key", orderKey(n))
 			req.Header.Set("nutmeglock-timeout-ms", strconv.Itoa(3000))
-			group.Go(func() { answers[i], failures[i] = exchange(req) })
+			group.Go(func() { answers[i], failures[i] = sendRequest(req) })
 		}
 		group.Wait()
 		final := len(all) > 0 && all[len(all)-1].final()
 		for i, a := range answers {
 			require.NoError(t, failures[i])
-			all = append(all, read(t, a))
+			all = append(all, parseAnswer(t, a))
 		}
 		if final {
 			break
@@ -154,10 +156,10 @@
 	return all
 }
 
-func read(t *testing.T, a answer) told {
+func parseAnswer(t *testing.T, a answer) callerAnswer {
 	t.Helper()
 	if a.StatusCode == http.StatusOK {
-		return told{answer: a}
+		return callerAnswer{answer: a}
 	}
 	var body struct {
 		Error struct {
@@ -166,11 +168,11 @@
 		}
 	}
 	require.NoError(t, json.Unmarshal([]byte(a.text), &body), a.text)
-	return told{answer: a, outcome: body.Error.Outcome, reason: body.Error.Reason}
+	return callerAnswer{answer: a, outcome: body.Error.Outcome, reason: body.Error.Reason}
 }
 
-// checkTold holds what was told of one order against its runs.
-func checkTold(t *testing.T, answers []told, runs int) {
+// checkAnswers checks the answers to one order against its number of runs.
+func checkAnswers(t *testing.T, answers []callerAnswer, runs int) {
 	t.Helper()
 	require.LessOrEqual(t, runs, 1)
 	text, onlyNotRun := "", true
@@ -193,6 +195,6 @@
 		}
 	}
 	if onlyNotRun {
-		require.Zero(t, runs, "each caller was told that its order was not run")
+		require.Zero(t, runs, "all answers say that the order was not run")
 	}
 }
--- a/local/router.go
+++ b/local/router.go
@@ -9,10 +9,10 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// router is one running router.
+// router is a running router.
 type router struct {
 	stop context.CancelFunc
-	// err is what its Run returned, once ended is closed.
+	// err is the error that Run returned; it is valid once ended is closed.
 	err   error
 	ended chan struct{}
 }
@@ -20,12 +20,12 @@
 func routerID(n int) string { return fmt.Sprintf("router-%d", n+1) }
 
 func (f *Fleet) startRouter(running context.Context, n int, platformAddress string) error {
-	settings := f.settings(n, platformAddress)
+	settings := f.routerSettings(n, platformAddress)
 	if f.options.Settings != nil {
 		f.options.Settings(n, settings)
 	}
 	built, err := nutmeglock.New(running, settings,
-		nutmeglock.WithLog(f.log()), nutmeglock.WithExtensions(f.options.Extensions...))
+		nutmeglock.WithLog(f.logger()), nutmeglock.WithExtensions(f.options.Extensions...))
 	if err != nil {
 		return err
 	}
@@ -37,28 +37,28 @@
 		defer close(r.ended)
 		r.err = built.Run(running)
 		if r.err != nil {
-			f.log().Error("a router ended", "router", routerID(n), "error", r.err)
+			f.logger().Error("router failed", "router", routerID(n), "error", r.err)
 		}
 	}()
 	return nil
 }
 
-func (f *Fleet) settings(n int, platformAddress string) *schema.RouterSettings {
+func (f *Fleet) routerSettings(n int, platformAddress string) *schema.RouterSettings {
 	return &schema.RouterSettings{
 		Id: routerID(n), DataCenter: dataCenter,
-		CallerAddress: anyPort, PeerAddress: anyPort, AdminAddress: anyPort,
+		CallerAddress: anyLoopbackPort, PeerAddress: anyLoopbackPort, AdminAddress: anyLoopbackPort,
 		Platform:     &schema.PlatformSettings{Url: "http://" + platformAddress},
-		FleetKey:     f.operator,
-		OperatorKeys: []*schema.OperatorKey{{Name: operatorName, KeySha256: note.HashKey(f.operator)}},
+		FleetKey:     f.operatorKey,
+		OperatorKeys: []*schema.OperatorKey{{Name: operatorName, KeySha256: note.HashKey(f.operatorKey)}},
 		Sharing:      f.options.Sharing,
 		StopNoticeMs: uint32(f.options.StopNotice.Milliseconds()),
 	}
 }
 
-// Stop begins the graceful shutdown of the nth router, from 0.
+// Stop begins the graceful shutdown of router n, from 0.
 func (f *Fleet) Stop(n int) { f.routers[n].stop() }
 
-// Wait returns once the nth router has ended, with what its Run returned.
+// Wait waits until router n has ended and returns the error of its Run.
 func (f *Fleet) Wait(n int) error {
 	<-f.routers[n].ended
 	return f.routers[n].err
--- a/local/stop_test.go
+++ b/local/stop_test.go
@@ -13,9 +13,9 @@
 	"nutmeglock.example/nutmeglock/local"
 )
 
-// An operator stops a router in the middle of an answer, as at each rolling
-// restart. The caller has its answer whole; whoever the balancer still sends
-// there learns that its request was not run and when to come back.
+// A router is stopped while it streams an answer, as in every rolling restart.
+// The caller gets the complete answer. Callers that the load balancer still
+// sends there are told that their request was not run, and when to retry.
 func TestGracefulStopEndsNoStreamAndRefusesNewRequests(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -23,26 +23,26 @@
 	fleet := start(ctx, t, local.Options{Routers: 2})
 	engine := newHeldEngine(ctx, t, fleet, 4)
 	address := fleet.Routers[0].Callers.String()
-	stream, text := begin(ctx, t, address)
+	stream, text := beginStream(ctx, t, address)
 
 	fleet.Stop(0)
-	refused := refusedAtStop(ctx, t, address)
+	refused := firstRefusal(ctx, t, address)
 	require.Equal(t, http.StatusServiceUnavailable, refused.StatusCode)
 	require.Contains(t, refused.text, `"stopping"`)
 	require.Contains(t, refused.text, `"not-run"`)
 	require.Equal(t, "1", refused.Header.Get("Retry-After"))
-	require.Equal(t, http.StatusOK, send(t, order(ctx, t, fleet.Routers[1].Callers.String())).StatusCode)
+	require.Equal(t, http.StatusOK, send(t, orderRequest(ctx, t, fleet.Routers[1].Callers.String())).StatusCode)
 
-	close(engine.goOn)
+	close(engine.resume)
 	rest, err := io.ReadAll(stream)
 	require.NoError(t, err)
 	require.Equal(t, heldStream, text+string(rest))
 	require.NoError(t, fleet.Wait(0))
 }
 
-// A router is stopped while a request waits there for a slot. It was taken in,
-// so it has its turn and its whole answer, although the router has given its
-// own upstreams over to the others.
+// A router is stopped while a request waits there for a slot. The request was
+// admitted, so it is still served completely, although the router has handed
+// its own upstreams over to the others.
 func TestGracefulStopServesWhatWaits(t *testing.T) {
 	t.Parallel()
 	for routers := 1; routers <= 3; routers++ {
@@ -53,20 +53,20 @@
 			fleet := start(ctx, t, local.Options{Routers: routers})
 			engine := newHeldEngine(ctx, t, fleet, 1)
 			address := fleet.Routers[0].Callers.String()
-			begin(ctx, t, address)
+			beginStream(ctx, t, address)
 			var served answer
 			waiting := make(chan error, 1)
-			req := request(ctx, t, address+"/v1/chat/completions", heldRequest)
+			req := newRequest(ctx, t, address+"/v1/chat/completions", heldRequest)
 			go func() {
 				var err error
-				served, err = exchange(req)
+				served, err = sendRequest(req)
 				waiting <- err
 			}()
-			untilWaiting(ctx, t, fleet)
+			waitUntilQueued(ctx, t, fleet)
 
 			fleet.Stop(0)
-			require.Contains(t, refusedAtStop(ctx, t, address).text, `"stopping"`)
-			close(engine.goOn)
+			require.Contains(t, firstRefusal(ctx, t, address).text, `"stopping"`)
+			close(engine.resume)
 			require.NoError(t, <-waiting)
 			require.Equal(t, http.StatusOK, served.StatusCode, served.text)
 			require.Equal(t, heldStream, served.text)
@@ -75,8 +75,8 @@
 	}
 }
 
-// untilWaiting returns once a request waits at the first router.
-func untilWaiting(ctx context.Context, t *testing.T, fleet *local.Fleet) {
+// waitUntilQueued returns when a request waits at the first router.
+func waitUntilQueued(ctx context.Context, t *testing.T, fleet *local.Fleet) {
 	t.Helper()
 	for {
 		list, err := fleet.Operator(0).Routers(ctx)
@@ -89,9 +89,9 @@
 	}
 }
 
-// A caller closes its connection in the middle of an answer, as a telephone
-// that loses its network. Its engine would go on for a while with tokens that
-// nobody reads, in a slot that others wait for.
+// A caller closes its connection during an answer, like a telephone that loses
+// its network. Otherwise the engine would continue to generate tokens that
+// nobody reads, in a slot that other requests wait for.
 func TestCallerThatGoesAwayEndsItsStreamAtTheEngine(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -99,13 +99,13 @@
 	fleet := start(ctx, t, local.Options{})
 	engine := newHeldEngine(ctx, t, fleet, 4)
 	leaving, leave := context.WithCancel(ctx)
-	begin(leaving, t, fleet.Routers[0].Callers.String())
+	beginStream(leaving, t, fleet.Routers[0].Callers.String())
 
 	leave()
 	select {
 	case id := <-engine.cancelled:
 		require.NotEmpty(t, id)
 	case <-ctx.Done():
-		require.NoError(t, ctx.Err(), "the engine was not told")
+		require.NoError(t, ctx.Err(), "the stream was not cancelled at the engine")
 	}
 }
--- a/local/trace_test.go
+++ b/local/trace_test.go
@@ -37,12 +37,12 @@
 	require.NoError(t, err)
 	address := fleet.Routers[0].Callers.String()
 	answers := []string{chat(ctx, t, address, false), chat(ctx, t, address, true)}
-	require.Equal(t, http.StatusOK, send(t, order(ctx, t, address)).StatusCode)
-	forbidden := order(ctx, t, address)
+	require.Equal(t, http.StatusOK, send(t, orderRequest(ctx, t, address)).StatusCode)
+	forbidden := orderRequest(ctx, t, address)
 	forbidden.Header.Set("Authorization", "Bearer narrow")
 	require.Equal(t, http.StatusForbidden, send(t, forbidden).StatusCode)
 	fleet.Application(0).Faults.Set(fault.Fault{Kind: fault.ReplyLost, Operation: "call"})
-	require.Equal(t, http.StatusBadGateway, send(t, order(ctx, t, address)).StatusCode)
+	require.Equal(t, http.StatusBadGateway, send(t, orderRequest(ctx, t, address)).StatusCode)
 
 	fleet.Stop(0)
 	require.NoError(t, fleet.Wait(0))
@@ -73,8 +73,8 @@
 	require.Equal(t, 5, result.Answers[trace.Answered])
 }
 
-// The directory of the trace's file is not there. The operator is told at the
-// start, and not at the end of the day that was to be recorded.
+// The directory of the trace file does not exist. The router has to fail at the
+// start, not at the end of the day that was to be recorded.
 func TestTraceFileThatCannotBeOpenedIsAnErrorAtTheStart(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "missing", "trace.jsonl")
--- a/local/upstream_test.go
+++ b/local/upstream_test.go
@@ -17,23 +17,25 @@
 // heldService is the service of a heldEngine.
 const heldService = "held"
 
-// heldEngine is a model engine that sends the first event of a stream and then
-// holds it until it is told to go on.
+// heldEngine is a model engine that sends the first event of a stream and holds
+// the rest until resume is closed.
 type heldEngine struct {
-	goOn      chan struct{}
+	resume chan struct{}
+	// cancelled receives the IDs of cancelled streams.
 	cancelled chan string
 }
 
+// heldRequest is the body of a request to a heldEngine, and heldStream its answer.
 const heldRequest = `{"model":"held","stream":true,"messages":[]}`
 
 const heldStream = "id: 1\ndata: {}\n\n" +
 	"id: 2\ndata: {\"usage\":{\"prompt_tokens\":4,\"completion_tokens\":1}}\n\n" +
 	"id: 3\ndata: [DONE]\n\n"
 
-// newHeldEngine returns an engine that the fleet's release note names.
+// newHeldEngine starts an engine and adds it to the fleet by a release note.
 func newHeldEngine(ctx context.Context, t *testing.T, fleet *local.Fleet, slots uint32) *heldEngine {
 	t.Helper()
-	e := &heldEngine{goOn: make(chan struct{}), cancelled: make(chan string, 1)}
+	e := &heldEngine{resume: make(chan struct{}), cancelled: make(chan string, 1)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.chat)
 	mux.HandleFunc("DELETE /v1/streams/{id}", func(_ http.ResponseWriter, r *http.Request) { e.cancelled <- r.PathValue("id") })
@@ -57,26 +59,26 @@
 	_, _ = io.WriteString(w, first+"\n\n")
 	_ = http.NewResponseController(w).Flush()
 	select {
-	case <-e.goOn:
+	case <-e.resume:
 		_, _ = io.WriteString(w, rest)
 	case <-r.Context().Done():
 	}
 }
 
-// refusedAtStop returns the first refusal of a router that was told to stop.
-func refusedAtStop(ctx context.Context, t *testing.T, address string) answer {
+// firstRefusal sends requests until a stopping router refuses one.
+func firstRefusal(ctx context.Context, t *testing.T, address string) answer {
 	t.Helper()
 	for {
-		if a := send(t, order(ctx, t, address)); a.StatusCode != http.StatusOK {
+		if a := send(t, orderRequest(ctx, t, address)); a.StatusCode != http.StatusOK {
 			return a
 		}
 	}
 }
 
-// begin returns a stream of the held engine whose first event has arrived.
-func begin(ctx context.Context, t *testing.T, address string) (stream io.ReadCloser, first string) {
+// beginStream starts a stream of the held engine and waits for its first event.
+func beginStream(ctx context.Context, t *testing.T, address string) (stream io.ReadCloser, first string) {
 	t.Helper()
-	response, err := http.DefaultClient.Do(request(ctx, t, address+"/v1/chat/completions", heldRequest))
+	response, err := http.DefaultClient.Do(newRequest(ctx, t, address+"/v1/chat/completions", heldRequest))
 	require.NoError(t, err)
 	t.Cleanup(func() { response.Body.Close() })
 	require.Equal(t, http.StatusOK, response.StatusCode)
