--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -53,9 +53,9 @@
 	queue   []*job
 	// steps counts the steps of the run up to updatedAt; it is fractional, since
 	// the batch can change within a step.
-	steps      float64
-	updatedAt  time.Duration
-	generating jobHeap
+	steps          float64
+	updatedAt      time.Duration
+	generatingJobs jobHeap
 	// scheduleID identifies the latest scheduled end; earlier events are ignored.
 	scheduleID  int
 	prefixCache []uint64
@@ -129,7 +129,7 @@
 		j.generating = true
 		j.startStep = e.steps
 		j.endStep = e.steps + float64(j.outputTokens)
-		heap.Push(&e.generating, j)
+		heap.Push(&e.generatingJobs, j)
 		j.onFirstToken()
 		e.schedule()
 	})
@@ -159,11 +159,11 @@
 // event scheduled before.
 func (e *engine) schedule() {
 	e.scheduleID++
-	if len(e.generating) == 0 {
+	if len(e.generatingJobs) == 0 {
 		return
 	}
 	plan := e.scheduleID
-	left := max(e.generating[0].endStep-e.steps, 0)
+	left := max(e.generatingJobs[0].endStep-e.steps, 0)
 	// The added nanosecond compensates for rounding down.
 	delay := time.Duration(left*float64(e.stepTime())) + 1
 	e.clock.runAfter(delay, func() {
@@ -177,8 +177,8 @@
 func (e *engine) finishDue() {
 	const rounding = 1e-6
 	e.advance()
-	for len(e.generating) > 0 && e.generating[0].endStep <= e.steps+rounding {
-		e.finishJob(heap.Pop(&e.generating).(*job))
+	for len(e.generatingJobs) > 0 && e.generatingJobs[0].endStep <= e.steps+rounding {
+		e.finishJob(heap.Pop(&e.generatingJobs).(*job))
 	}
 	e.schedule()
 }
--- a/experiment/entry.go
+++ b/experiment/entry.go
@@ -90,8 +90,8 @@
 	now := r.sim.clock.now()
 	q := r.queue(queueKey{request.account, request.service})
 	total := 0
-	for _, each := range r.queues {
-		total += each.len()
+	for _, other := range r.queues {
+		total += other.len()
 	}
 	deadline := epoch.Add(request.deadline)
 	if refusal := r.sim.admission.Admit(now, deadline, admission.Queue{
@@ -151,20 +151,20 @@
 // before their deadline.
 func (q *queue) countFalseRefusals(now time.Duration, m *metrics) {
 	q.starts++
-	kept := q.lateRefusals[:0]
-	for _, each := range q.lateRefusals {
-		if q.starts < each.startNumber {
-			kept = append(kept, each)
+	remaining := q.lateRefusals[:0]
+	for _, refused := range q.lateRefusals {
+		if q.starts < refused.startNumber {
+			remaining = append(remaining, refused)
 			continue
 		}
-		if now < each.deadline {
+		if now < refused.deadline {
 			m.falseRefusals++
 		}
-		if now < each.refusedAt+(each.deadline-each.refusedAt)/2 {
+		if now < refused.refusedAt+(refused.deadline-refused.refusedAt)/2 {
 			m.falseRefusalsByHalf++
 		}
 	}
-	q.lateRefusals = kept
+	q.lateRefusals = remaining
 }
 
 // dequeued updates the metrics and asks after a request has left its queue.
@@ -288,8 +288,8 @@
 	if prefix == 0 {
 		return nil
 	}
-	if known := sim.preferredByPrefix[prefix]; known != nil {
-		return known
+	if cached := sim.preferredByPrefix[prefix]; cached != nil {
+		return cached
 	}
 	var names []string
 	for upstream := range sim.deployment.Models {
--- a/experiment/model.go
+++ b/experiment/model.go
@@ -167,8 +167,8 @@
 // rankDispatchers returns the routers that dispatch upstreams of a service, in
 // the order in which an account's requests are sent to them.
 func (sim *simulation) rankDispatchers(key queueKey) []int {
-	if known := sim.rankings[key]; known != nil {
-		return known
+	if cached := sim.rankings[key]; cached != nil {
+		return cached
 	}
 	var upstreams []string
 	for i := range sim.engines {
--- a/experiment/page.go
+++ b/experiment/page.go
@@ -34,8 +34,8 @@
 	p.line("- **Control**: bytes per second and router, each counted once at its sender: messages, a TCP and IP header for each, and load reports over HTTP.")
 	p.line("- Several seeds: mean / worst.")
 	p.line("")
-	p.goals()
-	p.smallAccount(r)
+	p.compareGoals()
+	p.compareSmallAccount(r)
 	p.scaling()
 	p.deployments()
 	_, err := io.WriteString(w, p.text.String())
@@ -137,8 +137,8 @@
 // deployments apart.
 func (d Deployment) label() string { return fmt.Sprintf("%s, %d routers", d.Name, d.Routers) }
 
-// goals writes the table that compares the first policy's figures with the goals.
-func (p *page) goals() {
+// compareGoals writes the table that compares the first policy's figures with the goals.
+func (p *page) compareGoals() {
 	p.line("## Goals, by the fair policy")
 	p.line("")
 	p.line("Bold figures miss their goal. Utilisation is not judged where work had queued for less than a hundredth of the time.")
@@ -187,34 +187,34 @@
 	return "**" + text + "**"
 }
 
-// smallAccount writes the table that compares the small account's queue times
-// with and without the flooding account.
-func (p *page) smallAccount(r Report) {
+// compareSmallAccount writes the table of the small account's queue times with
+// and without the flood.
+func (p *page) compareSmallAccount(r Report) {
 	if !slices.ContainsFunc(p.rows, func(r row) bool { return r.first().Load == flood().Name }) {
 		return
 	}
 	p.line("The small account beside a flood; allowed is %.1f times its p99 without the flood and one of its residences:", goalSmallAccount)
 	p.line("")
-	p.line("| deployment, seed | policy | p99 without, ms | p99 with, ms | allowed, ms | its answers without / beside |")
+	p.line("| deployment, seed | policy | p99 without, ms | p99 beside, ms | allowed, ms | its answers without / beside |")
 	p.line("|---|---|---|---|---|---|")
-	for _, with := range r.Results {
-		load, _ := LoadByName(with.Load)
-		if load.reference == "" || with.Deployment.Name == scaledName {
+	for _, flooded := range r.Results {
+		load, _ := LoadByName(flooded.Load)
+		if load.reference == "" || flooded.Deployment.Name == scaledName {
 			continue
 		}
-		without, ok := r.counterpart(with, load.reference)
+		reference, ok := r.counterpart(flooded, load.reference)
 		if !ok {
 			continue
 		}
-		quiet, flooded := without.Accounts[smallAccount], with.Accounts[smallAccount]
-		if flooded.Queue.Max == 0 {
-			p.line("| %s, %d | %s | %.0f | **not served** | | %d / %d |", with.Deployment.Name, with.Seed, with.Policy,
-				quiet.Queue.P99, quiet.Answered, flooded.Answered)
+		quietAccount, floodAccount := reference.Accounts[smallAccount], flooded.Accounts[smallAccount]
+		if floodAccount.Queue.Max == 0 {
+			p.line("| %s, %d | %s | %.0f | **not served** | | %d / %d |", flooded.Deployment.Name, flooded.Seed, flooded.Policy,
+				quietAccount.Queue.P99, quietAccount.Answered, floodAccount.Answered)
 			continue
 		}
-		allowed := goalSmallAccount*quiet.Queue.P99 + quiet.Residence.P50
-		p.line("| %s, %d | %s | %.0f | %s | %.0f | %d / %d |", with.Deployment.Name, with.Seed, with.Policy,
-			quiet.Queue.P99, boldUnlessReached(flooded.Queue.P99, flooded.Queue.P99 <= allowed, "%.0f"), allowed, quiet.Answered, flooded.Answered)
+		allowed := goalSmallAccount*quietAccount.Queue.P99 + quietAccount.Residence.P50
+		p.line("| %s, %d | %s | %.0f | %s | %.0f | %d / %d |", flooded.Deployment.Name, flooded.Seed, flooded.Policy,
+			quietAccount.Queue.P99, boldUnlessReached(floodAccount.Queue.P99, floodAccount.Queue.P99 <= allowed, "%.0f"), allowed, quietAccount.Answered, floodAccount.Answered)
 	}
 	p.line("")
 }
--- a/experiment/synthetic.go
+++ b/experiment/synthetic.go
@@ -23,16 +23,16 @@
 type Synthetic struct {
 	Deployment Deployment
 	Seed       uint64
-	// modelService and plainService are the services that the records name.
-	modelService fleet.ServiceID
-	plainService fleet.ServiceID
+	// modelServiceID and plainServiceID are the services that the records name.
+	modelServiceID fleet.ServiceID
+	plainServiceID fleet.ServiceID
 }
 
 // Synthetics returns the synthetic traces, one for each of the users' deployments.
 func Synthetics() []Synthetic {
 	return []Synthetic{
-		{Deployment: Halonen(), Seed: 1103, modelService: "findings", plainService: "orders"},
-		{Deployment: Kilimanjaro(), Seed: 1203, modelService: "assistant", plainService: "bookings"},
+		{Deployment: Halonen(), Seed: 1103, modelServiceID: "findings", plainServiceID: "orders"},
+		{Deployment: Kilimanjaro(), Seed: 1203, modelServiceID: "assistant", plainServiceID: "bookings"},
 	}
 }
 
@@ -104,14 +104,14 @@
 
 func (s Synthetic) modelRequest(account int, at time.Duration, random *rand.Rand) trace.Record {
 	record := s.baseRecord(account, at, random)
-	record.Service, record.Kind = s.modelService, fleet.Model
+	record.Service, record.Kind = s.modelServiceID, fleet.Model
 	record.Input, record.Output = usualInput.draw(random), usualOutput.draw(random)
 	return record
 }
 
 func (s Synthetic) plainCall(account int, at time.Duration, random *rand.Rand) trace.Record {
 	record := s.baseRecord(account, at, random)
-	record.Service, record.Kind = s.plainService, fleet.Plain
+	record.Service, record.Kind = s.plainServiceID, fleet.Plain
 	record.Run = 20 + random.Int64N(100)
 	record.NonIdempotent = random.IntN(2) == 0
 	return record
--- a/scenario/load.go
+++ b/scenario/load.go
@@ -29,9 +29,9 @@
 	// stubborn callers also repeat calls that may have been run, with the same key.
 	stubborn bool
 
-	nextIndex atomic.Int64
-	stopped   atomic.Bool
-	callers   sync.WaitGroup
+	nextIndex   atomic.Int64
+	stopped     atomic.Bool
+	callerGroup sync.WaitGroup
 
 	mu             sync.Mutex
 	expected       map[string]string
@@ -81,7 +81,7 @@
 	}
 	s.loads[l.name] = l
 	for i := range callers {
-		l.callers.Go(func() { l.runCaller(i) })
+		l.callerGroup.Go(func() { l.runCaller(i) })
 	}
 	return nil
 }
@@ -209,7 +209,7 @@
 
 func (l *load) stop() {
 	l.stopped.Store(true)
-	l.callers.Wait()
+	l.callerGroup.Wait()
 }
 
 // progress waits until a load has received N more answers:
