--- a/overload/detector.go
+++ b/overload/detector.go
@@ -1,12 +1,12 @@
-// Package overload tells whether a router has too little processor time for what
-// callers bring to it.
+// Package overload detects that a router lacks processor time and refuses requests
+// until it has enough again.
 //
-// It answers a flood of callers that the balancer sends to one small router, more
-// than it can serve or even refuse. What it has to do lines up, and requests are
-// read and events passed on late: callers have left, upstreams that have left since
-// get requests, and nobody at the router is served in time.
+// It protects a small router to which the load balancer sends more requests than it
+// can serve or even refuse. Without it, work queues up: requests are read and events
+// passed on late, requests are sent for callers or to upstreams that have already left,
+// and every caller of the router is served late.
 //
-// A Detector needs no clock and no network; times are passed in.
+// A Detector needs no clock and no network: times are passed in.
 package overload
 
 import (
@@ -15,76 +15,76 @@
 )
 
 const (
-	// overloadedAfter is how long goroutines wait for the processor, on the mean of
-	// late, from which a router that refuses a large part has too little of it, and
-	// recoveredAfter that below which it has enough again. They are the waits at which it
-	// takes less and more.
-	overloadedAfter = pressedAfter
-	recoveredAfter  = relievedAfter
-	// leastHold is how long the router stays overloaded at least: the balancer needs
-	// two of its questions, a second apart, to notice.
-	leastHold = 2500 * time.Millisecond
-	// A router that is overloaded again within relapse of its recovery is so for twice
-	// as long, up to mostHold. The balancer brings a flood back as soon as its first
-	// router is ready, and with a fixed time it goes to and fro between two routers,
-	// each of which loses connections and callers at each change.
-	relapse  = 10 * time.Second
-	mostHold = 20 * time.Second
-	// waitWeight is that of the latest look, 20 of which are made in a second.
+	// A router that refuses a large part of its requests is overloaded once the mean
+	// wait of its goroutines for the processor reaches overloadedWait, and no longer once
+	// it is below recoveredWait. The Shedder uses the same two waits.
+	overloadedWait = highWait
+	recoveredWait  = lowWait
+	// minHold is the shortest time for which the router stays overloaded: the load
+	// balancer needs two health checks, a second apart, to notice.
+	minHold = 2500 * time.Millisecond
+	// Each time the router is overloaded again within relapseWindow of its recovery, the
+	// hold doubles, up to maxHold. The load balancer sends a flood back as soon as its
+	// first router is ready; with a fixed hold the flood would alternate between two
+	// routers, and each would lose connections and callers at every change.
+	relapseWindow = 10 * time.Second
+	maxHold       = 20 * time.Second
+	// waitWeight is the weight of the latest sample in the mean wait; 20 samples are
+	// taken per second.
 	waitWeight = 0.25
 )
 
-// Detector tells whether the router gets enough processor time. Its zero value is a
-// router that does. It is safe for concurrent use.
+// Detector detects that the router lacks processor time. Its zero value reports no
+// overload. It is safe for concurrent use.
 type Detector struct {
-	mu        sync.Mutex
-	steady    steady
-	wait      time.Duration
-	hold      time.Duration
-	since     time.Time
-	recovered time.Time
-	is        bool
+	mu              sync.Mutex
+	filter          spikeFilter
+	meanWait        time.Duration
+	hold            time.Duration
+	overloadedSince time.Time
+	recoveredAt     time.Time
+	overloaded      bool
 }
 
-// Observe takes how long goroutines waited for the processor of late. It returns
-// whether that changed what IsOverloaded says.
+// Observe adds a sample of how long goroutines wait for the processor. It reports
+// whether the result of IsOverloaded changed.
 func (d *Detector) Observe(now time.Time, wait time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.wait += time.Duration(waitWeight * float64(d.steady.observe(wait)-d.wait))
+	d.meanWait += time.Duration(waitWeight * float64(d.filter.observe(wait)-d.meanWait))
 	switch {
-	case !d.is && d.wait >= overloadedAfter:
-		d.begin(now)
+	case !d.overloaded && d.meanWait >= overloadedWait:
+		d.startOverload(now)
 		return true
-	case d.is && d.wait < recoveredAfter && now.Sub(d.since) >= d.hold:
-		d.is = false
-		d.recovered = now
+	case d.overloaded && d.meanWait < recoveredWait && now.Sub(d.overloadedSince) >= d.hold:
+		d.overloaded = false
+		d.recoveredAt = now
 		return true
 	}
 	return false
 }
 
-func (d *Detector) begin(now time.Time) {
-	isRelapse := d.hold > 0 && now.Sub(d.recovered) < relapse
+func (d *Detector) startOverload(now time.Time) {
+	isRelapse := d.hold > 0 && now.Sub(d.recoveredAt) < relapseWindow
 	if isRelapse {
-		d.hold = min(2*d.hold, mostHold)
+		d.hold = min(2*d.hold, maxHold)
 	} else {
-		d.hold = leastHold
+		d.hold = minHold
 	}
-	d.is = true
-	d.since = now
+	d.overloaded = true
+	d.overloadedSince = now
 }
 
 // IsOverloaded reports whether the router has too little processor time.
 func (d *Detector) IsOverloaded() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.is
+	return d.overloaded
 }
 
-// Wait returns how long goroutines wait for the processor, on the mean of late.
+// Wait returns the mean time for which goroutines recently waited for the processor.
 func (d *Detector) Wait() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.wait
+	return d.meanWait
 }
--- a/overload/machine_test.go
+++ b/overload/machine_test.go
@@ -10,8 +10,8 @@
 	"nutmeglock.example/nutmeglock/overload"
 )
 
-// Guards against a router that refuses for ever after waits of any length, or ends because all
-// accounts are forgotten.
+// Guards against a Shedder or Detector that never recovers after waits of any length, or
+// that panics once all accounts have expired.
 func TestShedderOutlivesAnyWait(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -32,7 +32,7 @@
 				require.LessOrEqual(t, a.Admitted, a.Requests)
 			},
 		})
-		for range 60 * 20 { // a minute without waits
+		for range 60 * 20 { // one minute without waits
 			now = now.Add(50 * time.Millisecond)
 			s.Observe(now, 0)
 			d.Observe(now, 0)
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -2,8 +2,8 @@
 
 import "runtime/metrics"
 
-// Memory returns how many bytes the Go runtime holds of this process, without what it
-// gave back to the system.
+// Memory returns how many bytes the Go runtime holds, without those it has returned to
+// the operating system.
 func Memory() uint64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -10,94 +10,94 @@
 	"nutmeglock.example/nutmeglock/overload"
 )
 
-// look is how often a router looks at its load.
-const look = 50 * time.Millisecond
+// sampleInterval is the time between two samples of a router's load.
+const sampleInterval = 50 * time.Millisecond
 
-// player lets a Detector see waits in virtual time.
-type player struct {
+// simulatedDetector is a Detector with a virtual clock.
+type simulatedDetector struct {
 	overload.Detector
 	now time.Time
 }
 
-func (p *player) see(wait time.Duration, times int) {
+func (d *simulatedDetector) observe(wait time.Duration, times int) {
 	for range times {
-		p.now = p.now.Add(look)
-		p.Observe(p.now, wait)
+		d.now = d.now.Add(sampleInterval)
+		d.Observe(d.now, wait)
 	}
 }
 
-// until returns how long the router stays overloaded while waits are short.
-func (p *player) until() time.Duration {
-	begin := p.now
-	for p.IsOverloaded() {
-		p.see(time.Millisecond, 1)
+// runUntilRecovered returns how long the router stays overloaded once waits are short.
+func (d *simulatedDetector) runUntilRecovered() time.Duration {
+	begin := d.now
+	for d.IsOverloaded() {
+		d.observe(time.Millisecond, 1)
 	}
-	return p.now.Sub(begin)
+	return d.now.Sub(begin)
 }
 
-// A small router is flooded, and does everything some tenths of a second late. It
-// says so until the balancer has noticed and the flood is gone; a single pause, as
-// of a machine that stood still for a moment, is no flood.
+// A flooded small router does everything some tenths of a second late. It must report
+// overload until the load balancer has noticed and the flood is gone. A single pause,
+// such as a machine that stalls for a moment, is not overload.
 func TestFloodedRouterIsOverloadedUntilItRecovers(t *testing.T) {
 	t.Parallel()
-	p := player{now: time.Unix(0, 0)}
-	p.see(300*time.Millisecond, 1)
-	require.False(t, p.IsOverloaded())
-	p.see(2*time.Millisecond, 20)
-	require.False(t, p.IsOverloaded())
-	p.see(300*time.Millisecond, 4)
-	require.True(t, p.IsOverloaded())
-	p.see(2*time.Millisecond, 40)
-	require.True(t, p.IsOverloaded())
-	p.see(2*time.Millisecond, 20)
-	require.False(t, p.IsOverloaded())
+	d := simulatedDetector{now: time.Unix(0, 0)}
+	d.observe(300*time.Millisecond, 1)
+	require.False(t, d.IsOverloaded())
+	d.observe(2*time.Millisecond, 20)
+	require.False(t, d.IsOverloaded())
+	d.observe(300*time.Millisecond, 4)
+	require.True(t, d.IsOverloaded())
+	d.observe(2*time.Millisecond, 40)
+	require.True(t, d.IsOverloaded())
+	d.observe(2*time.Millisecond, 20)
+	require.False(t, d.IsOverloaded())
 }
 
-// The balancer takes a flood away from a router that isn't ready and brings it back
-// as soon as it is. With a fixed time the flood would come back every few seconds,
-// and its callers would lose their connections each time.
+// The load balancer removes a router that isn't ready and sends the flood back once it
+// is. With a fixed hold the flood would return every few seconds, and callers would lose
+// their connections each time.
 func TestFloodThatReturnsKeepsTheRouterOverloadedForLonger(t *testing.T) {
 	t.Parallel()
-	p := player{now: time.Unix(0, 0)}
-	var held []time.Duration
+	d := simulatedDetector{now: time.Unix(0, 0)}
+	var holds []time.Duration
 	for range 4 {
-		p.see(300*time.Millisecond, 4)
-		held = append(held, p.until())
-		p.see(time.Millisecond, 10)
+		d.observe(300*time.Millisecond, 4)
+		holds = append(holds, d.runUntilRecovered())
+		d.observe(time.Millisecond, 10)
 	}
-	for i := 1; i < len(held); i++ {
-		require.Greater(t, held[i], held[i-1])
+	for i := 1; i < len(holds); i++ {
+		require.Greater(t, holds[i], holds[i-1])
 	}
-	require.Less(t, held[len(held)-1], 25*time.Second)
+	require.Less(t, holds[len(holds)-1], 25*time.Second)
 
-	p.see(time.Millisecond, 300)
-	p.see(300*time.Millisecond, 4)
-	require.Less(t, p.until(), 3500*time.Millisecond, "a flood long after the last one is a new one")
+	d.observe(time.Millisecond, 300)
+	d.observe(300*time.Millisecond, 4)
+	require.Less(t, d.runUntilRecovered(), 3500*time.Millisecond, "a flood long after the last one starts with the shortest hold")
 }
 
 func TestQuantile(t *testing.T) {
 	t.Parallel()
 	buckets := []float64{math.Inf(-1), 0, 0.001, 0.01, 0.1, math.Inf(1)}
 	for _, c := range []struct {
-		name           string
-		counts, before []uint64
-		want           time.Duration
+		name             string
+		counts, previous []uint64
+		want             time.Duration
 	}{
 		{"nothing ran", []uint64{0, 5, 5, 5, 0}, []uint64{0, 5, 5, 5, 0}, 0},
-		{"all at once", []uint64{0, 100, 0, 0, 0}, []uint64{0, 0, 0, 0, 0}, 0},
+		{"no waits", []uint64{0, 100, 0, 0, 0}, []uint64{0, 0, 0, 0, 0}, 0},
 		{"one in ten is late", []uint64{0, 90, 0, 0, 10}, []uint64{0, 0, 0, 0, 0}, 0},
 		{"two in ten are late", []uint64{0, 80, 0, 0, 20}, []uint64{0, 0, 0, 0, 0}, 100 * time.Millisecond},
-		{"what was before doesn't count", []uint64{0, 80, 0, 20, 500}, []uint64{0, 0, 0, 0, 500}, 10 * time.Millisecond},
+		{"earlier counts are ignored", []uint64{0, 80, 0, 20, 500}, []uint64{0, 0, 0, 0, 500}, 10 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			require.Equal(t, c.want, overload.Quantile(c.counts, c.before, buckets))
+			require.Equal(t, c.want, overload.Quantile(c.counts, c.previous, buckets))
 		})
 	}
 }
 
-// Requests wait for a processor that is taken, while timers fire in time. A router
-// that looked at its timers would find itself idle.
+// Goroutines wait for a busy processor while timers still fire in time, so a router that
+// measured timer delays would consider itself idle.
 func TestWaitsForTheProcessorAreSeen(t *testing.T) {
 	t.Parallel()
 	var s overload.Scheduling
@@ -105,7 +105,7 @@
 	done := make(chan struct{})
 	for range 2000 {
 		go func() {
-			busy(100 * time.Microsecond)
+			spin(100 * time.Microsecond)
 			done <- struct{}{}
 		}()
 	}
@@ -115,7 +115,7 @@
 	require.Greater(t, s.Wait(), time.Millisecond)
 }
 
-func busy(d time.Duration) {
+func spin(d time.Duration) {
 	for begin := time.Now(); time.Since(begin) < d; {
 	}
 }
--- a/overload/scheduling.go
+++ b/overload/scheduling.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// latencyMetric counts how long goroutines that could run waited for a processor.
+// latencyMetric is the histogram of how long runnable goroutines waited for a processor.
 const latencyMetric = "/sched/latencies:seconds"
 
-// lateShare is the part of all waits that are longer than the one that is returned.
-// The mean would follow a single pause of the machine.
-const lateShare = 0.1
+// tailShare is the share of waits that are longer than the reported one. A mean would be
+// dominated by a single pause of the machine.
+const tailShare = 0.1
 
-// Scheduling measures how long goroutines of this process wait for the processor.
-// Its zero value works. It is used by one goroutine.
+// Scheduling measures how long goroutines of this process wait for the processor. Its
+// zero value is ready to use. It isn't safe for concurrent use.
 //
-// That is what callers wait for too. How late timers fire isn't: the runtime looks
-// at timers before all else that is ready, so they fire in time on a router at which
-// requests are read half a second late.
+// Callers wait this long too. Timer delays would not show it: the runtime checks timers
+// before other runnable work, so they fire in time on a router that reads requests half
+// a second late.
 type Scheduling struct {
-	sample [1]metrics.Sample
-	before []uint64
+	sample   [1]metrics.Sample
+	previous []uint64
 }
 
-// Wait returns the wait since the last call that one goroutine in ten exceeded, zero
-// if none ran.
+// Wait returns the 90th percentile of the waits since the last call, zero if no
+// goroutine ran.
 func (s *Scheduling) Wait() time.Duration {
 	s.sample[0].Name = latencyMetric
 	metrics.Read(s.sample[:])
 	if s.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
-		return 0 // a later runtime may have another metric; without one no router is overloaded
+		return 0 // a later Go runtime may lack this metric; then no overload is detected
 	}
 	histogram := s.sample[0].Value.Float64Histogram()
-	if len(s.before) != len(histogram.Counts) {
-		s.before = make([]uint64, len(histogram.Counts))
+	if len(s.previous) != len(histogram.Counts) {
+		s.previous = make([]uint64, len(histogram.Counts))
 	}
-	wait := Quantile(histogram.Counts, s.before, histogram.Buckets)
-	copy(s.before, histogram.Counts)
+	wait := Quantile(histogram.Counts, s.previous, histogram.Buckets)
+	copy(s.previous, histogram.Counts)
 	return wait
 }
 
-// Quantile returns the wait that one in ten of the waits exceeded which were counted
-// since before. Buckets are the bounds of the counts in seconds, one more than counts.
-func Quantile(counts, before []uint64, buckets []float64) time.Duration {
+// Quantile returns the 90th percentile of the waits counted since previous. Buckets are
+// the bounds of the counts in seconds, one more than there are counts.
+func Quantile(counts, previous []uint64, buckets []float64) time.Duration {
 	total := uint64(0)
 	for i := range counts {
-		total += counts[i] - before[i]
+		total += counts[i] - previous[i]
 	}
-	late := uint64(lateShare * float64(total))
+	tail := uint64(tailShare * float64(total))
 	above := uint64(0)
 	for i := len(counts) - 1; i >= 0; i-- {
-		above += counts[i] - before[i]
-		if above > late {
-			return seconds(buckets[i])
+		above += counts[i] - previous[i]
+		if above > tail {
+			return toDuration(buckets[i])
 		}
 	}
 	return 0
 }
 
-// seconds converts the lower bound of a bucket, which is infinite in the lowest.
-func seconds(bound float64) time.Duration {
+// toDuration converts the lower bound of a bucket; that of the lowest one may be infinite.
+func toDuration(bound float64) time.Duration {
 	if math.IsInf(bound, 0) || bound < 0 {
 		return 0
 	}
--- a/overload/shedder.go
+++ b/overload/shedder.go
@@ -9,206 +9,208 @@
 )
 
 const (
-	// pressedAfter is how long goroutines wait for the processor from which the router
-	// takes fewer requests, and relievedAfter that below which it takes more again. A
-	// request's way through a router takes some ten such waits, and the strictest targets
-	// of the users are 120 to 800 ms. With shorter ones first events are sooner, but a small
-	// router then does so little that its account gets less than half of what another one gets.
-	pressedAfter  = 20 * time.Millisecond
-	relievedAfter = 5 * time.Millisecond
-	// Each look, 20 of which are made in a second, changes the part of the requests
-	// that is taken. It falls by this part of it for a wait of pressedAfter, by more for a
-	// longer one, and to mostFall of it at most. A stream costs most of its processor time
-	// over some seconds after it was taken, so that what is taken before a flood shows is
-	// late for as long.
-	fall     = 0.03
-	mostFall = 0.5
-	rise     = 1.01
-	// Below surelyFit of the most that was taken of late, the part rises by fastRise at each
-	// look, and by calmRise once no wait was seen for calmLooks: what fell was more than
-	// needed, as when a machine was slowed for a moment, and with rise alone its callers would be
-	// refused for fifteen seconds more. Of late is as long as a slow-down lasts, since what was
-	// taken in it says nothing of what the router can do after it.
-	fastRise  = 1.08
-	calmRise  = 1.03
-	calmLooks = 20
-	surelyFit = 0.5
-	fitMemory = 10 * time.Second
-	// leastTaken is the least part of the requests that is taken. With less, a router
-	// would hardly find out that it has time again.
-	leastTaken = 0.05
-	// exhausted is the part that is taken from which on the router should give its callers
-	// away, if goroutines still wait. An account that is held to less by one small router
-	// gets less than its share of the engines.
-	exhausted = 0.4
-	// noticeable is the part that is refused from which on the router says so.
-	noticeable = 0.1
-	// arrivalMemory is the time constant of the counts of accounts' requests.
-	arrivalMemory = time.Second
-	// forgotten is the count of requests of late below which an account is forgotten.
-	forgotten = 0.01
+	// When goroutines wait at least highWait for the processor, the router admits fewer
+	// requests; below lowWait it admits more. A request takes some ten such waits to pass
+	// through a router, and the strictest latency targets of users are 120 to 800 ms.
+	// Shorter waits give earlier first events, but a small router then serves so little
+	// that its account gets less than half of what another account gets.
+	highWait = 20 * time.Millisecond
+	lowWait  = 5 * time.Millisecond
+	// Each sample, 20 per second, changes the admitted share of requests. A wait of
+	// highWait lowers it by the fraction decrease, a longer wait by more, but one sample
+	// lowers it at most by the factor minDecreaseFactor. A stream uses most of its
+	// processor time in the seconds after it was admitted, so requests admitted before a
+	// flood is detected are served late for that long.
+	decrease          = 0.03
+	minDecreaseFactor = 0.5
+	slowGrowth        = 1.01
+	// Below safePeakShare of its recent peak, the admitted share grows by fastGrowth per
+	// sample, and after minQuietSamples without a wait by quietGrowth. The share then fell
+	// further than needed, for example because a machine was slowed for a moment; with
+	// slowGrowth alone callers would be refused for another fifteen seconds.
+	// peakTimeConstant is as long as a slow-down lasts: what was admitted during it does
+	// not show what the router can do afterwards.
+	fastGrowth       = 1.08
+	quietGrowth      = 1.03
+	minQuietSamples  = 20
+	safePeakShare    = 0.5
+	peakTimeConstant = 10 * time.Second
+	// minAdmittedShare is the smallest admitted share of requests. With less, the router would
+	// hardly notice that it has processor time again.
+	minAdmittedShare = 0.05
+	// exhaustedShare is the admitted share up to which the router, if goroutines still
+	// wait, should pass its callers to other routers. Below it, an account held back by
+	// one small router gets less than its share of the engines.
+	exhaustedShare = 0.4
+	// sheddingThreshold is the refused share above which the router reports shedding.
+	sheddingThreshold = 0.1
+	// arrivalTimeConstant is the time constant of the decaying request count per account.
+	arrivalTimeConstant = time.Second
+	// minArrivals is the recent request count below which an account is dropped.
+	minArrivals = 0.01
 )
 
-// Shedder decides which requests a router without enough processor time takes. Its
-// zero value takes all. It is safe for concurrent use.
+// Shedder decides which requests a router without enough processor time admits. Its
+// zero value admits all. It is safe for concurrent use.
 //
-// It answers one account that the balancer brings to one small router. A request that
-// is refused at once costs a twentieth of a stream of 50 events. Without it what is
-// taken lines up: all of the account's requests are served late, and those of all other
-// accounts at the router. Accounts that ask for little are taken whole: what the
-// router can do is shared by max-min.
+// It protects against one account that the load balancer sends to one small router.
+// Refusing a request at once costs a twentieth of serving a stream of 50 events. Without
+// shedding, admitted requests queue up, and those of all accounts at the router are
+// served late. Capacity is shared by max-min fairness, so accounts with few requests are
+// admitted in full.
 type Shedder[K comparable] struct {
 	mu sync.Mutex
-	// less is the part of the requests that isn't taken, and level the count of late up
-	// to which accounts are taken whole.
-	less   float64
-	level  float64
-	steady steady
-	// fit is the most that was taken of late, and calm counts the looks since the last wait.
-	fit  rate.Peak
-	calm int
-	// sheds is what the last look told of shedding.
-	sheds    bool
-	accounts map[K]*arrivals
-	admitted Admission
+	// refusedShare is the share of requests that are refused, from 0 to 1.
+	refusedShare float64
+	// fairLevel is the recent request count up to which accounts are admitted in full.
+	fairLevel float64
+	filter    spikeFilter
+	// peakAdmitted is the recent peak of the admitted share.
+	peakAdmitted rate.Peak
+	quietSamples int
+	// shedding is the state that was last reported.
+	shedding bool
+	accounts map[K]*accountArrivals
+	counts   Admission
 }
 
-// Admission counts requests over a time.
+// Admission counts the requests of a period.
 type Admission struct {
-	// Rate is the part of the requests that is admitted now, from 0 to 1.
+	// Rate is the current admitted share of requests, from 0 to 1.
 	Rate float64
-	// Requests have arrived, and Admitted of them were taken.
+	// Requests is the number of requests that arrived, Admitted of which were admitted.
 	Requests int
 	Admitted int
 }
 
-// arrivals are the requests of one account.
-type arrivals struct {
+// accountArrivals tracks the requests of one account.
+type accountArrivals struct {
 	recent rate.Recent
-	// credit is the part of a request that may be taken beyond those that were.
+	// credit is the fraction of a request by which the account's quota exceeds what was
+	// admitted.
 	credit float64
 }
 
-// Observe takes how long goroutines wait for the processor, at each look. It
-// returns whether that began or ended shedding.
+// Observe adds a sample of how long goroutines wait for the processor. It reports
+// whether shedding began or ended.
 func (s *Shedder[K]) Observe(now time.Time, wait time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	part := 1 - s.less
-	pressed := s.steady.observe(wait)
-	s.fit.Raise(now, fitMemory, part)
-	s.noteCalm(wait)
+	admitted := 1 - s.refusedShare
+	sustained := s.filter.observe(wait)
+	s.peakAdmitted.Raise(now, peakTimeConstant, admitted)
+	s.countQuiet(wait)
 	switch {
-	case pressed >= pressedAfter:
-		part *= max(1-fall*float64(pressed)/float64(pressedAfter), mostFall)
-	case wait < relievedAfter:
-		part *= s.rise(now, part)
+	case sustained >= highWait:
+		admitted *= max(1-decrease*float64(sustained)/float64(highWait), minDecreaseFactor)
+	case wait < lowWait:
+		admitted *= s.growthFactor(now, admitted)
 	}
-	s.less = 1 - min(max(part, leastTaken), 1)
-	s.setLevel(now)
-	return s.changed()
+	s.refusedShare = 1 - min(max(admitted, minAdmittedShare), 1)
+	s.updateLevel(now)
+	return s.updateShedding()
 }
 
-// noteCalm counts the looks since goroutines waited.
-func (s *Shedder[K]) noteCalm(wait time.Duration) {
-	s.calm++
-	if wait >= relievedAfter {
-		s.calm = 0
+// countQuiet counts the samples since goroutines last waited.
+func (s *Shedder[K]) countQuiet(wait time.Duration) {
+	s.quietSamples++
+	if wait >= lowWait {
+		s.quietSamples = 0
 	}
 }
 
-// rise returns by how much the part that is taken grows at a look.
-func (s *Shedder[K]) rise(now time.Time, part float64) float64 {
+// growthFactor returns the factor by which one sample raises the admitted share.
+func (s *Shedder[K]) growthFactor(now time.Time, admitted float64) float64 {
 	switch {
-	case part < surelyFit*s.fit.At(now, fitMemory):
-		return fastRise
-	case s.calm >= calmLooks:
-		return calmRise
+	case admitted < safePeakShare*s.peakAdmitted.At(now, peakTimeConstant):
+		return fastGrowth
+	case s.quietSamples >= minQuietSamples:
+		return quietGrowth
 	default:
-		return rise
+		return slowGrowth
 	}
 }
 
-// changed reports whether shedding began or ended. It has begun once it would be
-// noticed, and ended once all is taken.
-func (s *Shedder[K]) changed() bool {
-	before := s.sheds
+// updateShedding reports whether shedding began or ended. It begins when the refused
+// share exceeds sheddingThreshold and ends when all requests are admitted.
+func (s *Shedder[K]) updateShedding() bool {
+	before := s.shedding
 	switch {
-	case s.less > noticeable:
-		s.sheds = true
-	case s.less == 0:
-		s.sheds = false
+	case s.refusedShare > sheddingThreshold:
+		s.shedding = true
+	case s.refusedShare == 0:
+		s.shedding = false
 	}
-	return s.sheds != before
+	return s.shedding != before
 }
 
-// IsShedding reports whether a part of the requests is refused.
+// IsShedding reports whether the router refuses a part of its requests.
 func (s *Shedder[K]) IsShedding() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sheds
+	return s.shedding
 }
 
-// IsExhausted reports whether the router takes so little that its callers should go to
-// another one, if goroutines still wait.
+// IsExhausted reports whether the router admits so little that, if goroutines still
+// wait, its callers should move to another router.
 func (s *Shedder[K]) IsExhausted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return 1-s.less <= exhausted
+	return 1-s.refusedShare <= exhaustedShare
 }
 
-// Admission returns what was counted since the last call.
+// Admission returns the counts since the last call.
 func (s *Shedder[K]) Admission() Admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counted := s.admitted
-	counted.Rate = 1 - s.less
-	s.admitted = Admission{}
+	counted := s.counts
+	counted.Rate = 1 - s.refusedShare
+	s.counts = Admission{}
 	return counted
 }
 
-// setLevel works out up to which count of requests all accounts are taken.
-func (s *Shedder[K]) setLevel(now time.Time) {
+// updateLevel sets the max-min level and drops accounts without recent requests.
+func (s *Shedder[K]) updateLevel(now time.Time) {
 	counts := make([]float64, 0, len(s.accounts))
 	total := 0.0
 	for key, a := range s.accounts {
-		count := a.recent.At(now, arrivalMemory)
-		if count < forgotten {
+		count := a.recent.At(now, arrivalTimeConstant)
+		if count < minArrivals {
 			delete(s.accounts, key)
 			continue
 		}
 		counts = append(counts, count)
 		total += count
 	}
-	s.level = share.Level(counts, (1-s.less)*total)
+	s.fairLevel = share.Level(counts, (1-s.refusedShare)*total)
 }
 
-// Takes reports whether the router takes a request that has just arrived.
+// Takes counts a request that has just arrived and reports whether it is admitted.
 func (s *Shedder[K]) Takes(now time.Time, key K) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.admitted.Requests++
+	s.counts.Requests++
 	admitted := s.admit(now, key)
 	if admitted {
-		s.admitted.Admitted++
+		s.counts.Admitted++
 	}
 	return admitted
 }
 
 func (s *Shedder[K]) admit(now time.Time, key K) bool {
 	if s.accounts == nil {
-		s.accounts = make(map[K]*arrivals)
+		s.accounts = make(map[K]*accountArrivals)
 	}
 	a := s.accounts[key]
 	if a == nil {
-		a = &arrivals{}
+		a = &accountArrivals{}
 		s.accounts[key] = a
 	}
-	a.recent.Add(now, arrivalMemory, 1)
-	if s.less == 0 {
+	a.recent.Add(now, arrivalTimeConstant, 1)
+	if s.refusedShare == 0 {
 		return true
 	}
-	a.credit += min(s.level/a.recent.At(now, arrivalMemory), 1)
+	a.credit += min(s.fairLevel/a.recent.At(now, arrivalTimeConstant), 1)
 	if a.credit < 1 {
 		return false
 	}
--- a/overload/standing.go
+++ b/overload/standing.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Standing measures for how long a queue hasn't been empty. A burst empties within moments; a
-// queue that stands means that more arrives than is done. Its zero value is an empty queue. It
-// is safe for concurrent use.
+// Standing measures for how long a queue has not been empty. A burst drains within moments;
+// a standing queue means that more arrives than is processed. Its zero value is an empty
+// queue. It is safe for concurrent use.
 type Standing struct {
 	mu sync.Mutex
-	// since is when the queue was seen to hold something for the first time after it was
-	// empty, zero while it is empty.
+	// since is when the queue was first seen non-empty after it was empty, zero while it
+	// is empty.
 	since time.Time
 }
 
-// Observe takes whether the queue is empty.
+// Observe records whether the queue is empty.
 func (s *Standing) Observe(now time.Time, empty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// For returns for how long the queue hasn't been empty.
+// For returns how long the queue has not been empty.
 func (s *Standing) For(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/overload/steady.go
+++ b/overload/steady.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// steady passes over single long waits, as of a machine that stood still for a
-// moment, which say nothing of what callers bring. Its zero value has seen none.
-type steady struct{ last time.Duration }
+// spikeFilter ignores single long waits, such as a stall of the machine, which do not
+// show the load. Its zero value is ready to use.
+type spikeFilter struct{ previous time.Duration }
 
-// observe returns the shorter of this wait and the one before.
-func (s *steady) observe(wait time.Duration) time.Duration {
-	shorter := min(wait, s.last)
-	s.last = wait
+// observe returns the shorter of this wait and the previous one.
+func (s *spikeFilter) observe(wait time.Duration) time.Duration {
+	shorter := min(wait, s.previous)
+	s.previous = wait
 	return shorter
 }
