--- a/outlier/machine_test.go
+++ b/outlier/machine_test.go
@@ -10,8 +10,8 @@
 	"nutmeglock.example/nutmeglock/outlier"
 )
 
-// Guards against an upstream that is never tried again, or a process that ends, because
-// upstreams leave and return between outcomes.
+// Guards against an upstream that is never probed again, or a panic, because upstreams
+// leave and return between outcomes.
 func TestDetectorOutlivesAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,7 +30,7 @@
 			"empty":   func(*rapid.T) { d.Keep(nil) },
 		})
 		for key := range 5 {
-			require.True(t, d.Usable(now.Add(10*time.Second), key), "tried again after a while")
+			require.True(t, d.Usable(now.Add(10*time.Second), key), "usable again once the ejection is over")
 		}
 	})
 }
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -1,16 +1,15 @@
-// Package outlier tells upstreams that fail from those that serve, by what
-// became of the requests that were sent to them.
+// Package outlier ejects upstreams that fail more often than others, judged by the
+// outcomes of their requests.
 //
-// It answers an upstream that fails a part of its requests, hangs or resets
-// while its health check is good. A router that goes by health checks, or by
-// the shortest queue, sends such an upstream more than its share, because
-// failing is quick: callers see errors at a rate far above the upstream's part
-// of the fleet. A Detector takes an upstream out for a while when it fails
-// clearly more often than the others of its service, and lets a single request
-// try it afterwards.
+// It protects against an upstream that fails a part of its requests, hangs or resets
+// connections while its health check passes. Because failing is quick, a router that
+// relies on health checks or on the shortest queue sends such an upstream more than
+// its share, and callers see errors at a rate far above the upstream's share of the
+// fleet. A Detector ejects an upstream for a while when it fails clearly more often
+// than the others of its service, and then lets a single request probe it.
 //
-// When all fail alike the cause is not one upstream: none is taken out, or the
-// last one would get everything.
+// If all upstreams fail alike, the cause is not one of them. None is ejected then, as
+// the last one left would get all requests.
 package outlier
 
 import (
@@ -18,99 +17,99 @@
 )
 
 const (
-	// memory is the weight of the latest outcome in an upstream's failure rate:
-	// about the last ten count.
-	memory = 0.1
-	// suspicious is the failure rate from which an upstream is taken out. Plain
-	// services answer up to 15 in 100 reads with an error of their own when
-	// nothing is wrong; over ten outcomes that stays below a third.
-	suspicious = 0.33
-	// excess is how many times the rate of the others it has to be.
-	excess = 2.0
-	// inARow is how many failures without a success take an upstream out,
-	// whatever its rate was before.
-	inARow = 3
-	// firstOut is how long an upstream is out at first; each failed try doubles
-	// it up to maxOut. Restarts take seconds, and each try may cost a request.
-	firstOut = 700 * time.Millisecond
-	maxOut   = 4 * time.Second
-	// trial is how long the request that tries an upstream may take before
-	// another is let through.
-	trial = time.Second
+	// outcomeWeight is the weight of the latest outcome in an upstream's failure rate,
+	// so that about the last ten outcomes count.
+	outcomeWeight = 0.1
+	// ejectionRate is the failure rate from which an upstream is ejected. Plain
+	// services without a fault answer up to 15 in 100 reads with an error of their
+	// own; over ten outcomes that stays below a third.
+	ejectionRate = 0.33
+	// minRateRatio is how many times the mean rate of the others that rate must be.
+	minRateRatio = 2.0
+	// ejectionFailures is the number of consecutive failures that eject an upstream
+	// regardless of its failure rate.
+	ejectionFailures = 3
+	// minEjection is the first ejection time. Each failed probe doubles it, up to
+	// maxEjection. Restarts take seconds, and each probe may cost a request.
+	minEjection = 700 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// probeTimeout is how long a probing request may take before another one is
+	// allowed.
+	probeTimeout = time.Second
 )
 
-// Failure says how an exchange failed.
-type Failure int
+// FailureKind classifies how an exchange failed.
+type FailureKind int
 
 const (
-	// Soft failures are answers with an error, broken and late answers.
-	Soft Failure = iota + 1
-	// Hard failures are connections that can't be opened: nothing is there.
+	// Soft failures are error responses and broken or late answers.
+	Soft FailureKind = iota + 1
+	// Hard failures are connections that can't be opened: nothing listens there.
 	Hard
 )
 
-// standing is what is known of one upstream.
-type standing struct {
-	rate  float64
-	row   int
-	out   time.Duration
-	until time.Time
-	// trying is until when a request that tries the upstream is awaited.
-	trying time.Time
+// upstreamState holds the recent outcomes and the ejection of one upstream.
+type upstreamState struct {
+	failureRate         float64
+	consecutiveFailures int
+	// ejection is the length of the current ejection, zero if there is none.
+	ejection     time.Duration
+	ejectedUntil time.Time
+	// probeUntil is the time until which no other request may probe the upstream.
+	probeUntil time.Time
 }
 
-// Detector keeps the standing of the upstreams of one service. Its zero value
-// trusts all. It is used under its owner's lock.
+// Detector tracks the outcomes of the upstreams of one service. Its zero value ejects
+// none. It isn't safe for concurrent use: its owner's lock protects it.
 type Detector[K comparable] struct {
-	standings map[K]*standing
+	states map[K]*upstreamState
 }
 
-// Success notes an exchange that ended well.
+// Success records a successful exchange, which ends an ejection.
 func (d *Detector[K]) Success(key K) {
-	s := d.of(key)
-	s.rate *= 1 - memory
-	s.row = 0
-	if s.out > 0 {
-		s.rate = min(s.rate, suspicious/2)
+	s := d.state(key)
+	s.failureRate *= 1 - outcomeWeight
+	s.consecutiveFailures = 0
+	if s.ejection > 0 {
+		s.failureRate = min(s.failureRate, ejectionRate/2)
 	}
-	s.out = 0
-	s.until = time.Time{}
+	s.ejection = 0
+	s.ejectedUntil = time.Time{}
 }
 
-// Failure notes an exchange that failed. It reports whether the upstream is
-// taken out because of it.
-func (d *Detector[K]) Failure(now time.Time, key K, kind Failure) bool {
-	s := d.of(key)
-	s.rate += (1 - s.rate) * memory
-	s.row++
-	tried := s.out > 0 && !now.Before(s.until)
-	if kind != Hard && !tried && !d.stands(key, s) {
+// Failure records a failed exchange and reports whether it caused an ejection.
+func (d *Detector[K]) Failure(now time.Time, key K, kind FailureKind) bool {
+	s := d.state(key)
+	s.failureRate += (1 - s.failureRate) * outcomeWeight
+	s.consecutiveFailures++
+	isProbe := s.ejection > 0 && !now.Before(s.ejectedUntil)
+	if kind != Hard && !isProbe && !d.isOutlier(key, s) {
 		return false
 	}
-	if now.Before(s.until) {
+	if now.Before(s.ejectedUntil) {
 		return false
 	}
-	s.out = min(max(2*s.out, firstOut), maxOut)
-	s.until = now.Add(s.out)
-	s.trying = time.Time{}
+	s.ejection = min(max(2*s.ejection, minEjection), maxEjection)
+	s.ejectedUntil = now.Add(s.ejection)
+	s.probeUntil = time.Time{}
 	return true
 }
 
-// stands reports whether an upstream stands out by its failures.
-func (d *Detector[K]) stands(key K, s *standing) bool {
-	others := d.others(key)
-	if s.row >= inARow && others < suspicious {
+// isOutlier reports whether an upstream fails clearly more often than the others.
+func (d *Detector[K]) isOutlier(key K, s *upstreamState) bool {
+	others := d.meanRateOfOthers(key)
+	if s.consecutiveFailures >= ejectionFailures && others < ejectionRate {
 		return true
 	}
-	return s.rate >= suspicious && s.rate >= excess*others
+	return s.failureRate >= ejectionRate && s.failureRate >= minRateRatio*others
 }
 
-// others returns the mean failure rate of the other upstreams.
-func (d *Detector[K]) others(key K) float64 {
+// meanRateOfOthers returns the mean failure rate of the other upstreams.
+func (d *Detector[K]) meanRateOfOthers(key K) float64 {
 	sum, count := 0.0, 0
-	for other, s := range d.standings {
+	for other, s := range d.states {
 		if other != key {
-			sum += s.rate
+			sum += s.failureRate
 			count++
 		}
 	}
@@ -120,42 +119,42 @@
 	return sum / float64(count)
 }
 
-// Usable reports whether a request may be sent to an upstream. After its time
-// out a single request at a time may try it.
+// Usable reports whether a request may be sent to an upstream. After an ejection one
+// request at a time may probe it.
 func (d *Detector[K]) Usable(now time.Time, key K) bool {
-	s := d.standings[key]
-	if s == nil || s.out == 0 {
+	s := d.states[key]
+	if s == nil || s.ejection == 0 {
 		return true
 	}
-	return !now.Before(s.until) && !now.Before(s.trying)
+	return !now.Before(s.ejectedUntil) && !now.Before(s.probeUntil)
 }
 
-// Try notes that a request is sent to an upstream.
+// Try records that a request is sent to an upstream; after an ejection it is the probe.
 func (d *Detector[K]) Try(now time.Time, key K) {
-	s := d.standings[key]
-	if s != nil && s.out > 0 {
-		s.trying = now.Add(trial)
+	s := d.states[key]
+	if s != nil && s.ejection > 0 {
+		s.probeUntil = now.Add(probeTimeout)
 	}
 }
 
-// Keep forgets the upstreams that are not among keys.
+// Keep drops the state of all upstreams that are not in keys.
 func (d *Detector[K]) Keep(keys map[K]bool) {
-	for key := range d.standings {
+	for key := range d.states {
 		if !keys[key] {
-			delete(d.standings, key)
+			delete(d.states, key)
 		}
 	}
 }
 
-func (d *Detector[K]) of(key K) *standing {
-	s := d.standings[key]
+func (d *Detector[K]) state(key K) *upstreamState {
+	s := d.states[key]
 	if s != nil {
 		return s
 	}
-	if d.standings == nil {
-		d.standings = make(map[K]*standing)
+	if d.states == nil {
+		d.states = make(map[K]*upstreamState)
 	}
-	s = &standing{}
-	d.standings[key] = s
+	s = &upstreamState{}
+	d.states[key] = s
 	return s
 }
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -12,9 +12,10 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// play sends requests to n upstreams in turn, one each 10 ms, of which those
-// below failing fail with a probability, and counts the requests by upstream.
-func play(n, failing int, probability float64, base float64) (sent []int, failures int) {
+// simulate sends a request every 10 ms to n upstreams in turn. Those below failing fail
+// with the given probability, the others with the base probability. It returns the
+// number of requests per upstream and of all failures.
+func simulate(n, failing int, probability float64, base float64) (sent []int, failures int) {
 	var d outlier.Detector[int]
 	random := rand.New(rand.NewPCG(1, 2))
 	sent = make([]int, n)
@@ -46,58 +47,58 @@
 	return sent, failures
 }
 
-// One of nine upstreams fails nearly half of its requests, quickly, while its
-// health check is good. Taken in turn it would fail 150 callers' requests of
-// 3,000; it is left alone after a few, and tried now and then.
+// One of nine upstreams fails nearly half of its requests, quickly, while its health
+// check passes. In plain rotation it would fail 150 of 3,000 requests; it must be
+// ejected after a few and only probed from time to time.
 func TestUpstreamThatFailsOftenIsLeft(t *testing.T) {
 	t.Parallel()
-	sent, failures := play(9, 1, 0.45, 0)
+	sent, failures := simulate(9, 1, 0.45, 0)
 	require.Less(t, sent[0], 170)
 	require.Less(t, failures, 75)
 }
 
-// All upstreams fail nearly half of their requests, since what they depend on
-// is down. Were they all taken out, the rest of the requests would have
-// nowhere to go, or all go to the last.
+// All upstreams fail nearly half of their requests, since a dependency of theirs is
+// down. If they were ejected, requests would have no upstream left, or all go to the
+// last one.
 func TestFailureOfAllTakesNoneOut(t *testing.T) {
 	t.Parallel()
-	sent, _ := play(6, 6, 0.45, 0)
+	sent, _ := simulate(6, 6, 0.45, 0)
 	for _, count := range sent {
 		require.InDelta(t, 500, count, 300)
 	}
 }
 
-// An application answers 14 in 100 reads with an error of its own. That is no
-// reason to leave it.
+// An application that answers 14 in 100 reads with an error of its own must not be
+// ejected.
 func TestUsualErrorsAreNoReasonToLeave(t *testing.T) {
 	t.Parallel()
-	sent, _ := play(3, 0, 0, 0.14)
+	sent, _ := simulate(3, 0, 0, 0.14)
 	for _, count := range sent {
 		require.InDelta(t, 1_000, count, 200)
 	}
 }
 
-// A machine is dead: its connections can't be opened. The first one that fails
-// is enough, and the tries become rarer.
+// Connections to a dead machine can't be opened. The first failure must eject it, and
+// probes must become rarer.
 func TestDeadUpstreamIsLeftAtOnceAndTriedRarely(t *testing.T) {
 	t.Parallel()
 	var d outlier.Detector[string]
 	require.True(t, d.Failure(start, "a", outlier.Hard))
-	tries := 0
+	probes := 0
 	for i := range 2_000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		if !d.Usable(now, "a") {
 			continue
 		}
-		tries++
+		probes++
 		d.Try(now, "a")
 		d.Failure(now, "a", outlier.Hard)
 	}
-	require.InDelta(t, 7, tries, 3)
+	require.InDelta(t, 7, probes, 3)
 	later := start.Add(time.Minute)
 	require.True(t, d.Usable(later, "a"))
 	d.Try(later, "a")
-	require.False(t, d.Usable(later, "a"), "a second request while the first tries")
+	require.False(t, d.Usable(later, "a"), "a second request during a probe")
 	d.Success("a")
 	require.True(t, d.Usable(later, "a"))
 }
