--- a/quarantine/entry.go
+++ b/quarantine/entry.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Entry is a request that is refused, as it is kept while no router runs.
+// Entry is a refused request as it is persisted for the time when no router runs.
 type Entry struct {
 	Request Fingerprint
-	// Until is the end of the term by the time of day.
+	// Until is the wall-clock time at which the term ends.
 	Until time.Time
 	Term  time.Duration
 }
 
-// Restore takes entries that were kept.
-func (w *Watch) Restore(now time.Time, kept []Entry) {
+// Restore loads persisted entries and ignores those that have expired.
+func (w *Watch) Restore(now time.Time, entries []Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, k := range kept {
-		if e := (entry{until: k.Until, term: k.Term}); !e.isOver(now) {
-			w.list.put(now, k.Request, e)
+	for _, e := range entries {
+		if t := (refusalTerm{until: e.Until, term: e.Term}); !t.isExpired(now) {
+			w.refusals.put(now, e.Request, t)
 		}
 	}
 }
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -8,17 +8,18 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// Fingerprint stands for all requests that are alike: of the same account, with the same
-// method, host, path and body. Zero stands for none.
+// Fingerprint identifies equal requests: those with the same account, method, host, path
+// and query, and body. Zero means none.
 type Fingerprint uint64
 
-// String returns the fingerprint as the log shows it.
+// String returns the fingerprint in hexadecimal, as it appears in the log.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
 
-// MarshalText makes it a text in logs of JSON, whose readers round large numbers.
+// MarshalText makes JSON logs show the fingerprint as text, since readers of JSON round
+// large numbers.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// Request is what a Fingerprint is made from.
+// Request holds the fields that make up a Fingerprint.
 type Request struct {
 	Account fleet.AccountID
 	Method  string
@@ -33,7 +34,7 @@
 	digest := xxhash.New()
 	for _, field := range []string{string(r.Account), r.Method, r.Host, r.URI} {
 		_, _ = digest.WriteString(field)
-		_, _ = digest.Write([]byte{0}) // keeps the ends of fields apart
+		_, _ = digest.Write([]byte{0}) // separates the fields
 	}
 	_, _ = digest.Write(r.Body)
 	return Fingerprint(max(digest.Sum64(), 1))
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -24,7 +24,7 @@
 		{"another host", func(r *quarantine.Request) { r.Host = "g" }, false},
 		{"another path", func(r *quarantine.Request) { r.URI = "/a/2" }, false},
 		{"another body", func(r *quarantine.Request) { r.Body = []byte("c") }, false},
-		{"a byte that moved to the next field", func(r *quarantine.Request) { r.Host = "h/"; r.URI = "a/1" }, false},
+		{"a byte moved to the next field", func(r *quarantine.Request) { r.Host = "h/"; r.URI = "a/1" }, false},
 	}
 	for _, c := range cases {
 		changed := base
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against log lines of one request that don't show the same fingerprint, since
-// readers of JSON round it.
+// Guards against log lines that show different fingerprints for one request because
+// readers of JSON rounded the number.
 func TestFingerprintIsATextInTheLog(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// suspectedAfter and refusedAfter are how many upstreams end under a request, one
-	// after the other and without a success, before it is suspected and refused.
-	suspectedAfter = 2
-	refusedAfter   = 3
-	// evidenceLife is how long a crash counts.
-	evidenceLife = 5 * time.Minute
-	// clockSlack is how much reports of one event may differ in their age.
+	// A request is suspected after suspectedCrashes and refused after refusedCrashes
+	// crashes of upstreams, one after the other and without a success in between.
+	suspectedCrashes = 2
+	refusedCrashes   = 3
+	// crashTTL is how long after the last crash of a request its crashes count.
+	crashTTL = 5 * time.Minute
+	// clockSlack is how much reports of one event may differ in its age.
 	clockSlack = 10 * time.Millisecond
-	// togetherWithin is the time within which upstreams end that end by one cause. A retry
-	// may begin and break off meanwhile.
-	togetherWithin = 50 * time.Millisecond
-	// generationSize is how many requests are remembered at least. Up to twice as many are.
+	// commonCauseWindow is the time within which crashes are taken to have a common
+	// cause. A retry may start and fail within it.
+	commonCauseWindow = 50 * time.Millisecond
+	// generationSize is the number of crash records per generation. At least that many
+	// and at most twice as many are kept.
 	generationSize = 2048
 )
 
-// Crash is the end of an upstream while it ran a request.
+// Crash is a crash of an upstream while it ran a request.
 type Crash struct {
 	Request  Fingerprint
 	Upstream turn.Instance
-	// Began and Ended are how long ago the request began to run and the upstream ended.
+	// Began and Ended are how long ago the request started to run and the upstream
+	// crashed.
 	Began, Ended time.Duration
-	// Served is how long ago the request was last served at the router that tells of
-	// the crash, zero for never.
+	// Served is how long ago the reporting router last served the request, zero for
+	// never.
 	Served time.Duration
 }
 
-// Standing is what a ledger says of a request.
+// Standing is the state of a request in the quarantine.
 type Standing int
 
 // The standings of a request.
@@ -43,92 +45,96 @@
 	Refused
 )
 
-// record is the evidence against one request.
-type record struct {
-	// count is how many crashes count, first and last when their upstreams ended.
-	count       int
-	first, last time.Time
-	// ended are the upstreams of all its crashes.
-	ended map[turn.Instance]bool
+// crashRecord holds the crashes of one request.
+type crashRecord struct {
+	// crashes is the number of crashes that count, firstCrash and lastCrash are the
+	// times of the first and the last of them.
+	crashes               int
+	firstCrash, lastCrash time.Time
+	// upstreams holds the upstreams of all crashes, also of those that don't count.
+	upstreams map[turn.Instance]bool
 }
 
-// ledger counts the upstreams that ended under each request. Its zero value is empty.
+// crashCounter counts the upstreams that crashed under each request. Its zero value is
+// empty.
 //
-// Upstreams that end together, as in a power cut, count once: a crash only counts if the
-// request began to run after the crash before it, and clearly later. A success clears the
-// request, so a popular one that runs everywhere collects nothing.
-type ledger struct {
-	// records are those with a recent crash, older those of the generation before. When
-	// records is full it becomes older, and what was older is dropped.
-	records map[Fingerprint]*record
-	older   map[Fingerprint]*record
+// Upstreams that end together, as in a power cut, count once: a crash counts only if the
+// request started after the previous crash and the upstream ended clearly later than that
+// one. A success clears the request, so a popular request that runs everywhere isn't
+// blamed.
+type crashCounter struct {
+	// Records are kept in two generations. When current is full it replaces previous,
+	// whose records are dropped.
+	current  map[Fingerprint]*crashRecord
+	previous map[Fingerprint]*crashRecord
 }
 
-// report takes a crash, and returns the standing of its request if that has changed.
-func (l *ledger) report(now time.Time, c Crash) Standing {
-	r := l.of(now, c.Request)
-	if r.count > 0 && c.Served > 0 && now.Add(-c.Served).After(r.last) {
-		l.clear(c.Request)
-		r = l.of(now, c.Request)
+// count records a crash. It returns the new standing of the request, or Unremarkable if
+// the crash doesn't change it.
+func (c *crashCounter) count(now time.Time, crash Crash) Standing {
+	r := c.record(now, crash.Request)
+	if r.crashes > 0 && crash.Served > 0 && now.Add(-crash.Served).After(r.lastCrash) {
+		c.clear(crash.Request)
+		r = c.record(now, crash.Request)
 	}
-	if r.ended[c.Upstream] {
+	if r.upstreams[crash.Upstream] {
 		return Unremarkable
 	}
-	r.ended[c.Upstream] = true
-	began, ended := now.Add(-c.Began), now.Add(-c.Ended)
-	if r.count > 0 && (began.Before(r.last.Add(-clockSlack)) || ended.Before(r.last.Add(togetherWithin))) {
+	r.upstreams[crash.Upstream] = true
+	began, ended := now.Add(-crash.Began), now.Add(-crash.Ended)
+	if r.crashes > 0 && (began.Before(r.lastCrash.Add(-clockSlack)) || ended.Before(r.lastCrash.Add(commonCauseWindow))) {
 		return Unremarkable
 	}
-	if r.count == 0 {
-		r.first = ended
+	if r.crashes == 0 {
+		r.firstCrash = ended
 	}
-	r.count++
-	r.last = ended
+	r.crashes++
+	r.lastCrash = ended
 	switch {
-	case r.count >= refusedAfter:
+	case r.crashes >= refusedCrashes:
 		return Refused
-	case r.count >= suspectedAfter:
+	case r.crashes >= suspectedCrashes:
 		return Suspected
 	default:
 		return Unremarkable
 	}
 }
 
-// since returns how long ago the first crash under a request was.
-func (l *ledger) since(now time.Time, request Fingerprint) time.Duration {
-	if r := l.records[request]; r != nil {
-		return now.Sub(r.first)
+// sinceFirstCrash returns how long ago the first counted crash of a request was.
+func (c *crashCounter) sinceFirstCrash(now time.Time, request Fingerprint) time.Duration {
+	if r := c.current[request]; r != nil {
+		return now.Sub(r.firstCrash)
 	}
 	return 0
 }
 
-func (l *ledger) clear(request Fingerprint) {
-	delete(l.records, request)
-	delete(l.older, request)
+func (c *crashCounter) clear(request Fingerprint) {
+	delete(c.current, request)
+	delete(c.previous, request)
 }
 
-// of returns the record of a request, a new one if there is none that still counts.
-func (l *ledger) of(now time.Time, request Fingerprint) *record {
-	r := l.records[request]
+// record returns the record of a request, a new one if there is none or it has expired.
+func (c *crashCounter) record(now time.Time, request Fingerprint) *crashRecord {
+	r := c.current[request]
 	if r == nil {
-		r = l.older[request]
+		r = c.previous[request]
 	}
-	if r == nil || (r.count > 0 && now.Sub(r.last) >= evidenceLife) {
-		r = &record{ended: make(map[turn.Instance]bool)}
+	if r == nil || (r.crashes > 0 && now.Sub(r.lastCrash) >= crashTTL) {
+		r = &crashRecord{upstreams: make(map[turn.Instance]bool)}
 	}
-	l.keep(request, r)
+	c.store(request, r)
 	return r
 }
 
-// keep puts a record into the latest generation.
-func (l *ledger) keep(request Fingerprint, r *record) {
-	if l.records[request] == r {
+// store puts a record into the current generation.
+func (c *crashCounter) store(request Fingerprint, r *crashRecord) {
+	if c.current[request] == r {
 		return
 	}
-	if l.records == nil || len(l.records) >= generationSize {
-		l.older = l.records
-		l.records = make(map[Fingerprint]*record)
+	if c.current == nil || len(c.current) >= generationSize {
+		c.previous = c.current
+		c.current = make(map[Fingerprint]*crashRecord)
 	}
-	l.records[request] = r
-	delete(l.older, request)
+	c.current[request] = r
+	delete(c.previous, request)
 }
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -2,105 +2,106 @@
 
 import "time"
 
-// terms are for how long a request is refused at first, and each time that it crashes an
-// upstream again after that. The first is short, since a sound request may have been
-// unlucky; a request that does crash upstreams ends three more of them in a day.
-var terms = [...]time.Duration{30 * time.Second, 5 * time.Minute, time.Hour, 24 * time.Hour}
+// termLengths are the times for which a request is refused, one step further each time it
+// crashes an upstream again after its term. The first is short, since a harmless request
+// may have been at crashing upstreams by chance; with these terms a request that does
+// crash upstreams ends three more of them in a day.
+var termLengths = [...]time.Duration{30 * time.Second, 5 * time.Minute, time.Hour, 24 * time.Hour}
 
 const (
-	// probation is how long after its term one crash is enough to refuse a request again.
+	// probation is how long after a term one crash is enough to refuse the request again.
 	probation = time.Hour
-	// maxEntries bounds the requests that are refused.
+	// maxEntries is the maximum number of refused requests.
 	maxEntries = 1024
 )
 
-// entry is a request that is refused, or was of late.
-type entry struct {
+// refusalTerm is the latest term for which a request is or was refused.
+type refusalTerm struct {
 	until time.Time
 	term  time.Duration
 }
 
-// isOver reports whether an entry says nothing any more.
-func (e entry) isOver(now time.Time) bool { return now.Sub(e.until) > probation }
+// isExpired reports whether the term and the probation after it are over.
+func (t refusalTerm) isExpired(now time.Time) bool { return now.Sub(t.until) > probation }
 
-// bounded returns an entry that ends within the longest term: what other routers and the store
-// tell may be of any length.
-func (e entry) bounded(now time.Time) entry {
-	longest := terms[len(terms)-1]
-	if latest := now.Add(longest); e.until.After(latest) {
-		e.until = latest
+// clamped limits the term and its end to the longest term, since other routers and the
+// store may send any duration.
+func (t refusalTerm) clamped(now time.Time) refusalTerm {
+	longest := termLengths[len(termLengths)-1]
+	if latest := now.Add(longest); t.until.After(latest) {
+		t.until = latest
 	}
-	e.term = min(e.term, longest)
-	return e
+	t.term = min(t.term, longest)
+	return t
 }
 
-// list holds the requests that are refused. Its zero value is empty.
-type list struct {
-	entries map[Fingerprint]entry
+// refusalList holds the requests that are refused or on probation. Its zero value is empty.
+type refusalList struct {
+	terms map[Fingerprint]refusalTerm
 }
 
-// refuse refuses a request for a time, of a term of which a part may be over. It returns
-// false if it is refused as long already.
-func (l *list) refuse(now time.Time, request Fingerprint, left, term time.Duration) bool {
-	return l.put(now, request, entry{until: now.Add(left), term: term})
+// refuse refuses a request for the remainder of a term. It returns false if the request
+// is already refused for as long.
+func (l *refusalList) refuse(now time.Time, request Fingerprint, left, term time.Duration) bool {
+	return l.put(now, request, refusalTerm{until: now.Add(left), term: term})
 }
 
-// put keeps an entry, and returns false if one that ends as late is known.
-func (l *list) put(now time.Time, request Fingerprint, e entry) bool {
-	e = e.bounded(now)
-	if !e.until.After(l.entries[request].until.Add(clockSlack)) {
+// put stores a term. It returns false if one that ends as late is already stored.
+func (l *refusalList) put(now time.Time, request Fingerprint, t refusalTerm) bool {
+	t = t.clamped(now)
+	if !t.until.After(l.terms[request].until.Add(clockSlack)) {
 		return false
 	}
-	if l.entries == nil {
-		l.entries = make(map[Fingerprint]entry)
+	if l.terms == nil {
+		l.terms = make(map[Fingerprint]refusalTerm)
 	}
 	l.expire(now)
-	l.entries[request] = e
+	l.terms[request] = t
 	return true
 }
 
-// left returns for how long a request is refused, zero if it isn't.
-func (l *list) left(now time.Time, request Fingerprint) time.Duration {
-	return max(l.entries[request].until.Sub(now), 0)
+// remaining returns how long a request is still refused, zero if it isn't.
+func (l *refusalList) remaining(now time.Time, request Fingerprint) time.Duration {
+	return max(l.terms[request].until.Sub(now), 0)
 }
 
-// isOnProbation reports whether a request was refused of late and isn't now.
-func (l *list) isOnProbation(now time.Time, request Fingerprint) bool {
-	e, known := l.entries[request]
-	return known && !now.Before(e.until) && !e.isOver(now)
+// isOnProbation reports whether a request's term is over but its probation isn't.
+func (l *refusalList) isOnProbation(now time.Time, request Fingerprint) bool {
+	t, known := l.terms[request]
+	return known && !now.Before(t.until) && !t.isExpired(now)
 }
 
-// nextTerm returns for how long a request is refused the next time.
-func (l *list) nextTerm(request Fingerprint) time.Duration {
-	last := l.entries[request].term
-	for _, term := range terms {
+// nextTerm returns how long a request is refused the next time.
+func (l *refusalList) nextTerm(request Fingerprint) time.Duration {
+	last := l.terms[request].term
+	for _, term := range termLengths {
 		if term > last {
 			return term
 		}
 	}
-	return terms[len(terms)-1]
+	return termLengths[len(termLengths)-1]
 }
 
-// release ends a term. It returns false if the request wasn't refused of late.
-func (l *list) release(request Fingerprint) bool {
-	_, known := l.entries[request]
-	delete(l.entries, request)
+// release removes a request. It returns false if it was neither refused nor on probation.
+func (l *refusalList) release(request Fingerprint) bool {
+	_, known := l.terms[request]
+	delete(l.terms, request)
 	return known
 }
 
-// expire drops the entries that are over, and the one that ends first if there are too many.
-func (l *list) expire(now time.Time) {
-	var first Fingerprint
-	for request, e := range l.entries {
-		if e.isOver(now) {
-			delete(l.entries, request)
+// expire drops expired terms, and the one that ends first if there are too many.
+func (l *refusalList) expire(now time.Time) {
+	var earliest Fingerprint
+	for request, t := range l.terms {
+		if t.isExpired(now) {
+			delete(l.terms, request)
 			continue
 		}
-		if first == 0 || e.until.Before(l.entries[first].until) {
-			first = request
+		if earliest == 0 || t.until.Before(l.terms[earliest].until) {
+			earliest = request
 		}
 	}
-	if len(l.entries) >= maxEntries {
-		delete(l.entries, first)
+	if len(l.terms) >= maxEntries {
+		delete(l.terms, earliest)
 	}
 }
--- a/quarantine/machine_test.go
+++ b/quarantine/machine_test.go
@@ -13,11 +13,11 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// longestTerm is the longest time for which the users let a request be refused at once.
+// longestTerm is the longest time for which users accept that a request is refused at once.
 const longestTerm = 24 * time.Hour
 
-// Guards against a process that ends, or a request that is refused for longer than a day at
-// once, because of what other routers report.
+// Guards against a panic, or a request that is refused for longer than a day at once,
+// because of reports from other routers.
 func TestWatchOutlivesAnyReport(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine finds requests that crash the upstreams that run them, and says
-// which requests are refused for that.
+// Package quarantine detects requests that crash the upstreams that run them, and refuses
+// them for a time.
 //
-// Such a request comes again and again, from its caller and as a retry of the fleet, at
-// any router, and each time an upstream ends together with all that it runs. One
-// crash tells nothing: the dozens of requests beside it break off at the same moment.
+// Such a request is sent again and again, by its caller or as a retry, through any router,
+// and each time an upstream crashes together with everything it runs. A single crash
+// doesn't identify the request: dozens of others fail at the same moment.
 package quarantine
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// recentSize is how many requests that were served are remembered.
-const recentSize = 4096
+// maxServed is the number of served requests that are remembered.
+const maxServed = 4096
 
-// recent remembers which requests were served last, and when. Its zero value is empty.
-type recent struct {
-	at    map[Fingerprint]time.Time
-	order []Fingerprint
-	next  int
+// servedRequests holds when the most recently served requests were served. Its zero value
+// is empty.
+type servedRequests struct {
+	servedAt map[Fingerprint]time.Time
+	order    []Fingerprint
+	next     int
 }
 
-func (r *recent) add(now time.Time, request Fingerprint) {
-	if r.at == nil {
-		r.at = make(map[Fingerprint]time.Time)
+func (r *servedRequests) add(now time.Time, request Fingerprint) {
+	if r.servedAt == nil {
+		r.servedAt = make(map[Fingerprint]time.Time)
 	}
-	_, known := r.at[request]
-	r.at[request] = now
+	_, known := r.servedAt[request]
+	r.servedAt[request] = now
 	switch {
 	case known:
-	case len(r.order) < recentSize:
+	case len(r.order) < maxServed:
 		r.order = append(r.order, request)
 	default:
-		delete(r.at, r.order[r.next])
+		delete(r.servedAt, r.order[r.next])
 		r.order[r.next] = request
-		r.next = (r.next + 1) % recentSize
+		r.next = (r.next + 1) % maxServed
 	}
 }
 
-// ago returns how long ago a request was served, and whether it is known to have been.
-func (r *recent) ago(now time.Time, request Fingerprint) (time.Duration, bool) {
-	at, known := r.at[request]
+// since returns how long ago a request was served, false if that isn't known.
+func (r *servedRequests) since(now time.Time, request Fingerprint) (time.Duration, bool) {
+	at, known := r.servedAt[request]
 	return now.Sub(at), known
 }
--- a/quarantine/watch.go
+++ b/quarantine/watch.go
@@ -5,135 +5,138 @@
 	"time"
 )
 
-// Verdict is what a router tells all others of a request.
+// Verdict is what a router broadcasts about a request.
 type Verdict struct {
 	Request Fingerprint
-	// Standing is Unremarkable when an earlier verdict is taken back.
+	// Standing is Unremarkable when an earlier verdict is withdrawn.
 	Standing Standing
-	// Since is how long ago the first crash under the request was.
+	// Since is how long ago the first crash of the request was.
 	Since time.Duration
-	// Term is for how long a request that is Refused is refused in all, and Left from now on.
+	// Term is the whole time for which a Refused request is refused, Left what remains of
+	// it.
 	Term, Left time.Duration
 }
 
-// Watch is one router's part in finding requests that crash upstreams. Its zero value is
-// ready to use. It is safe for concurrent use.
+// Watch detects and refuses requests that crash upstreams, together with the watches of
+// the other routers. Its zero value is ready to use. It is safe for concurrent use.
 //
-// Each crash is reported to a few routers that are chosen by the request, which count. They
-// tell all routers when a request is suspected and when it is refused. A router that has
-// served the request since its first crash objects, which clears it.
+// Each crash is reported to a few counting routers, which are chosen by the request. They
+// broadcast a verdict when a request becomes suspected or refused. A router that has
+// served the request since its first crash objects, which clears the request.
 type Watch struct {
-	mu     sync.Mutex
-	ledger ledger
-	list   list
-	recent recent
+	mu       sync.Mutex
+	crashes  crashCounter
+	refusals refusalList
+	served   servedRequests
 }
 
-// Refuses returns for how long a request is refused, zero if it isn't.
+// Refuses returns how long a request is still refused, zero if it isn't.
 func (w *Watch) Refuses(now time.Time, request Fingerprint) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.list.left(now, request)
+	return w.refusals.remaining(now, request)
 }
 
-// IsOnProbation reports whether a request was refused of late. It is sent, and not
-// repeated if it breaks off.
+// IsOnProbation reports whether a request was recently refused. Such a request is sent
+// upstream, but not retried if it fails.
 func (w *Watch) IsOnProbation(now time.Time, request Fingerprint) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.list.isOnProbation(now, request)
+	return w.refusals.isOnProbation(now, request)
 }
 
-// Served notes that an upstream has answered a request. It returns a verdict for all
-// routers if the request is refused, or was of late: a run that began before may end well.
+// Served records that an upstream has answered a request. If the request is refused or on
+// probation, it clears it and returns a verdict to broadcast: a run that started before
+// the refusal may succeed.
 func (w *Watch) Served(now time.Time, request Fingerprint) (Verdict, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.recent.add(now, request)
-	if !w.list.release(request) {
+	w.served.add(now, request)
+	if !w.refusals.release(request) {
 		return Verdict{}, false
 	}
-	w.ledger.clear(request)
+	w.crashes.clear(request)
 	return Verdict{Request: request}, true
 }
 
-// Crashed notes that an upstream ended while it ran a request of this router. It returns
-// either what has to be reported to those that count, or a verdict for all routers, if
-// the request was refused of late and is refused again.
+// Crashed records that an upstream crashed while it ran a request of this router. It
+// returns the crash to report to the counting routers or, if the request was on probation
+// and is refused again, a verdict to broadcast.
 func (w *Watch) Crashed(now time.Time, crash Crash) (Crash, Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if ago, served := w.recent.ago(now, crash.Request); served {
+	if ago, served := w.served.since(now, crash.Request); served {
 		crash.Served = max(ago, 1)
 	}
-	if !w.list.isOnProbation(now, crash.Request) {
+	if !w.refusals.isOnProbation(now, crash.Request) {
 		return crash, Verdict{}
 	}
-	return crash, w.refuse(now, crash.Request, crash.Ended)
+	return crash, w.startTerm(now, crash.Request, crash.Ended)
 }
 
-// refuse refuses a request for its next term.
-func (w *Watch) refuse(now time.Time, request Fingerprint, since time.Duration) Verdict {
-	term := w.list.nextTerm(request)
-	w.list.refuse(now, request, term, term)
+// startTerm refuses a request for its next term.
+func (w *Watch) startTerm(now time.Time, request Fingerprint, since time.Duration) Verdict {
+	term := w.refusals.nextTerm(request)
+	w.refusals.refuse(now, request, term, term)
 	return Verdict{Request: request, Standing: Refused, Since: since, Term: term, Left: term}
 }
 
-// Report takes a crash of any router, as one of those that count. It returns a verdict for
-// all routers if there is one.
+// Report counts a crash that a router reported to this one as a counting router. It
+// returns a verdict to broadcast, if there is one.
 func (w *Watch) Report(now time.Time, crash Crash) (Verdict, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	standing := w.ledger.report(now, crash)
-	if standing == Unremarkable || w.list.left(now, crash.Request) > 0 {
+	standing := w.crashes.count(now, crash)
+	if standing == Unremarkable || w.refusals.remaining(now, crash.Request) > 0 {
 		return Verdict{}, false
 	}
-	v := Verdict{Request: crash.Request, Standing: standing, Since: w.ledger.since(now, crash.Request)}
-	if w.servedSince(now, v) {
-		w.ledger.clear(crash.Request)
+	v := Verdict{Request: crash.Request, Standing: standing, Since: w.crashes.sinceFirstCrash(now, crash.Request)}
+	if w.servedSinceFirstCrash(now, v) {
+		w.crashes.clear(crash.Request)
 		return Verdict{}, false
 	}
 	if standing == Refused {
-		v = w.refuse(now, crash.Request, v.Since)
+		v = w.startTerm(now, crash.Request, v.Since)
 	}
 	return v, true
 }
 
-// Receive takes the verdict of another router. It returns an objection for all routers if
-// this one has served the request meanwhile, and whether the verdict changed what is refused.
+// Receive applies the verdict of another router. If this router has served the request
+// since its first crash, it returns an objection to broadcast. It also returns whether the
+// verdict changed which requests are refused.
 func (w *Watch) Receive(now time.Time, v Verdict) (objection Verdict, objects, changed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if v.Standing == Unremarkable {
-		w.ledger.clear(v.Request)
-		return Verdict{}, false, w.list.release(v.Request)
+		w.crashes.clear(v.Request)
+		return Verdict{}, false, w.refusals.release(v.Request)
 	}
-	if w.servedSince(now, v) {
-		w.ledger.clear(v.Request)
-		return Verdict{Request: v.Request}, true, w.list.release(v.Request)
+	if w.servedSinceFirstCrash(now, v) {
+		w.crashes.clear(v.Request)
+		return Verdict{Request: v.Request}, true, w.refusals.release(v.Request)
 	}
 	if v.Standing == Refused {
-		changed = w.list.refuse(now, v.Request, v.Left, v.Term)
+		changed = w.refusals.refuse(now, v.Request, v.Left, v.Term)
 	}
 	return Verdict{}, false, changed
 }
 
-// Refused returns a verdict for each request that is refused, for a router that has
-// just connected.
+// Refused returns a verdict for each refused request, to be sent to a router that has just
+// connected.
 func (w *Watch) Refused(now time.Time) []Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var all []Verdict
-	for request, e := range w.list.entries {
-		if left := w.list.left(now, request); left > 0 {
-			all = append(all, Verdict{Request: request, Standing: Refused, Term: e.term, Left: left})
+	var verdicts []Verdict
+	for request, t := range w.refusals.terms {
+		if left := w.refusals.remaining(now, request); left > 0 {
+			verdicts = append(verdicts, Verdict{Request: request, Standing: Refused, Term: t.term, Left: left})
 		}
 	}
-	return all
+	return verdicts
 }
 
-// servedSince reports whether this router has served a request since its first crash.
-func (w *Watch) servedSince(now time.Time, v Verdict) bool {
-	ago, served := w.recent.ago(now, v.Request)
+// servedSinceFirstCrash reports whether this router has served a request since its first crash.
+func (w *Watch) servedSinceFirstCrash(now time.Time, v Verdict) bool {
+	ago, served := w.served.since(now, v.Request)
 	return served && ago < v.Since
 }
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -20,62 +20,62 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// routers are the watches of a fleet, of which the first counts.
-type routers struct {
+// testRouters are the watches of a fleet. The first one is the counting router.
+type testRouters struct {
 	now     time.Time
 	watches []*quarantine.Watch
-	ended   int
+	crashed int
 }
 
-func newRouters(count int) *routers {
-	f := &routers{now: epoch}
+func newRouters(count int) *testRouters {
+	f := &testRouters{now: epoch}
 	for range count {
 		f.watches = append(f.watches, &quarantine.Watch{})
 	}
 	return f
 }
 
-// tell brings a verdict to all routers, and objections back.
-func (f *routers) tell(v quarantine.Verdict) {
+// broadcast sends a verdict to all routers, and then the first objection, if any.
+func (f *testRouters) broadcast(v quarantine.Verdict) {
 	for _, w := range f.watches {
 		if objection, objects, _ := w.Receive(f.now, v); objects {
-			f.tell(objection)
+			f.broadcast(objection)
 			return
 		}
 	}
 }
 
-// crash ends an upstream under the request, which a router sent.
-func (f *routers) crash(router int, upstream turn.Instance, ran time.Duration) {
+// crash simulates the crash of an upstream that ran the request of a router.
+func (f *testRouters) crash(router int, upstream turn.Instance, ran time.Duration) {
 	report, verdict := f.watches[router].Crashed(f.now, quarantine.Crash{Request: request, Upstream: upstream, Began: ran})
 	if verdict.Standing == quarantine.Refused {
-		f.tell(verdict)
+		f.broadcast(verdict)
 		return
 	}
-	if verdict, some := f.watches[0].Report(f.now, report); some {
-		f.tell(verdict)
+	if verdict, ok := f.watches[0].Report(f.now, report); ok {
+		f.broadcast(verdict)
 	}
 }
 
-// crashNext ends another upstream under a run of the request that begins now.
-func (f *routers) crashNext(router int) {
+// crashNextUpstream simulates a new run of the request that crashes another upstream.
+func (f *testRouters) crashNextUpstream(router int) {
 	f.now = f.now.Add(2 * runTime)
-	f.ended++
-	f.crash(router, upstreamNumber(f.ended), runTime)
+	f.crashed++
+	f.crash(router, upstreamNumber(f.crashed), runTime)
 }
 
 func upstreamNumber(n int) turn.Instance {
 	return turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("u%d", n)), Life: 1}
 }
 
-func (f *routers) serve(router int) {
-	if verdict, some := f.watches[router].Served(f.now, request); some {
-		f.tell(verdict)
+func (f *testRouters) serve(router int) {
+	if verdict, ok := f.watches[router].Served(f.now, request); ok {
+		f.broadcast(verdict)
 	}
 }
 
-// refusing returns how many routers refuse the request.
-func (f *routers) refusing() int {
+// refusingCount returns how many routers refuse the request.
+func (f *testRouters) refusingCount() int {
 	count := 0
 	for _, w := range f.watches {
 		if w.Refuses(f.now, request) > 0 {
@@ -85,34 +85,34 @@
 	return count
 }
 
-// Guards against a request that crashes upstreams being sent on after the third, at any router.
+// Guards against any router sending a request upstream after it has crashed three upstreams.
 func TestRequestIsRefusedEverywhereAfterThreeCrashes(t *testing.T) {
 	t.Parallel()
 	f := newRouters(5)
 	for router := 1; router <= 2; router++ {
-		f.crashNext(router)
-		require.Zero(t, f.refusing())
+		f.crashNextUpstream(router)
+		require.Zero(t, f.refusingCount())
 	}
-	f.crashNext(3)
-	require.Equal(t, 5, f.refusing())
+	f.crashNextUpstream(3)
+	require.Equal(t, 5, f.refusingCount())
 }
 
-// Guards against a popular request being refused because some of its many runs were at
+// Guards against refusing a popular request because some of its many runs were at
 // upstreams that crashed.
 func TestRequestThatIsServedBetweenCrashesIsNotRefused(t *testing.T) {
 	t.Parallel()
 	for _, server := range []int{0, 1, 4} {
 		f := newRouters(5)
 		for i := range 50 {
-			f.crashNext(1 + i%3)
+			f.crashNextUpstream(1 + i%3)
 			f.now = f.now.Add(runTime / 2)
 			f.serve(server)
-			require.Zero(t, f.refusing(), "served at router %d", server)
+			require.Zero(t, f.refusingCount(), "served at router %d", server)
 		}
 	}
 }
 
-// Guards against requests being refused after a power cut, in which they lose many upstreams at once.
+// Guards against refusing requests that lost many upstreams at once in a power cut.
 func TestUpstreamsThatEndTogetherCountOnce(t *testing.T) {
 	t.Parallel()
 	f := newRouters(3)
@@ -120,10 +120,10 @@
 		f.now = f.now.Add(time.Millisecond)
 		f.crash(i%3, upstreamNumber(i), time.Second)
 	}
-	require.Zero(t, f.refusing())
+	require.Zero(t, f.refusingCount())
 }
 
-// Guards against a power cut that counts more than once for a request that is retried in it.
+// Guards against a power cut counting more than once for a request that is retried in it.
 func TestRetryThatBreaksOffInTheSamePowerCutDoesNotCount(t *testing.T) {
 	t.Parallel()
 	f := newRouters(3)
@@ -131,10 +131,10 @@
 		f.now = f.now.Add(4 * time.Millisecond)
 		f.crash(1, upstreamNumber(i), time.Millisecond)
 	}
-	require.Zero(t, f.refusing())
+	require.Zero(t, f.refusingCount())
 }
 
-// Guards against one crash that counts for each router that had sent the request there.
+// Guards against counting one crash once for each router that had sent the request there.
 func TestCrashThatManyRoutersReportCountsOnce(t *testing.T) {
 	t.Parallel()
 	f := newRouters(6)
@@ -142,10 +142,11 @@
 		f.crash(router, upstreamNumber(1), runTime)
 		f.now = f.now.Add(2 * runTime)
 	}
-	require.Zero(t, f.refusing())
+	require.Zero(t, f.refusingCount())
 }
 
-// Guards against an upstream that starts again under its id and counts only once.
+// Guards against counting an upstream only once that crashed, restarted under the same ID
+// and crashed again.
 func TestLivesOfOneUpstreamCountEach(t *testing.T) {
 	t.Parallel()
 	f := newRouters(2)
@@ -153,104 +154,105 @@
 		f.now = f.now.Add(2 * runTime)
 		f.crash(1, turn.Instance{ID: "u", Life: registry.Life(life)}, runTime)
 	}
-	require.Equal(t, 2, f.refusing())
+	require.Equal(t, 2, f.refusingCount())
 }
 
-// Guards against a late objection that leaves the request refused somewhere.
+// Guards against a late objection that leaves the request refused at some routers.
 func TestRouterThatServedTheRequestMeanwhileClearsIt(t *testing.T) {
 	t.Parallel()
 	f := newRouters(4)
-	f.crashNext(1)
+	f.crashNextUpstream(1)
 	f.now = f.now.Add(runTime)
 	served := f.now
-	f.crashNext(1)
-	f.crashNext(1)
-	require.Equal(t, 4, f.refusing())
-	late := &quarantine.Watch{}
-	late.Served(served, request)
-	f.watches = append(f.watches, late)
-	f.tell(quarantine.Verdict{Request: request, Standing: quarantine.Refused, Since: f.now.Sub(epoch), Term: time.Minute, Left: time.Minute})
-	require.Zero(t, f.refusing())
+	f.crashNextUpstream(1)
+	f.crashNextUpstream(1)
+	require.Equal(t, 4, f.refusingCount())
+	other := &quarantine.Watch{}
+	other.Served(served, request)
+	f.watches = append(f.watches, other)
+	f.broadcast(quarantine.Verdict{Request: request, Standing: quarantine.Refused, Since: f.now.Sub(epoch), Term: time.Minute, Left: time.Minute})
+	require.Zero(t, f.refusingCount())
 }
 
-// Guards against three more crashes each time that a term is over.
+// Guards against another three crashes each time a term is over.
 func TestCrashAfterATermRefusesAtOnceForLonger(t *testing.T) {
 	t.Parallel()
 	f := newRouters(3)
 	for range 3 {
-		f.crashNext(1)
+		f.crashNextUpstream(1)
 	}
 	term := f.watches[1].Refuses(f.now, request)
 	f.now = f.now.Add(term + time.Second)
-	require.Zero(t, f.refusing())
-	f.crashNext(2)
-	require.Equal(t, 3, f.refusing())
+	require.Zero(t, f.refusingCount())
+	f.crashNextUpstream(2)
+	require.Equal(t, 3, f.refusingCount())
 	require.Greater(t, f.watches[1].Refuses(f.now, request), term)
 }
 
-// Guards against a request that ends more than three upstreams in a day once it is known.
+// Guards against a known request that crashes more than three upstreams in a day.
 func TestKnownRequestEndsAtMostThreeUpstreamsInADay(t *testing.T) {
 	t.Parallel()
 	f := newRouters(3)
 	for range 3 {
-		f.crashNext(1)
+		f.crashNextUpstream(1)
 	}
 	known := f.now
 	crashes := 0
 	for f.now.Sub(known) < 24*time.Hour {
 		f.now = f.now.Add(time.Second)
-		if f.refusing() > 0 {
+		if f.refusingCount() > 0 {
 			continue
 		}
 		require.True(t, f.watches[2].IsOnProbation(f.now, request))
-		f.crashNext(2)
-		require.Equal(t, 3, f.refusing())
+		f.crashNextUpstream(2)
+		require.Equal(t, 3, f.refusingCount())
 		crashes++
 	}
 	require.Equal(t, 3, crashes)
 }
 
-// Guards against a sound request that stays refused though a run of it ended well.
+// Guards against a harmless request that stays refused although a run of it succeeded.
 func TestRunThatEndsWellAfterTheVerdictClearsTheRequest(t *testing.T) {
 	t.Parallel()
 	f := newRouters(4)
 	for range 3 {
-		f.crashNext(1)
+		f.crashNextUpstream(1)
 	}
-	require.Equal(t, 4, f.refusing())
+	require.Equal(t, 4, f.refusingCount())
 	f.serve(2)
-	require.Zero(t, f.refusing())
+	require.Zero(t, f.refusingCount())
 }
 
-// Guards against a request that stays suspect for ever once it is served after its term.
+// Guards against a request that stays suspected for ever although it was served after its
+// term.
 func TestSuccessAfterATermClearsTheRequest(t *testing.T) {
 	t.Parallel()
 	f := newRouters(3)
 	for range 3 {
-		f.crashNext(1)
+		f.crashNextUpstream(1)
 	}
 	f.now = f.now.Add(f.watches[1].Refuses(f.now, request) + time.Second)
 	f.serve(2)
-	f.crashNext(1)
-	f.crashNext(2)
-	require.Zero(t, f.refusing())
+	f.crashNextUpstream(1)
+	f.crashNextUpstream(2)
+	require.Zero(t, f.refusingCount())
 }
 
-// Guards against a router that starts later and doesn't know what the others refuse.
+// Guards against a router that starts later and doesn't refuse what the others refuse.
 func TestRouterThatConnectsLearnsWhatIsRefused(t *testing.T) {
 	t.Parallel()
 	f := newRouters(2)
 	for range 3 {
-		f.crashNext(1)
+		f.crashNextUpstream(1)
 	}
-	started := &quarantine.Watch{}
+	newWatch := &quarantine.Watch{}
 	for _, v := range f.watches[0].Refused(f.now) {
-		started.Receive(f.now, v)
+		newWatch.Receive(f.now, v)
 	}
-	require.Positive(t, started.Refuses(f.now, request))
+	require.Positive(t, newWatch.Refuses(f.now, request))
 }
 
-// Guards against a fleet that starts anew and knows nothing of a request that crashes upstreams.
+// Guards against a restarted fleet that has lost its refused requests.
 func TestEntryThatWasKeptIsRefusedAfterARestart(t *testing.T) {
 	t.Parallel()
 	kept := quarantine.Entry{Request: request, Until: epoch.Add(time.Minute), Term: time.Minute}
@@ -258,23 +260,23 @@
 	for _, w := range f.watches {
 		w.Restore(f.now, []quarantine.Entry{kept})
 	}
-	require.Equal(t, 2, f.refusing())
+	require.Equal(t, 2, f.refusingCount())
 	f.now = epoch.Add(time.Minute + time.Second)
-	require.Zero(t, f.refusing())
-	f.crashNext(1)
-	require.Equal(t, 2, f.refusing(), "it was refused of late")
+	require.Zero(t, f.refusingCount())
+	f.crashNextUpstream(1)
+	require.Equal(t, 2, f.refusingCount(), "one crash is enough on probation")
 }
 
-// Guards against entries of long ago that refuse a request at once.
+// Guards against expired entries that make the first crash refuse a request.
 func TestEntryOfLongAgoSaysNothing(t *testing.T) {
 	t.Parallel()
 	f := newRouters(1)
 	f.watches[0].Restore(f.now, []quarantine.Entry{{Request: request, Until: epoch.Add(-2 * time.Hour), Term: time.Minute}})
-	f.crashNext(0)
-	require.Zero(t, f.refusing())
+	f.crashNextUpstream(0)
+	require.Zero(t, f.refusingCount())
 }
 
-// Guards against memory that grows with the requests of a fleet whose upstreams crash.
+// Guards against memory that grows with the number of requests whose upstreams crash.
 func TestEvidenceIsBounded(t *testing.T) {
 	t.Parallel()
 	var w quarantine.Watch
