--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,10 +1,10 @@
-// Package retry decides whether a failed attempt is followed by another.
+// Package retry decides whether a failed attempt is retried.
 //
-// It answers a slow or failing upstream under load. Each failed request that
-// is simply repeated adds to the load of the upstreams that still work; with
-// two repeats each, a fleet at its limit that loses a third of its answers is
-// asked for half as much again, and loses more. Budget bounds retries to a part
-// of the first tries, and allows only those that do no harm.
+// It protects slow or failing upstreams under load. Unlimited retries add to the load of
+// the upstreams that still work: with two retries per request, a fleet at its limit that
+// fails a third of its requests gets half as many requests again, and fails more of
+// them. Budget limits retries to a fraction of the first attempts and allows only those
+// that do no harm.
 package retry
 
 import (
@@ -13,7 +13,7 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// Reason is why an attempt is repeated. Each has a counter of its own.
+// Reason is why a request is retried. Each reason has its own counter.
 type Reason string
 
 // The reasons for a retry.
@@ -27,34 +27,34 @@
 	UpstreamSilent   Reason = "upstream-silent"
 )
 
-// Reasons lists every reason, for counters that start at zero.
+// Reasons returns all reasons, for counters that start at zero.
 func Reasons() []Reason {
 	return []Reason{ConnectFailed, UpstreamRefused, UpstreamDraining, BrokenBefore, StreamBroken, AnsweredError, UpstreamSilent}
 }
 
-// Attempt is what is known of an attempt that failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Count is how many attempts were made, this one included.
+	// Count is the number of attempts so far, including this one.
 	Count int
-	// Outcome says whether the upstream may have run the request.
+	// Outcome tells whether the upstream may have run the request.
 	Outcome refusal.Outcome
-	// Idempotent is true when a second run does no harm.
+	// Idempotent is true if a second run does no harm.
 	Idempotent bool
-	// AnswerStarted is true once a byte went out to the caller.
+	// AnswerStarted is true once a byte of the answer was sent to the caller.
 	AnswerStarted bool
-	// Resumable is true when the next attempt goes on with the same run of the
-	// request, after the last byte that went out.
+	// Resumable is true if the next attempt continues the same run of the request after
+	// the last byte that was sent.
 	Resumable bool
 	Deadline  time.Time
-	// Expected is how long another attempt takes until its first byte.
+	// Expected is the expected time from the start of another attempt to its first byte.
 	Expected time.Duration
 }
 
 // Policy decides on retries. It is safe for concurrent use.
 type Policy interface {
-	// First counts a first try, which adds to what may be spent on retries.
+	// First counts a first attempt, which adds to the budget for retries.
 	First(now time.Time)
-	// Allow reports whether the attempt may be repeated now, and takes the
-	// retry out of the budget when it may.
+	// Allow reports whether the request may be retried now and, if so, charges the
+	// retry to the budget.
 	Allow(now time.Time, attempt Attempt) bool
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -33,7 +33,7 @@
 		{"outcome unknown but idempotent", func(a *retry.Attempt) { a.Outcome = refusal.Unknown; a.Idempotent = true }, true},
 		{"run", func(a *retry.Attempt) { a.Outcome = refusal.Run }, false},
 		{"a byte went out", func(a *retry.Attempt) { a.Idempotent = true; a.AnswerStarted = true }, false},
-		{"a byte went out of a stream that can be resumed", func(a *retry.Attempt) { a.Outcome = refusal.Run; a.AnswerStarted = true; a.Resumable = true }, true},
+		{"a byte went out of a resumable stream", func(a *retry.Attempt) { a.Outcome = refusal.Run; a.AnswerStarted = true; a.Resumable = true }, true},
 		{"no time left", func(a *retry.Attempt) { a.Expected = time.Minute }, false},
 		{"third attempt", func(a *retry.Attempt) { a.Count = 2 }, true},
 		{"too many attempts", func(a *retry.Attempt) { a.Count = 3 }, false},
@@ -44,8 +44,8 @@
 	}
 }
 
-// Routers are added. Each keeps a smaller part of the fleet's bound from then on,
-// or the fleet would repeat more with each router that it has.
+// When routers are added, each must use a smaller part of the fleet's burst; otherwise
+// the fleet would retry more with every router.
 func TestResizedBudgetAllowsLess(t *testing.T) {
 	t.Parallel()
 	budget := retry.Budget{Burst: 12}
@@ -59,9 +59,9 @@
 	require.Equal(t, 3, allowed)
 }
 
-// One upstream turns slow and breaks what it is sent. Were each failure
-// repeated, the upstreams that still work would get twice the load and break
-// as well. Retries stay at a tenth of the first tries.
+// A slow upstream fails its requests. If each failure were retried, the working upstreams
+// would get twice the load and fail as well. Retries must stay at a tenth of the first
+// attempts.
 func TestFailingUpstreamDoesNotMultiplyLoad(t *testing.T) {
 	t.Parallel()
 	retries := func(policy retry.Policy) int {
@@ -92,7 +92,7 @@
 		}
 	}
 	require.Equal(t, 20, allowed)
-	require.True(t, budget.Allow(later.Add(6*time.Second), failed(func(a *retry.Attempt) { a.Deadline = later.Add(time.Minute) })), "the floor")
+	require.True(t, budget.Allow(later.Add(6*time.Second), failed(func(a *retry.Attempt) { a.Deadline = later.Add(time.Minute) })), "tokens earned by time")
 }
 
 func TestBudgetIsSharedByGoroutines(t *testing.T) {
