--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -1,9 +1,9 @@
-// Package recovery ends the one piece of work that panicked, and tells of it.
+// Package recovery recovers from panics in a single piece of work and logs them.
 //
-// A panic in the goroutine of a request or of a message says nothing about the rest of a
-// router, whose callers would all lose their answers if the process ended. What holds the
-// state of all requests together is another matter: a router goes on with it only as long as
-// it needs to stop in order.
+// A panic in the goroutine of a request or a message doesn't affect the rest of a router,
+// and if the process ended, all its callers would lose their answers. A panic in work on
+// the state that all requests share is different: the router then runs only as long as it
+// needs for an orderly shutdown.
 package recovery
 
 import (
@@ -13,47 +13,49 @@
 	"runtime/debug"
 )
 
-// Part names what a piece of work belongs to.
+// Part names the part of the router to which work belongs.
 type Part string
 
-// The parts whose panics are contained.
+// The parts whose panics are recovered.
 const (
 	Request Part = "request"
 	Home    Part = "home"
 	Message Part = "message"
 	Update  Part = "update"
 	Crash   Part = "crash-report"
-	// Control is what ends the process, in order.
+	// Control is work on shared state. A panic in it shuts the process down in order.
 	Control Part = "control"
 )
 
-// maxStack bounds the stack in a log line, in bytes, so that a pipe takes the line whole.
+// maxStack is the maximum length in bytes of the stack in a log line, so that a pipe takes
+// the line whole.
 const maxStack = 3000
 
-// Error is the error of work that panicked.
+// Error is returned for work that panicked.
 type Error struct {
 	Part Part
-	// Value is what the panic was called with.
+	// Value is the argument of the panic.
 	Value any
 	Stack []byte
 }
 
-// Error tells the part and the value.
+// Error returns the part and the value.
 func (e *Error) Error() string { return fmt.Sprintf("panic in %s: %v", e.Part, e.Value) }
 
-// Guard contains panics. A nil Guard lets them pass, so that none goes unnoticed.
+// Guard recovers from panics. A nil Guard doesn't, so that no panic goes unnoticed.
 type Guard struct {
-	// Log gets a line for each panic.
+	// Log receives one line per panic.
 	Log *slog.Logger
-	// Count is called for each panic, unless it is nil.
+	// Count is called for each panic. It may be nil.
 	Count func()
-	// End is called with a panic in Control that RunControl has contained; it is to stop the
-	// process in order, and may not be nil then.
+	// End is called by RunControl after a panic. It must start an orderly shutdown of the
+	// process, and may be nil only if RunControl isn't used.
 	End func(err error)
 }
 
-// Do runs work of a part. It returns *Error if the work panicked. Attributes tell what the work
-// was about in the log. http.ErrAbortHandler, by which a handler breaks its answer off, passes.
+// Do runs work of a part and returns *Error if it panicked. The attributes describe the
+// work in the log. http.ErrAbortHandler, with which a handler aborts its response, is not
+// recovered.
 func (g *Guard) Do(part Part, work func() error, attributes ...any) (err error) {
 	if g == nil {
 		return work()
@@ -65,33 +67,33 @@
 		case http.ErrAbortHandler:
 			panic(value)
 		default:
-			err = g.note(&Error{Part: part, Value: value, Stack: debug.Stack()}, attributes)
+			err = g.report(&Error{Part: part, Value: value, Stack: debug.Stack()}, attributes)
 		}
 	}()
 	return work()
 }
 
-// Run is Do for work without an error. It reports whether the work panicked.
+// Run is like Do for work without an error. It reports whether the work panicked.
 func (g *Guard) Run(part Part, work func(), attributes ...any) (panicked bool) {
-	return g.Do(part, plain(work), attributes...) != nil
+	return g.Do(part, withoutError(work), attributes...) != nil
 }
 
-func plain(work func()) func() error {
+func withoutError(work func()) func() error {
 	return func() error {
 		work()
 		return nil
 	}
 }
 
-// RunControl runs work on the state that all requests share. After a panic the process ends in
-// order.
+// RunControl runs work on the state that all requests share. If it panics, the process
+// shuts down in order.
 func (g *Guard) RunControl(work func(), attributes ...any) {
-	if err := g.Do(Control, plain(work), attributes...); err != nil {
+	if err := g.Do(Control, withoutError(work), attributes...); err != nil {
 		g.End(err)
 	}
 }
 
-func (g *Guard) note(e *Error, attributes []any) error {
+func (g *Guard) report(e *Error, attributes []any) error {
 	if g.Count != nil {
 		g.Count()
 	}
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -17,7 +17,7 @@
 	var out bytes.Buffer
 	counted := 0
 	g := &recovery.Guard{Log: slog.New(slog.NewJSONHandler(&out, nil)), Count: func() { counted++ }}
-	err := g.Do(recovery.Home, func() error { return empty(0) }, "request", "id-1")
+	err := g.Do(recovery.Home, func() error { return divideOneBy(0) }, "request", "id-1")
 	var panicked *recovery.Error
 	require.ErrorAs(t, err, &panicked)
 	require.Equal(t, recovery.Home, panicked.Part)
@@ -27,10 +27,10 @@
 	require.NoError(t, json.Unmarshal(out.Bytes(), &line), "one line")
 	require.Equal(t, "home", line["part"])
 	require.Equal(t, "id-1", line["request"])
-	require.Contains(t, line["stack"], "recovery_test.empty")
+	require.Contains(t, line["stack"], "recovery_test.divideOneBy")
 }
 
-// Guards against a line of which the reader of a pipe loses the end.
+// Guards against a log line that is too long for a pipe to pass on whole.
 func TestLineOfADeepPanicIsShort(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
@@ -40,7 +40,7 @@
 	require.Contains(t, out.String(), "recovery_test.deep")
 }
 
-// deep panics after so many calls.
+// deep panics after the given number of recursive calls.
 func deep(calls int) {
 	if calls == 0 {
 		panic("a fault")
@@ -48,9 +48,9 @@
 	deep(calls - 1)
 }
 
-// empty divides by a number.
-func empty(by int) error {
-	_ = 1 / by
+// divideOneBy panics if divisor is zero.
+func divideOneBy(divisor int) error {
+	_ = 1 / divisor
 	return nil
 }
 
@@ -61,7 +61,7 @@
 	require.ErrorIs(t, g.Do(recovery.Request, func() error { return http.ErrServerClosed }), http.ErrServerClosed)
 }
 
-// Guards against an answer that seems whole because its breaking off was contained.
+// Guards against an aborted response that looks complete because the abort was recovered.
 func TestAnswerThatIsBrokenOffPasses(t *testing.T) {
 	t.Parallel()
 	g := &recovery.Guard{Log: slog.New(slog.DiscardHandler)}
@@ -70,9 +70,9 @@
 	})
 }
 
-// Guards against panics that nobody hears of.
+// Guards against panics that go unnoticed.
 func TestWithoutAGuardPanicsPass(t *testing.T) {
 	t.Parallel()
-	var none *recovery.Guard
-	require.Panics(t, func() { none.Run(recovery.Home, func() { _ = empty(0) }) })
+	var noGuard *recovery.Guard
+	require.Panics(t, func() { noGuard.Run(recovery.Home, func() { _ = divideOneBy(0) }) })
 }
