--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal says why nutmeglock gave its own answer in place of an
-// upstream's, whether the request was run, and when to come back.
+// Package refusal defines the responses that nutmeglock gives instead of an upstream's:
+// the reason, whether the request was run, and when to retry.
 package refusal
 
 import (
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Outcome tells a caller what became of its request.
+// Outcome tells a caller whether its request was run.
 type Outcome string
 
 const (
 	// NotRun means that no upstream has run or will run the request.
 	NotRun Outcome = "not-run"
-	// Unknown means that an upstream may have run the request, or may yet.
+	// Unknown means that an upstream may have run the request, or may still run it.
 	Unknown Outcome = "outcome-unknown"
-	// Run means that an upstream ran the request but its answer is not whole.
+	// Run means that an upstream ran the request but its answer is incomplete.
 	Run Outcome = "run"
 )
 
-// Reason is why a request was refused. Each has a counter of its own.
+// Reason is why a request was refused. Each reason has its own counter.
 type Reason string
 
-// The reasons. Their documentation for operators is docs/operator/refusals.md.
+// The reasons. They are documented for operators in docs/operator/refusals.md.
 const (
 	BadRequest         Reason = "bad-request"
 	BodyTooLarge       Reason = "body-too-large"
@@ -56,7 +56,7 @@
 	Internal           Reason = "internal"
 )
 
-// Reasons lists every reason, for counters that start at zero.
+// Reasons returns all reasons, for counters that start at zero.
 func Reasons() []Reason {
 	return []Reason{
 		BadRequest, BodyTooLarge, BodyTooSlow, HeaderTooLarge, UnknownAccount, UnknownService, UnknownRoute,
@@ -67,15 +67,15 @@
 	}
 }
 
-// Error is a refusal on its way to the caller. Match it with errors.As.
+// Error is a refusal that is returned to the caller. Match it with errors.As.
 type Error struct {
 	Reason  Reason
 	Outcome Outcome
 	// Detail is one sentence for the caller.
 	Detail string
-	// RetryAfter is when to come back; zero means that a repeat will not help.
+	// RetryAfter is how long to wait before a retry; zero means that a retry won't help.
 	RetryAfter time.Duration
-	// Cause is kept for the log and not shown to the caller.
+	// Cause is logged and not shown to the caller.
 	Cause error
 }
 
@@ -126,7 +126,7 @@
 	ResumeExpired:      http.StatusGone,
 }
 
-// Status returns the HTTP status of a reason, 500 when it has none.
+// Status returns the HTTP status of a reason, 500 if none is defined.
 func (r Reason) Status() int {
 	if status, ok := statuses[r]; ok {
 		return status
--- a/refusal/summary.go
+++ b/refusal/summary.go
@@ -8,59 +8,61 @@
 )
 
 const (
-	// singlesPerSecond is how many refusals of a second have a line of their own.
-	singlesPerSecond = 50
-	// maxKinds bounds the kinds that are summed apart; the rest is summed by reason alone.
+	// maxLoggedPerSecond is the number of refusals per second that are logged one by one.
+	maxLoggedPerSecond = 50
+	// maxKinds is the maximum number of kinds that are summed separately. Further
+	// refusals are summed by reason alone.
 	maxKinds = 64
-	// maxFirst bounds the ids that a sum names.
-	maxFirst = 3
+	// maxFirstIDs is the maximum number of request IDs in a sum.
+	maxFirstIDs = 3
 )
 
-// Kind is what refusals that are summed have in common.
+// Kind holds what the refusals of one sum have in common.
 type Kind struct {
 	Reason Reason
-	// Account and Route are empty in the sum of what is beyond the bound on kinds.
+	// Account and Route are empty in sums of refusals beyond the limit of kinds.
 	Account fleet.AccountID
 	Route   string
 }
 
-// Sum stands for refusals of one kind.
+// Sum summarises refusals of one kind.
 type Sum struct {
 	Kind
 	Count int
-	// First are the ids of the first of them.
+	// First holds the IDs of the first refused requests.
 	First []fleet.RequestID
-	// Longest is the longest time that one of them waited.
+	// Longest is the longest time for which one of the requests waited.
 	Longest time.Duration
 }
 
-// Summary sums refusals beyond a bound on those of one second, so that a log of a flooded
-// router stays short. Its zero value is empty. It is safe for concurrent use.
+// Summary sums the refusals beyond a limit per second, so that the log of a flooded router
+// stays short. Its zero value is empty. It is safe for concurrent use.
 type Summary struct {
 	mu sync.Mutex
-	// second is that of the latest refusal in Unix time, and singles how many of it were not summed.
-	second  int64
-	singles int
-	sums    map[Kind]*Sum
+	// second is the Unix time of the latest refusal, and logged the number of refusals in
+	// that second that were not summed.
+	second int64
+	logged int
+	sums   map[Kind]*Sum
 }
 
-// Add takes a refusal. It returns false if the refusal wasn't summed and should be logged by
-// itself.
+// Add counts a refusal. It returns false if the refusal was not summed and must be logged
+// separately.
 func (s *Summary) Add(now time.Time, kind Kind, id fleet.RequestID, waited time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if second := now.Unix(); second != s.second {
 		s.second = second
-		s.singles = 0
+		s.logged = 0
 	}
-	if s.singles < singlesPerSecond {
-		s.singles++
+	if s.logged < maxLoggedPerSecond {
+		s.logged++
 		return false
 	}
 	sum := s.sum(kind)
 	sum.Count++
 	sum.Longest = max(sum.Longest, waited)
-	if len(sum.First) < maxFirst {
+	if len(sum.First) < maxFirstIDs {
 		sum.First = append(sum.First, id)
 	}
 	return true
@@ -82,7 +84,7 @@
 	return s.sums[kind]
 }
 
-// Take returns the sums since the last call.
+// Take returns and resets the sums.
 func (s *Summary) Take() []Sum {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/refusal/summary_test.go
+++ b/refusal/summary_test.go
@@ -13,23 +13,23 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// add takes so many refusals, and returns how many were not summed.
+// add adds count refusals and returns how many of them were not summed.
 func add(s *refusal.Summary, now time.Time, kind refusal.Kind, count int) int {
-	singles := 0
+	logged := 0
 	for i := range count {
 		if !s.Add(now, kind, fleet.RequestID(fmt.Sprint(i)), time.Duration(i)) {
-			singles++
+			logged++
 		}
 	}
-	return singles
+	return logged
 }
 
 func TestRefusalsBeyondTheBoundOfASecondAreSummed(t *testing.T) {
 	t.Parallel()
 	var s refusal.Summary
 	kind := refusal.Kind{Reason: refusal.RouterOverloaded, Account: "a", Route: "r"}
-	singles := add(&s, start, kind, 2000)
-	require.Equal(t, 50, singles)
+	logged := add(&s, start, kind, 2000)
+	require.Equal(t, 50, logged)
 	sums := s.Take()
 	require.Len(t, sums, 1)
 	require.Equal(t, kind, sums[0].Kind)
@@ -37,10 +37,10 @@
 	require.Equal(t, []fleet.RequestID{"50", "51", "52"}, sums[0].First)
 	require.Equal(t, time.Duration(1999), sums[0].Longest)
 	require.Empty(t, s.Take())
-	require.Equal(t, 50, add(&s, start.Add(time.Second), kind, 100), "each second has its own bound")
+	require.Equal(t, 50, add(&s, start.Add(time.Second), kind, 100), "each second has its own limit")
 }
 
-// Guards against memory that grows with the accounts and routes of a flood.
+// Guards against memory that grows with the accounts and routes in a flood.
 func TestKindsOfRefusalsAreBounded(t *testing.T) {
 	t.Parallel()
 	var s refusal.Summary
