--- a/inflight/inflight_test.go
+++ b/inflight/inflight_test.go
@@ -12,43 +12,43 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// engine runs up to batch requests and queues the rest; it reports each second
-// with a lag of one second. Requests last ten seconds.
+// engine runs up to batch requests and queues the rest. It reports each second with a
+// delay of one second. Requests last ten seconds.
 type engine struct {
-	batch   int
-	limiter inflight.Limiter
-	now     time.Time
-	ends    []time.Time
-	late    []inflight.Load
-	own     []int
-	// most and least are of the inner queue and the running batch.
+	batch        int
+	limiter      inflight.Limiter
+	now          time.Time
+	endTimes     []time.Time
+	delayedLoads []inflight.Load
+	delayedOwn   []int
+	// queued and running are the lengths of the engine's own queue and of its batch.
 	queued, running int
 	silent          bool
 }
 
-func (e *engine) second() {
+func (e *engine) runSecond() {
 	e.now = e.now.Add(time.Second)
-	// A request that queues inside waits for another to end.
+	// A request that queues in the engine waits for another one to end.
 	firstToken := 200 * time.Millisecond
 	if e.queued > 0 {
 		firstToken = 2 * time.Second
 	}
-	kept := e.ends[:0]
-	for _, end := range e.ends {
+	kept := e.endTimes[:0]
+	for _, end := range e.endTimes {
 		if end.After(e.now) {
 			kept = append(kept, end)
 			continue
 		}
 		e.limiter.Ended(e.now, inflight.Sample{
-			Result: dispatch.Answered, FirstToken: firstToken, InFlight: len(e.ends),
+			Result: dispatch.Answered, FirstToken: firstToken, InFlight: len(e.endTimes),
 		})
 	}
-	e.ends = kept
-	for len(e.ends) < e.limiter.Limit(e.now) {
-		e.ends = append(e.ends, e.now.Add(10*time.Second))
+	e.endTimes = kept
+	for len(e.endTimes) < e.limiter.Limit(e.now) {
+		e.endTimes = append(e.endTimes, e.now.Add(10*time.Second))
 	}
-	e.running = min(len(e.ends), e.batch)
-	e.queued = len(e.ends) - e.running
+	e.running = min(len(e.endTimes), e.batch)
+	e.queued = len(e.endTimes) - e.running
 	e.report()
 }
 
@@ -56,57 +56,57 @@
 	if e.silent {
 		return
 	}
-	e.late = append(e.late, inflight.Load{Running: e.running, Queued: e.queued, At: e.now})
-	e.own = append(e.own, len(e.ends))
-	if len(e.late) < 2 {
+	e.delayedLoads = append(e.delayedLoads, inflight.Load{Running: e.running, Queued: e.queued, At: e.now})
+	e.delayedOwn = append(e.delayedOwn, len(e.endTimes))
+	if len(e.delayedLoads) < 2 {
 		return
 	}
-	e.limiter.Reported(e.now, e.late[0], e.own[0])
-	e.late, e.own = e.late[1:], e.own[1:]
+	e.limiter.Reported(e.now, e.delayedLoads[0], e.delayedOwn[0])
+	e.delayedLoads, e.delayedOwn = e.delayedLoads[1:], e.delayedOwn[1:]
 }
 
-func play(e *engine, seconds int) {
+func runSeconds(e *engine, seconds int) {
 	if e.now.IsZero() {
 		e.now = epoch
 	}
 	for range seconds {
-		e.second()
+		e.runSecond()
 	}
 }
 
-// Work waits without end. With too high a limit it queues inside the engine,
-// where the first come is served first and a small account waits for the
-// flood; with too low a one the batch is not full and crews wait beside idle
-// capacity. A fixed limit is wrong on one side or the other as soon as the
-// engine's batch differs from what an operator guessed.
+// More requests wait than the engine can run. With too high a limit they queue in the
+// engine, which serves them in order of arrival, so a small account waits for a flood;
+// with too low a limit the batch isn't full and callers wait although capacity is idle. A
+// fixed limit is wrong in one way or the other once the engine's batch differs from the
+// operator's guess.
 func TestAdaptiveFindsTheKnee(t *testing.T) {
 	t.Parallel()
 	for _, batch := range []int{1, 3, 8, 16, 48, 100} {
 		e := &engine{batch: batch, limiter: &inflight.Adaptive{}}
-		play(e, 60)
+		runSeconds(e, 60)
 		for range 60 {
-			e.second()
+			e.runSecond()
 			require.LessOrEqual(t, e.queued, 2, "batch %d", batch)
 			require.GreaterOrEqual(t, e.running, batch-1, "batch %d", batch)
 		}
 	}
 	fixed := &engine{batch: 8, limiter: inflight.Fixed(16)}
-	play(fixed, 60)
+	runSeconds(fixed, 60)
 	require.Greater(t, fixed.queued, 2)
 	fixed = &engine{batch: 32, limiter: inflight.Fixed(16)}
-	play(fixed, 60)
+	runSeconds(fixed, 60)
 	require.Less(t, fixed.running, fixed.batch-1)
 }
 
-// Probing queues a request inside from time to time, and its first token comes
-// ten times later. Taken for a slow engine it would lower the limit below the
-// batch, and a slot in each engine would stand idle while work waits.
+// Probing queues a request in the engine from time to time, and its first token comes ten
+// times later. If that were taken for a slow engine, the limit would fall below the batch
+// and leave a slot of each engine idle while requests wait.
 func TestProbesDoNotEmptyTheBatch(t *testing.T) {
 	t.Parallel()
 	e := &engine{batch: 16, limiter: &inflight.Adaptive{}}
-	play(e, 60)
+	runSeconds(e, 60)
 	for range 600 {
-		e.second()
+		e.runSecond()
 		require.Equal(t, 16, e.running)
 	}
 }
@@ -114,24 +114,23 @@
 func TestLimitFollowsAKneeThatMoves(t *testing.T) {
 	t.Parallel()
 	e := &engine{batch: 24, limiter: &inflight.Adaptive{}}
-	play(e, 60)
+	runSeconds(e, 60)
 	e.batch = 6
-	play(e, 30)
+	runSeconds(e, 30)
 	require.LessOrEqual(t, e.queued, 2)
 	e.batch = 16
-	play(e, 60)
+	runSeconds(e, 60)
 	require.GreaterOrEqual(t, e.running, 15)
 }
 
-// Reports stop while the engine goes on answering. Growing on answers alone
-// would fill its inner queue without anyone seeing it; shrinking would idle an
-// engine that works.
+// Reports stop while the engine still answers. Growing on answers alone would fill its
+// queue unnoticed; shrinking would leave a working engine idle.
 func TestLimitHoldsWhenReportsStop(t *testing.T) {
 	t.Parallel()
 	e := &engine{batch: 16, limiter: &inflight.Adaptive{}}
-	play(e, 60)
+	runSeconds(e, 60)
 	e.silent = true
-	play(e, 120)
+	runSeconds(e, 120)
 	require.GreaterOrEqual(t, e.running, 15)
 	require.LessOrEqual(t, e.queued, 2)
 }
@@ -140,13 +139,12 @@
 	t.Parallel()
 	limiter := &inflight.Adaptive{Max: 12}
 	e := &engine{batch: 100, limiter: limiter, silent: true}
-	play(e, 200)
+	runSeconds(e, 200)
 	require.Equal(t, 12, e.running)
 }
 
-// Another dispatcher believes that it holds the same upstream. Without
-// allowing for its requests each would fill the batch, and as many again would
-// queue inside.
+// Two dispatchers believe that they hold the same upstream. If they ignored each other's
+// requests, each would fill the batch, and as many requests again would queue.
 func TestOthersRequestsAreAllowedFor(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
@@ -161,8 +159,8 @@
 	require.GreaterOrEqual(t, limiter.Limit(at(5)), 15)
 }
 
-// The other dispatcher's router is killed and no report comes any more. Its
-// requests end by themselves, so its room must not stay reserved for ever.
+// The other dispatcher's router is killed and no report arrives any more. Its requests
+// end by themselves, so their slots must not stay reserved for ever.
 func TestOthersRequestsAreForgotten(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
@@ -182,8 +180,8 @@
 	require.Equal(t, 6, limiter.Limit(epoch))
 }
 
-// A report catches one request in the instant between its arrival and the
-// next batch step. Taken for a full batch of one it would empty the engine.
+// A report catches one request between its arrival and the next batch step. If that were
+// taken for a full batch of one, the limit would empty the engine.
 func TestOneReportWithAQueueIsNotAKnee(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
@@ -191,9 +189,8 @@
 	require.Equal(t, 4, limiter.Limit(epoch))
 }
 
-// A burst is refused as one: the engine was full at 25 and turned twenty
-// requests away. A limit lowered by each of them would end at 10 and leave most
-// of the batch empty.
+// An engine that is full at 25 refuses twenty requests of a burst. A limit lowered for
+// each of them would end at 10 and leave most of the batch empty.
 func TestBurstOfRefusalsLowersOnce(t *testing.T) {
 	t.Parallel()
 	limiter := inflight.Adaptive{Initial: 30}
@@ -212,8 +209,8 @@
 	require.Equal(t, 8, limiter.Limit(epoch))
 }
 
-// A slow upstream takes all it is sent and reports no queue, but its first
-// tokens come later and later. Users see a long pause before each answer.
+// A slow upstream accepts all requests and reports no queue, but its first tokens come
+// later and later, so users wait long for each answer.
 func TestSlowFirstTokensLowerTheLimit(t *testing.T) {
 	t.Parallel()
 	limiter := inflight.Adaptive{Initial: 40}
--- a/inflight/latency.go
+++ b/inflight/latency.go
@@ -3,32 +3,32 @@
 import "time"
 
 const (
-	// windowSize is how many first-token times make one mean: enough that one
-	// long prompt does not decide.
+	// windowSize is the number of first-token times per mean, enough that a single long
+	// prompt doesn't decide.
 	windowSize = 16
-	// tolerance is how many times the best mean a mean may be. Between an
-	// empty and a full batch first tokens slow down by up to two times; a
-	// request that queues inside waits for a whole answer to end, a hundred
-	// times a first token.
-	tolerance = 3
-	// forgetting raises the best mean at each window by one part in this many,
-	// so that an upstream whose prompts have grown longer for good is not
-	// held down for ever.
-	forgetting = 50
-	// leastBest keeps times near zero from making any other look slow.
-	leastBest = 5 * time.Millisecond
+	// maxMeanRatio is how many times the best mean a mean may be. Between an empty and a
+	// full batch, first-token times grow by up to two times; a request that queues in the
+	// engine waits for a whole answer to end, a hundred times a first token.
+	maxMeanRatio = 3
+	// bestDecayDivisor sets how fast the best mean rises: in each window by its value
+	// divided by this. Otherwise an upstream whose prompts have become longer for good
+	// would be limited for ever.
+	bestDecayDivisor = 50
+	// minBestMean is the lowest best mean. A best mean near zero would make all others look
+	// slow.
+	minBestMean = 5 * time.Millisecond
 )
 
-// latency watches first-token times in windows.
-type latency struct {
-	sum   time.Duration
-	count int
-	best  time.Duration
-	mean  time.Duration
+// firstTokenLatency compares the mean first-token time per window with the best mean.
+type firstTokenLatency struct {
+	sum        time.Duration
+	count      int
+	bestMean   time.Duration
+	latestMean time.Duration
 }
 
-// add takes one time and reports whether it completed a window.
-func (l *latency) add(firstToken time.Duration) bool {
+// add adds a first-token time and reports whether it completed a window.
+func (l *firstTokenLatency) add(firstToken time.Duration) bool {
 	if firstToken <= 0 {
 		return false
 	}
@@ -37,14 +37,14 @@
 	if l.count < windowSize {
 		return false
 	}
-	l.mean = l.sum / windowSize
+	l.latestMean = l.sum / windowSize
 	l.sum, l.count = 0, 0
-	l.best += l.best / forgetting
-	if l.best == 0 || l.mean < l.best {
-		l.best = max(l.mean, leastBest)
+	l.bestMean += l.bestMean / bestDecayDivisor
+	if l.bestMean == 0 || l.latestMean < l.bestMean {
+		l.bestMean = max(l.latestMean, minBestMean)
 	}
 	return true
 }
 
-// high reports whether the latest window was too slow.
-func (l *latency) high() bool { return l.mean > tolerance*l.best }
+// isHigh reports whether the mean of the latest window is too high.
+func (l *firstTokenLatency) isHigh() bool { return l.latestMean > maxMeanRatio*l.bestMean }
