--- a/inflight/inflight_test.go
+++ b/inflight/inflight_test.go
@@ -145,7 +145,7 @@
 
 // Two dispatchers believe that they hold the same upstream. If they ignored each other's
 // requests, each would fill the batch, and as many requests again would queue.
-func TestOthersRequestsAreAllowedFor(t *testing.T) {
+func TestRequestsOfOtherDispatchersAreSubtracted(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
 	at := func(second int) time.Time { return epoch.Add(time.Duration(second) * time.Second) }
@@ -161,7 +161,7 @@
 
 // The other dispatcher's router is killed and no report arrives any more. Its requests
 // end by themselves, so their slots must not stay reserved for ever.
-func TestOthersRequestsAreForgotten(t *testing.T) {
+func TestRequestsOfOtherDispatchersExpire(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
 	for second := range 3 {
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -52,7 +52,7 @@
 type upstreamState struct {
 	failureRate         float64
 	consecutiveFailures int
-	// ejection is the length of the current ejection, zero if there is none.
+	// ejection is the length of the last ejection, zero after a success.
 	ejection     time.Duration
 	ejectedUntil time.Time
 	// probeUntil is the time until which no other request may probe the upstream.
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -50,7 +50,7 @@
 // One of nine upstreams fails nearly half of its requests, quickly, while its health
 // check passes. In plain rotation it would fail 150 of 3,000 requests; it must be
 // ejected after a few and only probed from time to time.
-func TestUpstreamThatFailsOftenIsLeft(t *testing.T) {
+func TestUpstreamThatFailsOftenIsEjected(t *testing.T) {
 	t.Parallel()
 	sent, failures := simulate(9, 1, 0.45, 0)
 	require.Less(t, sent[0], 170)
@@ -60,7 +60,7 @@
 // All upstreams fail nearly half of their requests, since a dependency of theirs is
 // down. If they were ejected, requests would have no upstream left, or all go to the
 // last one.
-func TestFailureOfAllTakesNoneOut(t *testing.T) {
+func TestFailureOfAllEjectsNone(t *testing.T) {
 	t.Parallel()
 	sent, _ := simulate(6, 6, 0.45, 0)
 	for _, count := range sent {
@@ -70,7 +70,7 @@
 
 // An application that answers 14 in 100 reads with an error of its own must not be
 // ejected.
-func TestUsualErrorsAreNoReasonToLeave(t *testing.T) {
+func TestUsualErrorsDoNotEject(t *testing.T) {
 	t.Parallel()
 	sent, _ := simulate(3, 0, 0, 0.14)
 	for _, count := range sent {
@@ -80,7 +80,7 @@
 
 // Connections to a dead machine can't be opened. The first failure must eject it, and
 // probes must become rarer.
-func TestDeadUpstreamIsLeftAtOnceAndTriedRarely(t *testing.T) {
+func TestDeadUpstreamIsEjectedAtOnceAndProbedRarely(t *testing.T) {
 	t.Parallel()
 	var d outlier.Detector[string]
 	require.True(t, d.Failure(start, "a", outlier.Hard))
--- a/overload/shedder_test.go
+++ b/overload/shedder_test.go
@@ -89,7 +89,7 @@
 // One account sends 600 requests a second to a router that has processor time for 200
 // streams a second, and two others send a few. Without shedding all would wait for
 // seconds. The router must use its capacity and admit all requests of the small accounts.
-func TestFloodAtOneRouterIsTakenInPart(t *testing.T) {
+func TestFloodAtOneRouterIsAdmittedInPart(t *testing.T) {
 	t.Parallel()
 	r := newSimulatedRouter()
 	rates := map[string]float64{"large": 600, "small-1": 10, "small-2": 5}
@@ -107,7 +107,7 @@
 // An account with half as many requests again as a router can serve must stay: if it
 // moved, the next small router would get the whole flood. An account with many times as
 // many would get less than its share of the engines there, and has to move.
-func TestOnlyALargeFloodExhausts(t *testing.T) {
+func TestOnlyALargeFloodExhaustsTheRouter(t *testing.T) {
 	t.Parallel()
 	r := newSimulatedRouter()
 	for range 20 {
@@ -120,7 +120,7 @@
 }
 
 // The router must admit everything soon after a flood, and refuse nothing under light load.
-func TestRouterTakesAllInCalmAndSoonAfterAFlood(t *testing.T) {
+func TestRouterAdmitsAllUnderLightLoadAndSoonAfterAFlood(t *testing.T) {
 	t.Parallel()
 	r := newSimulatedRouter()
 	lightLoad := map[string]float64{"large": 60, "small-1": 10}
@@ -161,7 +161,7 @@
 // per sample, so most of an account's requests were refused for another fifteen seconds;
 // logs showed 2,191 and 1,264 requests refused without any wait. Faster growth only below
 // half of the share at which waits began was as slow when waits began again at a low share.
-func TestRouterTakesAllSoonAfterItsMachineWasSlowed(t *testing.T) {
+func TestRouterAdmitsAllSoonAfterItsMachineWasSlowed(t *testing.T) {
 	t.Parallel()
 	for _, slowed := range []float64{5, 10, 20} {
 		for _, rate := range []float64{60, 100, 150, 200} {
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -212,7 +212,7 @@
 }
 
 // Guards against a harmless request that stays refused although a run of it succeeded.
-func TestRunThatEndsWellAfterTheVerdictClearsTheRequest(t *testing.T) {
+func TestRunThatSucceedsAfterTheVerdictClearsTheRequest(t *testing.T) {
 	t.Parallel()
 	f := newRouters(4)
 	for range 3 {
@@ -268,7 +268,7 @@
 }
 
 // Guards against expired entries that make the first crash refuse a request.
-func TestEntryOfLongAgoSaysNothing(t *testing.T) {
+func TestExpiredEntryIsIgnored(t *testing.T) {
 	t.Parallel()
 	f := newRouters(1)
 	f.watches[0].Restore(f.now, []quarantine.Entry{{Request: request, Until: epoch.Add(-2 * time.Hour), Term: time.Minute}})
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -12,7 +12,7 @@
 	"nutmeglock.example/nutmeglock/recovery"
 )
 
-func TestPanicIsContainedAndTold(t *testing.T) {
+func TestPanicIsRecoveredAndLogged(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
 	counted := 0
@@ -62,7 +62,7 @@
 }
 
 // Guards against an aborted response that looks complete because the abort was recovered.
-func TestAnswerThatIsBrokenOffPasses(t *testing.T) {
+func TestAbortedAnswerIsNotRecovered(t *testing.T) {
 	t.Parallel()
 	g := &recovery.Guard{Log: slog.New(slog.DiscardHandler)}
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() {
