--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -35,7 +35,7 @@
 	return f
 }
 
-// broadcast sends a verdict to all routers, and then the first objection, if any.
+// broadcast sends a verdict to the routers until one objects, and then that objection.
 func (f *testRouters) broadcast(v quarantine.Verdict) {
 	for _, w := range f.watches {
 		if objection, objects, _ := w.Receive(f.now, v); objects {
