--- a/home/home.go
+++ b/home/home.go
@@ -1,17 +1,17 @@
-// Package home gives turns in a fleet of many routers: one router, the home of a
-// group of model engines, decides for all.
+// Package home coordinates turns in a fleet of many routers. For each group of model
+// engines one router, the group's home, decides which requests are sent next.
 //
-// It answers many routers before few engines. An engine reads one large prompt at
-// a time, and each router sees what the others have sent there by reports that
-// are the older the more routers there are. With 88 routers they are half a second
-// old: several fill one engine at the same moment while another idles, and an
-// account's service depends on how many routers it sits at.
+// An engine reads one large prompt at a time, and each router knows the load that other
+// routers put on it only from their reports. The more routers there are, the older these
+// reports: half a second with 88 routers. Without homes several routers would fill one
+// engine at the same moment while another idles, and an account's service would depend on
+// how many routers it uses.
 //
-// Nothing is agreed on and nothing has to last. All routers choose the same home
-// by rendezvous hashing over those that are connected. While two disagree for a
-// moment, an engine is filled by both. A new home knows nothing of what is in
-// flight; that is read within a second. A home that doesn't answer is passed over
-// until it is heard again, and where two don't, the asking router decides alone.
+// Homes need no agreement and no stored state. Every router picks the same home by
+// rendezvous hashing over the connected routers. While two routers disagree for a moment,
+// both homes send work to the same engine. A new home doesn't know what is in flight, but
+// learns it within a second. A home that doesn't answer is skipped until a message from
+// it arrives, and after two such homes the asking router decides by itself.
 package home
 
 import (
@@ -31,126 +31,130 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// maxHomes is how many homes are asked before a router decides alone; each that is
-// silent costs leastAck and more of the request's time.
+// maxHomes is how many homes are asked before a router decides by itself. Each one that
+// doesn't answer costs at least minAnswerTimeout of the request's time.
 const maxHomes = 2
 
-// Ticket is a request's turn at an upstream.
+// Ticket is a turn that a request was granted at an upstream.
 type Ticket interface {
-	// Upstream returns where the request goes.
+	// Upstream returns the upstream that the request is sent to.
 	Upstream() registry.Upstream
-	// FetchFrom returns the address of the upstream whose cache has more of the
-	// prompt, empty when none has.
+	// FetchFrom returns the address of an upstream that has more of the prompt in its
+	// cache, or an empty string if there is none.
 	FetchFrom() string
-	// Work returns the tokens that the upstream has to read before the first event.
+	// Work returns the number of tokens that the upstream has to read before the first
+	// event.
 	Work() int
-	// First notes that the first event has come.
+	// First records that the first event has arrived.
 	First(now time.Time)
-	// End notes that the request has ended.
+	// End records that the request has ended.
 	End(now time.Time, outcome turn.Outcome)
 }
 
-// Homes asks the homes of upstreams for turns, and is the home of some itself. Its
-// fields have to be set but Guard. It is safe for concurrent use.
+// Homes requests turns from the homes of upstream groups, and grants turns for the groups
+// whose home is this router. All exported fields but Guard must be set. It is safe for
+// concurrent use.
 type Homes struct {
 	Self fleet.RouterID
-	// Send hands a batch to another router, or drops it when there is no connection.
+	// Send sends a batch to another router, or drops it if that router isn't connected.
 	Send func(to fleet.RouterID, batch *schema.Batch)
-	// Pool returns the upstreams of a service, nil when it isn't known.
+	// Pool returns the upstreams of a service, or nil if the service is unknown.
 	Pool func(service fleet.ServiceID) *turn.Pool
 	Log  *slog.Logger
-	// Guard contains panics; nil lets them pass.
+	// Guard recovers panics; if it is nil they aren't recovered.
 	Guard *recovery.Guard
 
 	mu sync.Mutex
-	// routers are those that are connected, and this one.
+	// routers lists this router and those connected to it.
 	routers []fleet.RouterID
-	// silent are the routers that let an ask wait and weren't heard since.
-	silent map[fleet.RouterID]bool
-	// chosen are the homes that were worked out for the routers as they are.
-	chosen map[group]fleet.RouterID
-	last   uint64
-	asks   map[uint64]*ask
-	// roundTrip is how long homes take to answer.
+	// unresponsive holds the routers that left an ask unanswered and haven't sent
+	// anything since.
+	unresponsive map[fleet.RouterID]bool
+	// homeByGroup caches the home of each group until the set of usable routers changes.
+	homeByGroup map[group]fleet.RouterID
+	lastAskID   uint64
+	pendingAsks map[uint64]*pendingAsk
+	// roundTrip tracks how long homes take to answer.
 	roundTrip roundTrip
-	// notes wait for the next message to their home.
-	notes map[fleet.RouterID][]*schema.TurnNote
-	// shed is what this router refused and hasn't told yet, in tokens.
-	shed map[shedKey]float64
-	// turns are those that other routers have asked for here.
-	turns map[fleet.RouterID]map[uint64]*held
+	// pendingNotes holds notes to be sent with the next message to their home.
+	pendingNotes map[fleet.RouterID][]*schema.TurnNote
+	// pendingShed holds the refused tokens that haven't been reported to homes yet.
+	pendingShed map[shedKey]float64
+	// peerTurns holds the turns that other routers asked for here, by router and ask ID.
+	peerTurns map[fleet.RouterID]map[uint64]*peerTurn
 }
 
+// group identifies a group of a service's upstreams.
 type group struct {
 	service fleet.ServiceID
 	number  int
 }
 
-// SetRouters tells which other routers are connected.
+// SetRouters replaces the list of other connected routers.
 func (h *Homes) SetRouters(others []fleet.RouterID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.routers = append([]fleet.RouterID{h.Self}, others...)
-	h.chosen = nil
+	h.homeByGroup = nil
 }
 
-// Decide reports whether homes give the turns, and not each router by itself. A
-// small fleet depends on no home.
+// Decide reports whether turns are granted by homes. In a small fleet each router decides
+// by itself.
 func (h *Homes) Decide() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return fleet.IsLarge(len(h.routers))
 }
 
-// home returns the router that decides for a group.
-func (h *Homes) home(of group) fleet.RouterID {
+// homeOf returns the home of a group.
+func (h *Homes) homeOf(g group) fleet.RouterID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if home, known := h.chosen[of]; known {
+	if home, known := h.homeByGroup[g]; known {
 		return home
 	}
-	able := make([]fleet.RouterID, 0, len(h.routers))
+	candidates := make([]fleet.RouterID, 0, len(h.routers))
 	for _, r := range h.routers {
-		if !h.silent[r] {
-			able = append(able, r)
+		if !h.unresponsive[r] {
+			candidates = append(candidates, r)
 		}
 	}
-	key := rendezvous.KeyOf("home", string(of.service)+"/"+strconv.Itoa(of.number))
-	if h.chosen == nil {
-		h.chosen = make(map[group]fleet.RouterID)
+	key := rendezvous.KeyOf("home", string(g.service)+"/"+strconv.Itoa(g.number))
+	if h.homeByGroup == nil {
+		h.homeByGroup = make(map[group]fleet.RouterID)
 	}
-	h.chosen[of] = rendezvous.Pick(key, able)
-	return h.chosen[of]
+	h.homeByGroup[g] = rendezvous.Pick(key, candidates)
+	return h.homeByGroup[g]
 }
 
-// Turn waits for a request's turn. The error is *turn.RefusedError when the turn
-// can't come in time, or that of ctx.
+// Turn waits until the request is granted a turn. It returns *turn.RefusedError if the
+// turn can't come in time, or the error of ctx.
 func (h *Homes) Turn(ctx context.Context, service fleet.ServiceID, pool *turn.Pool, d turn.Demand) (Ticket, error) {
 	number, grouped := pool.Group(&d)
 	if !grouped || !h.Decide() {
 		return Await(ctx, pool, d)
 	}
-	until := time.Now().Add(d.Patience)
+	deadline := time.Now().Add(d.Patience)
 	for range maxHomes {
-		home := h.home(group{service, number})
+		home := h.homeOf(group{service, number})
 		if home == h.Self {
 			break
 		}
 		ticket, err := h.ask(ctx, home, service, pool, d)
-		var silent *SilentError
-		var gone *GoneError
+		var noAnswer *NoAnswerError
+		var upstreamGone *UpstreamGoneError
 		switch {
-		case errors.As(err, &gone):
-			d.Tried = append(slices.Clone(d.Tried), gone.Instance)
-		case !errors.As(err, &silent):
+		case errors.As(err, &upstreamGone):
+			d.Tried = append(slices.Clone(d.Tried), upstreamGone.Instance)
+		case !errors.As(err, &noAnswer):
 			return ticket, err
 		}
-		d.Patience = max(time.Until(until), 0)
+		d.Patience = max(time.Until(deadline), 0)
 	}
 	return Await(ctx, pool, d)
 }
 
-// Await waits for a turn that this router gives by itself.
+// Await waits for a turn that this router grants by itself.
 func Await(ctx context.Context, pool *turn.Pool, d turn.Demand) (Ticket, error) {
 	ticket, err := pool.Ask(time.Now(), d)
 	if err != nil {
@@ -181,47 +185,46 @@
 	}
 }
 
-// Hear takes what another router sent.
+// Hear handles a batch from another router.
 func (h *Homes) Hear(from fleet.RouterID, batch *schema.Batch) {
-	h.heard(from)
+	h.markResponsive(from)
 	for _, n := range batch.GetTurnNotes() {
-		h.note(from, n) // before the asks, which may need the places
+		h.handleNote(from, n) // handled before the asks, since notes free places
 	}
-	h.hearShed(batch)
+	h.recordShed(batch)
 	for _, a := range batch.GetTurnAsks() {
-		h.serve(from, a)
+		h.handleAsk(from, a)
 	}
 	for _, a := range batch.GetTurnAnswers() {
-		h.answered(from, a)
+		h.handleAnswer(from, a)
 	}
 }
 
-// heard lets a router be a home again that was silent.
-func (h *Homes) heard(from fleet.RouterID) {
+// markResponsive makes a router eligible as a home again once it has sent something.
+func (h *Homes) markResponsive(from fleet.RouterID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.silent[from] {
-		delete(h.silent, from)
-		h.chosen = nil
+	if h.unresponsive[from] {
+		delete(h.unresponsive, from)
+		h.homeByGroup = nil
 		h.Log.Info("home answers again", "home", from)
 	}
 }
 
-// Lost takes note that the connection to a router has ended. What it had in
-// flight is given up: if it is gone, so are its requests, and if it lives, it
-// asks anew.
+// Lost handles the end of the connection to a router. Its turns are released: if the
+// router has stopped, its requests have ended with it, and otherwise it asks again.
 func (h *Homes) Lost(router fleet.RouterID) {
 	h.mu.Lock()
-	turns := h.turns[router]
-	delete(h.turns, router)
-	delete(h.silent, router)
-	for _, a := range h.asks {
+	turns := h.peerTurns[router]
+	delete(h.peerTurns, router)
+	delete(h.unresponsive, router)
+	for _, a := range h.pendingAsks {
 		if a.home == router {
-			a.lose()
+			a.disconnect()
 		}
 	}
 	h.mu.Unlock()
 	for _, t := range turns {
-		t.leave(turn.Left)
+		t.end(turn.Left)
 	}
 }
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -21,21 +21,21 @@
 
 const (
 	target = 800 * time.Millisecond
-	// way is the time of a message between two routers of the tests.
-	way = time.Millisecond
+	// messageDelay is the transit time of a message between two routers.
+	messageDelay = time.Millisecond
 )
 
-// network connects the routers of a test. Messages to a router that is cut off
-// vanish.
+// network connects the routers of a test. Messages to and from isolated routers are
+// dropped.
 type network struct {
-	mu      sync.Mutex
-	routers map[fleet.RouterID]*home.Homes
-	pools   map[fleet.RouterID]*turn.Pool
-	cut     map[fleet.RouterID]bool
-	// slow is how late a router reads what it is sent.
-	slow map[fleet.RouterID]time.Duration
-	// asked counts the asks that each router was sent.
-	asked map[fleet.RouterID]int
+	mu       sync.Mutex
+	routers  map[fleet.RouterID]*home.Homes
+	pools    map[fleet.RouterID]*turn.Pool
+	isolated map[fleet.RouterID]bool
+	// readDelay is the additional delay until a router reads a message.
+	readDelay map[fleet.RouterID]time.Duration
+	// askCount counts the asks sent to each router.
+	askCount map[fleet.RouterID]int
 }
 
 func engines(n int) []registry.Upstream {
@@ -46,12 +46,13 @@
 	return list
 }
 
-// start connects so many routers before so many engines.
-func start(routers, upstreams int) *network {
+// startNetwork connects the given number of routers, which share the given number of
+// engines.
+func startNetwork(routers, upstreams int) *network {
 	n := &network{
 		routers: make(map[fleet.RouterID]*home.Homes), pools: make(map[fleet.RouterID]*turn.Pool),
-		cut: make(map[fleet.RouterID]bool), asked: make(map[fleet.RouterID]int),
-		slow: make(map[fleet.RouterID]time.Duration),
+		isolated: make(map[fleet.RouterID]bool), askCount: make(map[fleet.RouterID]int),
+		readDelay: make(map[fleet.RouterID]time.Duration),
 	}
 	for i := range routers {
 		id := fleet.RouterID(fmt.Sprintf("r%d", i))
@@ -69,7 +70,7 @@
 	return n
 }
 
-// connect tells each router which others there are.
+// connect tells each router about the others.
 func (n *network) connect() {
 	for id, homes := range n.routers {
 		var others []fleet.RouterID
@@ -85,38 +86,39 @@
 func (n *network) send(from, to fleet.RouterID, batch *schema.Batch) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.asked[to] += len(batch.GetTurnAsks())
+	n.askCount[to] += len(batch.GetTurnAsks())
 	receiver := n.routers[to]
-	if n.cut[from] || n.cut[to] || receiver == nil {
+	if n.isolated[from] || n.isolated[to] || receiver == nil {
 		return
 	}
-	time.AfterFunc(way+n.slow[to], func() { receiver.Hear(from, batch) })
+	time.AfterFunc(messageDelay+n.readDelay[to], func() { receiver.Hear(from, batch) })
 }
 
-func (n *network) setSlow(id fleet.RouterID, late time.Duration) {
+func (n *network) setReadDelay(id fleet.RouterID, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow[id] = late
+	n.readDelay[id] = delay
 }
 
-// total returns how many asks were made.
-func (n *network) total() int {
+// totalAsks returns how many asks were sent.
+func (n *network) totalAsks() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sum := 0
-	for _, count := range n.asked {
+	for _, count := range n.askCount {
 		sum += count
 	}
 	return sum
 }
 
-func (n *network) askedOf(id fleet.RouterID) int {
+func (n *network) asksTo(id fleet.RouterID) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.asked[id]
+	return n.askCount[id]
 }
 
-// kill takes a router out of the network, and tells another one that it is lost.
+// kill removes a router from the network and tells another one that its connection has
+// ended.
 func (n *network) kill(killed, other fleet.RouterID) {
 	n.mu.Lock()
 	delete(n.routers, killed)
@@ -125,52 +127,52 @@
 	n.routers[other].Lost(killed)
 }
 
-func (n *network) setCut(id fleet.RouterID, cut bool) {
+func (n *network) setIsolated(id fleet.RouterID, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[id] = cut
+	n.isolated[id] = isolated
 }
 
-// mostAsked returns the router that was asked most.
+// mostAsked returns the router that was sent the most asks.
 func (n *network) mostAsked() fleet.RouterID {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var most fleet.RouterID
-	for id, count := range n.asked {
-		if most == "" || count > n.asked[most] {
+	for id, count := range n.askCount {
+		if most == "" || count > n.askCount[most] {
 			most = id
 		}
 	}
 	return most
 }
 
-func (n *network) turn(ctx context.Context, at fleet.RouterID, d turn.Demand) (home.Ticket, error) {
-	return n.routers[at].Turn(ctx, "s", n.pools[at], d)
+func (n *network) turn(ctx context.Context, router fleet.RouterID, d turn.Demand) (home.Ticket, error) {
+	return n.routers[router].Turn(ctx, "s", n.pools[router], d)
 }
 
-// prompt is a demand that begins as all others of the same shared number.
-func prompt(shared, own uint64) turn.Demand {
+// demandFor returns a demand whose prompt shares its beginning with all others of the
+// same prefix.
+func demandFor(prefix, prompt uint64) turn.Demand {
 	return turn.Demand{
 		Account: "a", Input: 12_000, Output: 100, Target: target, Patience: target / 2,
-		Beginnings: []turn.Beginning{{Hash: shared, Tokens: 10_000}, {Hash: own, Tokens: 12_000}},
+		Beginnings: []turn.Beginning{{Hash: prefix, Tokens: 10_000}, {Hash: prompt, Tokens: 12_000}},
 	}
 }
 
-// Twenty routers each get a request for the same engine at the same moment. By
-// what they know of each other all of them would send it there, and the last
-// caller would wait for twenty prompts. Its home lets one in, and the others wait
-// or are refused.
+// Guards against twenty routers that each get a request for the same idle engine at the
+// same moment and all send it there, so that the last caller waits for twenty prompts.
+// The home grants one turn; the other requests wait or are refused.
 func TestRoutersDoNotFillAnEngineTogether(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 1)
+		n := startNetwork(20, 1)
 		var mu sync.Mutex
 		var turns []home.Ticket
 		refused := 0
 		var group sync.WaitGroup
 		for i := range uint64(20) {
 			group.Go(func() {
-				ticket, err := n.turn(t.Context(), fleet.RouterID(fmt.Sprintf("r%d", i)), prompt(100+i, 200+i))
+				ticket, err := n.turn(t.Context(), fleet.RouterID(fmt.Sprintf("r%d", i)), demandFor(100+i, 200+i))
 				mu.Lock()
 				defer mu.Unlock()
 				var e *turn.RefusedError
@@ -187,88 +189,88 @@
 	})
 }
 
-// A home is frozen or cut off: it holds its connection and says nothing. Callers
-// whose requests it should decide on see their first event a tenth of a second
-// later once, and not until it comes back. Then it decides again.
+// Guards against a frozen or isolated home that keeps its connections open and delays
+// each request that it should decide on. Only the first request may lose a tenth of a
+// second. The home decides again once it sends something.
 func TestSilentHomeIsPassedOver(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 1)
-		first, err := n.turn(t.Context(), "r1", prompt(1, 2))
+		n := startNetwork(20, 1)
+		first, err := n.turn(t.Context(), "r1", demandFor(1, 2))
 		require.NoError(t, err)
 		first.End(time.Now(), turn.Served)
-		time.Sleep(100 * time.Millisecond) // the home has heard of its end
+		time.Sleep(100 * time.Millisecond) // until the home knows that it has ended
 		frozen := n.mostAsked()
-		n.setCut(frozen, true)
+		n.setIsolated(frozen, true)
 		asking := fleet.RouterID("r1")
 		if frozen == asking {
 			asking = "r2"
 		}
 		ask := func() time.Duration {
 			begin := time.Now()
-			ticket, err := n.turn(t.Context(), asking, prompt(1, 3))
+			ticket, err := n.turn(t.Context(), asking, demandFor(1, 3))
 			require.NoError(t, err)
 			ticket.End(time.Now(), turn.Served)
 			return time.Since(begin)
 		}
 		require.Less(t, ask(), 130*time.Millisecond)
-		require.LessOrEqual(t, ask(), 2*way)
-		n.setCut(frozen, false)
+		require.LessOrEqual(t, ask(), 2*messageDelay)
+		n.setIsolated(frozen, false)
 		n.routers[asking].Hear(frozen, &schema.Batch{})
-		before := n.askedOf(frozen)
+		before := n.asksTo(frozen)
 		ask()
-		require.Equal(t, before+1, n.askedOf(frozen))
+		require.Equal(t, before+1, n.asksTo(frozen))
 	})
 }
 
-// A router is short of processor time, and reads each answer a fifth of a second
-// after it came. All homes would seem silent, and it would decide alone, beside what
-// they decide. It learns what answers take here, and waits for them.
+// A router is short of processor time and reads each answer 200 ms late. With a fixed
+// timeout all homes would seem unresponsive, and it would decide by itself, in conflict
+// with them. It has to learn how long answers take and wait for them.
 func TestSlowRouterWaitsForItsHomes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 1)
-		n.setSlow("r1", 200*time.Millisecond)
-		alone := 0
+		n := startNetwork(20, 1)
+		n.setReadDelay("r1", 200*time.Millisecond)
+		decidedAlone := 0
 		for i := range uint64(20) {
-			before := n.total()
-			ticket, err := n.turn(t.Context(), "r1", prompt(1, i))
+			before := n.totalAsks()
+			ticket, err := n.turn(t.Context(), "r1", demandFor(1, i))
 			if err == nil {
 				ticket.End(time.Now(), turn.Served)
 			}
-			if i >= 5 && (err != nil || n.total() != before+1) {
-				alone++
+			if i >= 5 && (err != nil || n.totalAsks() != before+1) {
+				decidedAlone++
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
-		require.Zero(t, alone)
+		require.Zero(t, decidedAlone)
 	})
 }
 
-// All routers but one are silent. It decides alone after asking two of them, well
-// before its callers' patience ends.
+// All routers but one are isolated. That one has to decide by itself after asking two of
+// them, well before its callers' patience ends.
 func TestRouterDecidesAloneWhenNobodyAnswers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 1)
+		n := startNetwork(20, 1)
 		for id := range n.routers {
-			n.setCut(id, true)
+			n.setIsolated(id, true)
 		}
 		begin := time.Now()
-		ticket, err := n.turn(t.Context(), "r1", prompt(1, 2))
+		ticket, err := n.turn(t.Context(), "r1", demandFor(1, 2))
 		require.NoError(t, err)
 		require.Equal(t, fleet.UpstreamID("e0"), ticket.Upstream().ID)
 		require.LessOrEqual(t, time.Since(begin), 240*time.Millisecond)
 	})
 }
 
-// The home of an engine is killed while requests wait there. Their callers aren't
-// refused: the next home gives them their turns.
+// The home of an engine is killed while requests wait there. They must not be refused:
+// the next home grants their turns.
 func TestRequestsOutliveTheirHome(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 1)
-		running, err := n.turn(t.Context(), "r1", prompt(1, 2))
+		n := startNetwork(20, 1)
+		running, err := n.turn(t.Context(), "r1", demandFor(1, 2))
 		require.NoError(t, err)
 		require.NotNil(t, running)
 		killed := n.mostAsked()
@@ -277,46 +279,46 @@
 			asking = "r4"
 		}
 		time.AfterFunc(50*time.Millisecond, func() { n.kill(killed, asking) })
-		d := prompt(9, 10)
+		d := demandFor(9, 10)
 		d.Input = 40_000
 		ticket, err := n.turn(t.Context(), asking, d)
 		require.NoError(t, err)
 		require.NotNil(t, ticket)
-		time.Sleep(time.Second) // the killed home's wait ends too
+		time.Sleep(time.Second) // until the wait at the killed home has ended too
 	})
 }
 
-// A caller leaves while its request waits at the home, and another when its router
-// loses power with the request running. The engine must not stay taken by them.
-func TestPlacesOfThoseWhoLeftAreFree(t *testing.T) {
+// Guards against an engine that stays occupied by requests that are gone: one whose
+// caller left while it waited at the home, and one whose router lost power while it ran.
+func TestTurnsOfRequestsThatLeftAreReleased(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 1)
-		running, err := n.turn(t.Context(), "r1", prompt(1, 2))
+		n := startNetwork(20, 1)
+		running, err := n.turn(t.Context(), "r1", demandFor(1, 2))
 		require.NoError(t, err)
 		require.NotNil(t, running)
 		deciding := n.mostAsked()
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		big := prompt(3, 4)
+		big := demandFor(3, 4)
 		big.Input = 60_000
 		_, err = n.turn(ctx, "r2", big)
 		require.ErrorIs(t, err, context.Canceled)
-		time.Sleep(5 * way)
+		time.Sleep(5 * messageDelay)
 		n.routers[deciding].Lost("r1")
-		ticket, err := n.turn(t.Context(), "r5", prompt(5, 6))
+		ticket, err := n.turn(t.Context(), "r5", demandFor(5, 6))
 		require.NoError(t, err)
 		require.Equal(t, 12_000, ticket.Work())
 	})
 }
 
-// An upstream has left, and the home hasn't heard of it yet. The router that knows
-// it doesn't send the request there.
+// An upstream has left and the home doesn't know yet. A router that does know must not
+// send the request there.
 func TestTurnAtAnUpstreamThatHasLeftIsNotUsed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 2)
-		first, err := n.turn(t.Context(), "r1", prompt(1, 2))
+		n := startNetwork(20, 2)
+		first, err := n.turn(t.Context(), "r1", demandFor(1, 2))
 		require.NoError(t, err)
 		first.End(time.Now(), turn.Served)
 		gone := first.Upstream()
@@ -327,40 +329,40 @@
 			}
 		}
 		n.pools["r1"].Set(time.Now(), rest, target)
-		ticket, err := n.turn(t.Context(), "r1", prompt(1, 3))
+		ticket, err := n.turn(t.Context(), "r1", demandFor(1, 3))
 		require.NoError(t, err)
 		require.NotEqual(t, gone.ID, ticket.Upstream().ID)
 	})
 }
 
-// A router refuses requests without asking for their turns, since it has no processor time
-// for them. Each home hears of its part, or it would think the account served and let others
-// have several times as much.
-func TestHomesHearOfWhatARouterHasNoTimeFor(t *testing.T) {
+// A router refuses requests without asking for turns, since it is overloaded. Each home
+// has to learn its part, or it takes the account for fully served and lets others have
+// several times its service.
+func TestShedTokensReachHomes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const tokens = 80_000
-		n := start(20, 24)
+		n := startNetwork(20, 24)
 		n.routers["r1"].Shed("s", "ada", tokens)
 		n.routers["r1"].Shed("s", "ada", tokens)
 		time.Sleep(time.Second / 4)
-		told, homes := 0.0, 0
+		reported, homes := 0.0, 0
 		for _, pool := range n.pools {
 			for _, standing := range pool.Report(time.Now()).Accounts {
-				told += standing.Shed
+				reported += standing.Shed
 				homes++
 			}
 		}
 		require.Greater(t, homes, 1)
-		require.InDelta(t, 2*tokens, told, 0.1*tokens, "what was told of late, less what is forgotten since")
+		require.InDelta(t, 2*tokens, reported, 0.1*tokens, "all shed tokens, less what has decayed since")
 	})
 }
 
-// A small fleet has no homes: what a router refuses stands in its reports.
-func TestReportsTellWhatARouterHasNoTimeFor(t *testing.T) {
+// A small fleet has no homes, so a router's reports contain the tokens that it shed.
+func TestSmallFleetReportsShedTokens(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(6, 2)
+		n := startNetwork(6, 2)
 		n.routers["r1"].Shed("s", "ada", 80_000)
 		time.Sleep(time.Second / 4)
 		for id, pool := range n.pools {
@@ -369,35 +371,36 @@
 	})
 }
 
-// Small fleets tell each other what they have, and depend on no home.
+// In a small fleet routers exchange their load and depend on no home.
 func TestSmallFleetHasNoHomes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(6, 2)
-		ticket, err := n.turn(t.Context(), "r1", prompt(1, 2))
+		n := startNetwork(6, 2)
+		ticket, err := n.turn(t.Context(), "r1", demandFor(1, 2))
 		require.NoError(t, err)
 		require.NotNil(t, ticket)
-		require.Empty(t, n.asked)
+		require.Empty(t, n.askCount)
 	})
 }
 
-// Guards against a request that waits at its home although no upstream is left.
-func TestHomeRefusesWhatWaitsWithTheLastUpstream(t *testing.T) {
+// Guards against a request that keeps waiting at its home after the last upstream has
+// left.
+func TestHomeRefusesWaitingRequestsWhenUpstreamsAreGone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		n := start(20, 1)
-		long := prompt(1, 2)
+		n := startNetwork(20, 1)
+		long := demandFor(1, 2)
 		long.Input = 60_000
 		_, err := n.turn(t.Context(), "r1", long)
 		require.NoError(t, err)
 		errs := make(chan error, 1)
-		d := prompt(1, 3)
+		d := demandFor(1, 3)
 		d.Patience = time.Hour
 		go func() {
 			_, err := n.turn(t.Context(), "r2", d)
 			errs <- err
 		}()
-		time.Sleep(10 * way)
+		time.Sleep(10 * messageDelay)
 		select {
 		case err := <-errs:
 			require.NoError(t, err, "the request waits")
@@ -410,6 +413,6 @@
 		var refused *turn.RefusedError
 		require.ErrorAs(t, <-errs, &refused)
 		require.True(t, refused.NoUpstream)
-		require.LessOrEqual(t, time.Since(left), 2*way)
+		require.LessOrEqual(t, time.Since(left), 2*messageDelay)
 	})
 }
--- a/home/machine_test.go
+++ b/home/machine_test.go
@@ -17,124 +17,127 @@
 )
 
 const (
-	// machineSeeds is how many sequences are played, and machineSteps their length.
-	machineSeeds = 40
-	machineSteps = 60
-	// machineRouters and machineEngines are the size of the fleet that is played.
-	machineRouters = 18
-	machineEngines = 4
-	// mostBeyond is the most that a request waits beyond its patience: two homes that may be
-	// silent for 0.5 s each, and half of its patience for an account that was served little.
-	mostBeyond = 2*500*time.Millisecond + target/4
+	// simulationSeeds is the number of random sequences, and simulationSteps the length
+	// of each.
+	simulationSeeds = 40
+	simulationSteps = 60
+	// simulationRouters and simulationEngines are the size of the simulated fleet.
+	simulationRouters = 18
+	simulationEngines = 4
+	// maxOverrun is the longest that a request may wait beyond its patience: two homes
+	// that don't answer for 0.5 s each, and half of its patience more for an account that
+	// has received little service.
+	maxOverrun = 2*500*time.Millisecond + target/4
 )
 
-// machine plays a fleet at random whose engines all leave and return, whose routers are cut off
-// and lost, and whose callers leave, while requests wait and run.
-type machine struct {
+// simulation changes a fleet at random while requests wait and run: all engines leave and
+// return, routers are isolated or disconnected, and callers leave.
+type simulation struct {
 	*network
-	random *rand.Rand
-	asks   sync.WaitGroup
-	lives  [machineEngines]registry.Life
-	// longest is the longest time that a request waited beyond its patience.
-	mu      sync.Mutex
-	longest time.Duration
+	random   *rand.Rand
+	asks     sync.WaitGroup
+	restarts [simulationEngines]registry.Life
+	mu       sync.Mutex
+	// longestOverrun is the longest time that a request waited beyond its patience.
+	longestOverrun time.Duration
 }
 
-func (m *machine) router() fleet.RouterID {
-	return fleet.RouterID(fmt.Sprintf("r%d", m.random.IntN(machineRouters)))
+func (m *simulation) randomRouter() fleet.RouterID {
+	return fleet.RouterID(fmt.Sprintf("r%d", m.random.IntN(simulationRouters)))
 }
 
-// ask asks for a turn at some router, and ends it after a while or never.
-func (m *machine) ask(ctx context.Context) {
-	at := m.router()
-	d := prompt(m.random.Uint64N(6), m.random.Uint64())
+// ask requests a turn at a random router and ends the request after a while, unless its
+// caller leaves first.
+func (m *simulation) ask(ctx context.Context) {
+	router := m.randomRouter()
+	d := demandFor(m.random.Uint64N(6), m.random.Uint64())
 	d.Input = 10_000 + m.random.IntN(60_000)
-	leaves := time.Hour
+	callerTimeout := time.Hour
 	if m.random.IntN(3) == 0 {
-		leaves = time.Duration(m.random.IntN(400)) * time.Millisecond
+		callerTimeout = time.Duration(m.random.IntN(400)) * time.Millisecond
 	}
-	runs := time.Duration(m.random.IntN(500)) * time.Millisecond
+	runTime := time.Duration(m.random.IntN(500)) * time.Millisecond
 	outcome := turn.Outcome(m.random.IntN(8))
 	m.asks.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, leaves)
+		ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 		defer cancel()
 		begin := time.Now()
-		ticket, err := m.turn(ctx, at, d)
-		m.note(time.Since(begin) - min(d.Patience, leaves))
+		ticket, err := m.turn(ctx, router, d)
+		m.recordOverrun(time.Since(begin) - min(d.Patience, callerTimeout))
 		if err != nil {
 			return
 		}
-		time.Sleep(runs)
+		time.Sleep(runTime)
 		ticket.First(time.Now())
 		ticket.End(time.Now(), outcome)
 	})
 }
 
-func (m *machine) note(beyond time.Duration) {
+func (m *simulation) recordOverrun(overrun time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.longest = max(m.longest, beyond)
+	m.longestOverrun = max(m.longestOverrun, overrun)
 }
 
-// change gives some or all routers another part of the engines, often none.
-func (m *machine) change() {
+// changeEngines gives some or all routers a random subset of the engines, often none.
+func (m *simulation) changeEngines() {
 	var list []registry.Upstream
 	if m.random.IntN(2) == 0 {
-		for i, u := range engines(machineEngines) {
+		for i, u := range engines(simulationEngines) {
 			if m.random.IntN(4) == 0 {
-				m.lives[i]++
+				m.restarts[i]++
 			}
-			u.Life += m.lives[i]
+			u.Life += m.restarts[i]
 			if m.random.IntN(2) == 0 {
 				list = append(list, u)
 			}
 		}
 	}
 	all := m.random.IntN(2) == 0
-	for i := range machineRouters {
+	for i := range simulationRouters {
 		if all || m.random.IntN(3) == 0 {
 			m.pools[fleet.RouterID(fmt.Sprintf("r%d", i))].Set(time.Now(), list, target)
 		}
 	}
 }
 
-// lose makes one router hear that another one is lost.
-func (m *machine) lose() {
-	if lost, other := m.router(), m.router(); lost != other {
+// disconnect tells one router that its connection to another has ended.
+func (m *simulation) disconnect() {
+	if lost, other := m.randomRouter(), m.randomRouter(); lost != other {
 		m.routers[other].Lost(lost)
 	}
 }
 
-func (m *machine) step(ctx context.Context) {
+func (m *simulation) step(ctx context.Context) {
 	switch m.random.IntN(8) {
 	case 0, 1, 2, 3:
 		m.ask(ctx)
 	case 4:
-		m.change()
+		m.changeEngines()
 	case 5:
-		m.setCut(m.router(), m.random.IntN(2) == 0)
+		m.setIsolated(m.randomRouter(), m.random.IntN(2) == 0)
 	case 6:
-		m.lose()
+		m.disconnect()
 	case 7:
 		time.Sleep(time.Duration(m.random.IntN(120)) * time.Millisecond)
 	}
 }
 
-// Guards against a router that ends, and a request that is never told anything, because
+// Guards against a router that crashes, or a request that never gets an answer, when
 // engines, homes, routers and callers leave in any order.
-func TestFleetOutlivesAnyChangeOfItsEngines(t *testing.T) {
+func TestFleetSurvivesRandomChanges(t *testing.T) {
 	t.Parallel()
-	for seed := range uint64(machineSeeds) {
+	for seed := range uint64(simulationSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				m := &machine{network: start(machineRouters, machineEngines), random: rand.New(rand.NewPCG(seed, 1))}
-				for range machineSteps {
+				m := &simulation{network: startNetwork(simulationRouters, simulationEngines), random: rand.New(rand.NewPCG(seed, 1))}
+				for range simulationSteps {
 					m.step(t.Context())
 				}
 				m.asks.Wait()
-				time.Sleep(time.Minute) // what waits at homes has ended too
-				require.LessOrEqual(t, m.longest, mostBeyond)
+				time.Sleep(time.Minute) // until the waits at homes have ended too
+				require.LessOrEqual(t, m.longestOverrun, maxOverrun)
 			})
 		})
 	}
--- a/home/roundtrip.go
+++ b/home/roundtrip.go
@@ -3,58 +3,63 @@
 import "time"
 
 const (
-	// leastAck is the least time that a home has to answer an ask: two ways between
-	// data centres and the pause of a processor whose quota is used up.
-	leastAck = 120 * time.Millisecond
-	// mostAck bounds it, so that a silent home doesn't cost a request its deadline.
-	mostAck = 500 * time.Millisecond
-	// ackFactor is how many usual round trips an answer may take.
-	ackFactor = 3
-	// Round trips are smoothed with these weights of the latest. A rise is believed
-	// at once, a fall slowly.
+	// minAnswerTimeout is the least time that a home has to answer an ask. It covers a
+	// round trip between data centres and the pause of a process whose CPU quota is used
+	// up.
+	minAnswerTimeout = 120 * time.Millisecond
+	// maxAnswerTimeout limits the timeout, so that a home that doesn't answer can't use
+	// up a request's deadline.
+	maxAnswerTimeout = 500 * time.Millisecond
+	// answerTimeoutFactor is the timeout in multiples of the smoothed round trip.
+	answerTimeoutFactor = 3
+	// riseWeight and fallWeight are the weights of a new round trip in the smoothed
+	// value. The estimate rises quickly and falls slowly.
 	riseWeight = 0.5
 	fallWeight = 0.1
-	// maxOverdue bounds how many asks are remembered whose answer may come late.
+	// maxOverdue limits how many timed-out asks are remembered in case their answer still
+	// comes.
 	maxOverdue = 512
 )
 
-// roundTrip is how long homes take to answer, as this router sees it. Its zero value
-// has seen nothing.
+// roundTrip estimates how long homes take to answer this router. Its zero value has no
+// samples.
 //
-// It answers a router without enough processor time. Answers lie unread in its own
-// queues, and with a fixed bound all homes seem silent: the router asks another
-// one, and then decides alone, three times the work when it has too much already,
-// which doesn't end when the flood does. In such a second, 1,100 asks were made for
-// 690 requests, and 920 of them given up.
+// The timeout adapts because a router that is short of processor time leaves answers
+// unread in its own queues. With a fixed timeout every home would seem to be
+// unresponsive: the router would ask a second home and then decide by itself, which is
+// three times the work on a router that is already overloaded, and it wouldn't recover
+// when the load falls again. In one such second it made 1,100 asks for 690 requests, of
+// which 920 timed out.
 type roundTrip struct {
 	smoothed time.Duration
-	// overdue are asks that were given up, and when they were made.
+	// overdue holds the asks that timed out, by ID, and when they were made.
 	overdue map[uint64]time.Time
 }
 
-func (r *roundTrip) observe(took time.Duration) {
+func (r *roundTrip) observe(sample time.Duration) {
 	weight := fallWeight
-	if took > r.smoothed {
+	if sample > r.smoothed {
 		weight = riseWeight
 	}
-	r.smoothed += time.Duration(weight * float64(took-r.smoothed))
+	r.smoothed += time.Duration(weight * float64(sample-r.smoothed))
 }
 
-// bound returns how long an answer is waited for.
-func (r *roundTrip) bound() time.Duration {
-	return min(max(ackFactor*r.smoothed, leastAck), mostAck)
+// answerTimeout returns how long to wait for an answer.
+func (r *roundTrip) answerTimeout() time.Duration {
+	return min(max(answerTimeoutFactor*r.smoothed, minAnswerTimeout), maxAnswerTimeout)
 }
 
-// giveUp remembers an ask whose answer may still come, and tell then how long it took.
-func (r *roundTrip) giveUp(id uint64, asked time.Time) {
+// recordTimeout remembers an ask that timed out, to measure its round trip if its answer
+// still comes.
+func (r *roundTrip) recordTimeout(id uint64, asked time.Time) {
 	if r.overdue == nil || len(r.overdue) >= maxOverdue {
 		r.overdue = make(map[uint64]time.Time)
 	}
 	r.overdue[id] = asked
 }
 
-// late takes an answer to an ask that isn't waited for any more.
-func (r *roundTrip) late(now time.Time, id uint64) {
+// observeLate measures the round trip of an ask whose answer came after its timeout.
+func (r *roundTrip) observeLate(now time.Time, id uint64) {
 	asked, known := r.overdue[id]
 	if !known {
 		return
--- a/home/shed.go
+++ b/home/shed.go
@@ -9,56 +9,60 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// shedDelay is how long what is refused without an ask is gathered before it is told.
-// Service is compared over some seconds, and each telling is a message to each home.
-const shedDelay = 200 * time.Millisecond
+// shedSendDelay is how long refused tokens are collected before they are sent to the
+// homes. Service is compared over some seconds, so that a short delay does no harm, and
+// each report costs one message per home.
+const shedSendDelay = 200 * time.Millisecond
 
-// shedKey is whose requests were refused.
+// shedKey identifies the account and service of refused requests.
 type shedKey struct {
 	service fleet.ServiceID
 	account fleet.AccountID
 }
 
-// Shed takes note of a request that this router refused since it has too much to do.
+// Shed records that this router refused a request because it is overloaded.
 //
-// Homes hear only of requests that ask for turns. An account whose router refuses most
-// of what it asks for would look served, and others would be given several times as much.
+// Homes otherwise know only of requests that ask for turns. An account whose router
+// refuses most of its requests would seem to have all it wants, and other accounts would
+// get several times its service.
 func (h *Homes) Shed(service fleet.ServiceID, account fleet.AccountID, tokens float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.shed == nil {
-		h.shed = make(map[shedKey]float64)
+	if h.pendingShed == nil {
+		h.pendingShed = make(map[shedKey]float64)
 	}
-	if len(h.shed) == 0 {
-		time.AfterFunc(shedDelay, func() { h.Guard.Run(recovery.Home, h.tellShed) })
+	if len(h.pendingShed) == 0 {
+		time.AfterFunc(shedSendDelay, func() { h.Guard.Run(recovery.Home, h.sendShed) })
 	}
-	h.shed[shedKey{service, account}] += tokens
+	h.pendingShed[shedKey{service, account}] += tokens
 }
 
-// tellShed tells the homes of all groups what was refused. Requests of an account go to
-// all groups alike, so each home is told an even part.
-func (h *Homes) tellShed() {
+// sendShed reports the refused tokens to the homes of all groups. An account's requests
+// are spread evenly over the groups, so each home is sent an equal part.
+func (h *Homes) sendShed() {
 	h.mu.Lock()
-	shed := h.shed
-	h.shed = nil
+	shed := h.pendingShed
+	h.pendingShed = nil
 	h.mu.Unlock()
 	batches := make(map[fleet.RouterID]*schema.Batch)
 	for key, tokens := range shed {
-		h.divideShed(batches, key, tokens)
+		h.splitShed(batches, key, tokens)
 	}
 	for home, batch := range batches {
 		if home == h.Self {
-			h.hearShed(batch)
+			h.recordShed(batch)
 			continue
 		}
 		h.Send(home, batch)
 	}
 }
 
-func (h *Homes) divideShed(batches map[fleet.RouterID]*schema.Batch, key shedKey, tokens float64) {
+// splitShed adds an account's refused tokens to the batches of the homes, or to this
+// router's own pool if homes don't grant the turns.
+func (h *Homes) splitShed(batches map[fleet.RouterID]*schema.Batch, key shedKey, tokens float64) {
 	pool := h.Pool(key.service)
 	if pool == nil {
-		return // the service was removed meanwhile
+		return // the service was removed in the meantime
 	}
 	groups := pool.Groups()
 	if groups == 0 || !h.Decide() {
@@ -67,7 +71,7 @@
 	}
 	work := &schema.ShedWork{Service: string(key.service), Account: string(key.account), Tokens: uint32(math.Ceil(tokens / float64(groups)))}
 	for number := range groups {
-		home := h.home(group{key.service, number})
+		home := h.homeOf(group{key.service, number})
 		if batches[home] == nil {
 			batches[home] = &schema.Batch{}
 		}
@@ -75,8 +79,8 @@
 	}
 }
 
-// hearShed takes what another router refused.
-func (h *Homes) hearShed(batch *schema.Batch) {
+// recordShed adds the tokens that another router refused to the pools.
+func (h *Homes) recordShed(batch *schema.Batch) {
 	for _, work := range batch.GetShedWork() {
 		if pool := h.Pool(fleet.ServiceID(work.GetService())); pool != nil {
 			pool.Shed(time.Now(), fleet.AccountID(work.GetAccount()), float64(work.GetTokens()))
