--- a/share/exchange.go
+++ b/share/exchange.go
@@ -2,72 +2,71 @@
 
 import "nutmeglock.example/nutmeglock/fleet"
 
-// Reports returns the accounts whose load changed by more than threshold since
-// they were last returned, in the order of their first change after that, and
-// those that were reassigned. Before that it limits the lead of the account
-// that was served most.
+// Reports returns the accounts whose load changed by more than threshold since they were
+// last returned, in the order of their first change since then, and those that were
+// reassigned. It first limits the lead of the account with the most service.
 func (f *Fair[K]) Reports(threshold fleet.Tokens) []Report[K] {
 	f.limitLead()
 	var reports []Report[K]
-	kept := f.change[:0]
-	for _, a := range f.change {
+	unreported := f.changed[:0]
+	for _, a := range f.changed {
 		if !a.isChanged {
 			continue
 		}
-		change := a.load() - a.reported
-		if !a.due && max(change, -change) <= threshold {
-			kept = append(kept, a)
+		change := a.load() - a.reportedLoad
+		if !a.mustReport && max(change, -change) <= threshold {
+			unreported = append(unreported, a)
 			continue
 		}
 		reports = append(reports, a.report())
 	}
-	clear(f.change[len(kept):])
-	f.change = kept
+	clear(f.changed[len(unreported):])
+	f.changed = unreported
 	return reports
 }
 
 func (a *account[K]) report() Report[K] {
-	a.reported = a.load()
+	a.reportedLoad = a.load()
 	a.isChanged = false
-	a.due = false
-	report := Report[K]{Key: a.key, Cumulative: a.own, Outstanding: a.outstanding}
-	if a.lifted {
-		report.Floor = a.least + a.own
+	a.mustReport = false
+	report := Report[K]{Key: a.key, Cumulative: a.ownService, Outstanding: a.outstanding}
+	if a.isLifted {
+		report.Floor = a.otherFloor + a.ownService
 	}
 	return report
 }
 
-// Observe takes the fleet's total and drops the surplus that stood in for it,
-// but for what changed since this dispatcher's latest report. A total that is lower
-// than a lift that the keeper has not counted does not undo the lift.
+// Observe sets the fleet's total for key. It discards the assumed load of other
+// dispatchers, except for what corresponds to changes since this dispatcher's latest
+// report. A total that is lower than a lift which the keeper hasn't counted yet doesn't
+// undo the lift.
 func (f *Fair[K]) Observe(key K, total Total) {
 	a := f.account(key)
-	a.base = total.Sum - total.Covered
-	a.elsewhere = total.Outstanding
-	if a.lifted {
-		a.lifted = a.base < a.least
-		a.base = max(a.base, a.least)
+	a.otherService = total.Sum - total.Covered
+	a.outstandingElsewhere = total.Outstanding
+	if a.isLifted {
+		a.isLifted = a.otherService < a.otherFloor
+		a.otherService = max(a.otherService, a.otherFloor)
 	}
 	others := fleet.Tokens(max(a.waiting.Asked, 1) - 1)
-	a.surplus = others * max(a.load()-a.reported, 0)
-	f.place(a)
+	a.assumedElsewhere = others * max(a.load()-a.reportedLoad, 0)
+	f.requeue(a)
 }
 
-// Reassigned makes the next Reports return key with its known service as the
-// floor and a cumulative amount that starts again from zero. A keeper that
-// starts with nothing remembered would otherwise give each account a total
-// without its lifts, and those that were lifted most would be served alone
-// until they had caught up a second time. Were the former cumulative amounts
-// sent besides the floor, which contains them, they would count twice.
+// Reassigned makes the next Reports return key with its known service as the floor and a
+// cumulative amount that restarts from zero. Otherwise a new keeper would give each
+// account a total without its lifts, and those that were lifted most would be served
+// alone until they had caught up again. The floor already contains the former cumulative
+// amounts, so sending these too would count them twice.
 func (f *Fair[K]) Reassigned(key K) {
 	a := f.accounts[key]
 	if a == nil {
 		return
 	}
-	a.base += a.own
-	a.own = 0
-	a.least = a.base
-	a.lifted = true
-	a.due = true
-	f.mark(a)
+	a.otherService += a.ownService
+	a.ownService = 0
+	a.otherFloor = a.otherService
+	a.isLifted = true
+	a.mustReport = true
+	f.markChanged(a)
 }
--- a/share/exchange_test.go
+++ b/share/exchange_test.go
@@ -10,27 +10,27 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// pool is some dispatchers with one keeper between them.
-type pool struct {
+// dispatcherPool is a group of dispatchers with a common keeper.
+type dispatcherPool struct {
 	dispatchers []*share.Fair[string]
 	keeper      share.Keeper[string, int]
 }
 
-func newPool(n int) *pool {
-	p := &pool{}
+func newPool(n int) *dispatcherPool {
+	p := &dispatcherPool{}
 	for range n {
 		p.dispatchers = append(p.dispatchers, &share.Fair[string]{})
 	}
 	return p
 }
 
-func (p *pool) wait(key string) {
+func (p *dispatcherPool) wait(key string) {
 	for _, d := range p.dispatchers {
 		d.Wait(key, share.Waiting{Weight: 1, Requests: 9, Asked: len(p.dispatchers)})
 	}
 }
 
-func (p *pool) exchange(threshold fleet.Tokens) {
+func (p *dispatcherPool) exchange(threshold fleet.Tokens) {
 	keys := make(map[string]bool)
 	for i, d := range p.dispatchers {
 		for _, report := range d.Reports(threshold) {
@@ -45,9 +45,8 @@
 	}
 }
 
-// An account gets all its service at one router while others are served at
-// another. A dispatcher that counts only what it sent itself would give the
-// account a second full share there.
+// Guards against an account that gets a full share at each dispatcher, because a
+// dispatcher counts only the service that it gave itself.
 func TestServiceElsewhereCounts(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
@@ -57,20 +56,20 @@
 		p.dispatchers[0].Correct("busy", 100)
 	}
 	next, _ := p.dispatchers[1].Next(nil)
-	require.Equal(t, "busy", next, "the second dispatcher does not know yet")
+	require.Equal(t, "busy", next, "the second dispatcher hasn't observed the service yet")
 	p.exchange(0)
 	require.Equal(t, fleet.Tokens(1000), p.dispatchers[1].Service("busy"))
 	next, _ = p.dispatchers[1].Next(nil)
 	require.Equal(t, "other", next)
 }
 
-// Between two exchanges every dispatcher sees the same lowest account and
-// serves it, so that it gets a multiple of what it lacked. The surplus charged
-// for the others makes each of them turn to the next account sooner, and is
-// dropped when the facts come.
+// Guards against every dispatcher serving the same account, the one with the least
+// service, between two exchanges, which would give it a multiple of what it lacked. Each
+// dispatcher adds what it assumes of the others, turns to the next account sooner, and
+// drops the assumption with the next total.
 func TestDispatchersDoNotAllServeTheLowest(t *testing.T) {
 	t.Parallel()
-	taken := func(asked int) int {
+	startsBehind := func(asked int) int {
 		p := newPool(6)
 		for i, d := range p.dispatchers {
 			d.Wait("behind", share.Waiting{Weight: 1, Requests: 99, Asked: asked})
@@ -94,10 +93,10 @@
 		}
 		return starts
 	}
-	// Half of each request has streamed, so it lacks 20 requests. After that
-	// half of each further start is its due.
-	require.Greater(t, taken(1), 100)
-	require.Less(t, taken(6), 80)
+	// Half of each request has streamed, so the account lacks 20 requests. After
+	// these it is due half of the further starts.
+	require.Greater(t, startsBehind(1), 100)
+	require.Less(t, startsBehind(6), 80)
 }
 
 func TestRepeatedReportCountsOnce(t *testing.T) {
@@ -108,10 +107,9 @@
 	require.Equal(t, share.Total{Sum: 900, Covered: 700}, keeper.Report(1, report))
 }
 
-// The keeper's router is killed and another takes the account over with
-// nothing remembered. Were the totals to start from nothing, an account would
-// get its past service a second time; were floors and cumulative amounts both
-// counted, it would be held back for as long.
+// The keeper's router is killed, and another keeper starts without state. If the totals
+// restarted from zero, each account would get its past service a second time; if floors
+// and cumulative amounts were both counted, it would be held back for as long.
 func TestNewKeeperLearnsTheTotals(t *testing.T) {
 	t.Parallel()
 	p := newPool(3)
@@ -134,8 +132,8 @@
 	}
 }
 
-// A router is killed and comes back with nothing remembered. What it had
-// charged was service that the accounts did get.
+// A router is killed and restarts without state. The service that it had reported was
+// received and must stay in the totals.
 func TestServiceOfALostDispatcherStays(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
@@ -151,9 +149,9 @@
 	require.Equal(t, fleet.Tokens(4010), p.dispatchers[0].Service("a"))
 }
 
-// A lift at one dispatcher is part of the account's service everywhere, and a
-// total that does not contain it yet does not undo it.
-func TestLiftOutlivesAnOlderTotal(t *testing.T) {
+// A lift at one dispatcher counts as the account's service everywhere. A total that
+// doesn't include the lift yet must not undo it.
+func TestOlderTotalDoesNotUndoALift(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
 	p.wait("steady")
@@ -167,7 +165,7 @@
 	require.Equal(t, fleet.Tokens(5100), p.dispatchers[1].Service("returned"))
 }
 
-func TestReportsPassTheThreshold(t *testing.T) {
+func TestReportsObserveTheThreshold(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
 	fair.Wait("a", share.Waiting{Weight: 1, Requests: 1})
@@ -180,8 +178,8 @@
 	require.Len(t, fair.Reports(0), 1)
 }
 
-// However charges, settlements and exchanges interleave, all dispatchers end
-// with the same service once every report has come through.
+// Whatever the order of service and exchanges, all dispatchers must hold the same service
+// once every report has been exchanged.
 func TestDispatchersAgreeInTheEnd(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -205,8 +203,8 @@
 	})
 }
 
-// A flood's requests in flight stand at one dispatcher. Another that doesn't
-// know of them would start as many again before their service shows.
+// A flood's requests in flight are held by one dispatcher. Another dispatcher that
+// doesn't count them would start as many again before their service shows.
 func TestRequestsInFlightElsewhereCount(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
--- a/share/fair.go
+++ b/share/fair.go
@@ -6,118 +6,117 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// Fair serves the waiting account with the least virtual time. Its zero value
-// is ready to use. Its memory grows with the accounts that it ever saw;
-// Forget drops those that were withdrawn.
+// Fair serves the waiting account with the least virtual time. Its zero value is ready to
+// use. It keeps every account that it has seen until Forget is called.
 type Fair[K comparable] struct {
 	accounts map[K]*account[K]
 	waiting  queue[*account[K]]
-	// change are the accounts whose load changed since they were last reported.
-	change []*account[K]
-	// largest follows the largest estimate of late.
-	largest fleet.Tokens
-	// last is the service of the account that was started last, to which an
-	// account is lifted that returns when none waits.
-	last   float64
-	starts uint64
+	// changed lists the accounts whose load changed since they were last reported.
+	changed []*account[K]
+	// largestEstimate is the largest estimate of recently started requests.
+	largestEstimate fleet.Tokens
+	// lastService is the service per weight of the account that started a request last. A
+	// returning account is lifted to it when no other account waits.
+	lastService float64
+	startCount  uint64
 }
 
-// account is what a Fair knows of one account.
+// account is the state of one account in a Fair.
 //
-// Its service across the fleet is base + own: own is what it was served for
-// this dispatcher's requests, base is what it was served for the others', as
-// far as known, and lifts.
+// Its service across the fleet is otherService + ownService.
 type account[K comparable] struct {
 	key     K
 	waiting Waiting
-	own     fleet.Tokens
-	base    fleet.Tokens
-	// least bounds base from below until the keeper's total has caught up with
-	// a lift.
-	least fleet.Tokens
-	// outstanding is the sum of the estimates of requests in flight, elsewhere
-	// that of the other dispatchers'.
-	outstanding fleet.Tokens
-	elsewhere   fleet.Tokens
-	// surplus is counted for what the other asked dispatchers may have done
-	// since the last exchange.
-	surplus fleet.Tokens
-	// reported is load when the account was last returned by Reports.
-	reported fleet.Tokens
-	// lifted is set while least has to be reported.
-	lifted bool
-	// due makes the next Reports return the account whatever the threshold is.
-	due       bool
-	isChanged bool
-	// started numbers the account's latest start, to break ties in turn.
-	started  uint64
-	tag      float64
-	position int
-}
-
-// service returns what the account was served, over its weight.
-func (a *account[K]) service() float64 {
-	return float64(a.base+a.own) / float64(max(a.waiting.Weight, 1))
-}
-
-// load returns what counts here of the account: service and half of what is
-// outstanding.
-func (a *account[K]) load() fleet.Tokens { return a.own + a.outstanding/2 }
-
-// less orders by virtual time; the account that was served least recently goes
-// first among equals.
+	// ownService is the service of this dispatcher's requests. otherService is the known
+	// service of the other dispatchers' requests, including lifts.
+	ownService   fleet.Tokens
+	otherService fleet.Tokens
+	// otherFloor is the lower bound of otherService until the keeper's total includes a
+	// lift.
+	otherFloor fleet.Tokens
+	// outstanding is the sum of the estimates of requests that this dispatcher has in
+	// flight, and outstandingElsewhere that of the other dispatchers.
+	outstanding          fleet.Tokens
+	outstandingElsewhere fleet.Tokens
+	// assumedElsewhere is the load that the other dispatchers asked for the same requests
+	// are assumed to have added since the last exchange.
+	assumedElsewhere fleet.Tokens
+	// reportedLoad is the load that Reports last returned.
+	reportedLoad fleet.Tokens
+	// isLifted is set while a lift has to be reported to the keeper.
+	isLifted bool
+	// mustReport makes the next Reports return the account whatever the threshold is.
+	mustReport bool
+	isChanged  bool
+	// lastStart is the sequence number of the account's latest start, to break ties.
+	lastStart   uint64
+	virtualTime float64
+	position    int
+}
+
+// servicePerWeight returns the account's service across the fleet divided by its weight.
+func (a *account[K]) servicePerWeight() float64 {
+	return float64(a.otherService+a.ownService) / float64(max(a.waiting.Weight, 1))
+}
+
+// load returns the account's load at this dispatcher: its service plus half of the
+// outstanding cost.
+func (a *account[K]) load() fleet.Tokens { return a.ownService + a.outstanding/2 }
+
+// less orders accounts by virtual time, and by their latest start if that is equal, the
+// least recent first.
 func (a *account[K]) less(other *account[K]) bool {
-	if a.tag != other.tag {
-		return a.tag < other.tag
+	if a.virtualTime != other.virtualTime {
+		return a.virtualTime < other.virtualTime
 	}
-	return cmp.Less(a.started, other.started)
+	return cmp.Less(a.lastStart, other.lastStart)
 }
 
-func (a *account[K]) place() *int { return &a.position }
+func (a *account[K]) positionPtr() *int { return &a.position }
 
-// Wait replaces what is known of key's waiting work, and lifts an account
-// that returns from idle.
+// Wait replaces what is known about key's waiting requests, and lifts an account that
+// returns from idle.
 func (f *Fair[K]) Wait(key K, waiting Waiting) {
 	a := f.account(key)
-	returns := a.waiting.Requests == 0 && waiting.Requests > 0
+	isReturning := a.waiting.Requests == 0 && waiting.Requests > 0
 	a.waiting = waiting
 	if waiting.Requests == 0 {
 		f.waiting.remove(a)
 		return
 	}
-	if returns {
-		f.lift(a)
+	if isReturning {
+		f.liftReturning(a)
 	}
-	f.place(a)
+	f.requeue(a)
 }
 
-// lift raises an account that returns from idle to the service of the account
-// whose turn it is. Without it the account would be served alone until it had
-// caught up with what the others got while it was idle.
-func (f *Fair[K]) lift(a *account[K]) {
-	target := f.last
-	if head, ok := f.waiting.least(); ok {
-		target = head.service()
+// liftReturning raises an account that returns from idle to the service per weight of the
+// account that is next. Otherwise it would be served alone until it had caught up with
+// what the others received while it was idle.
+func (f *Fair[K]) liftReturning(a *account[K]) {
+	target := f.lastService
+	if head, ok := f.waiting.min(); ok {
+		target = head.servicePerWeight()
 	}
-	f.raise(a, target)
+	f.raiseService(a, target)
 }
 
-// raise brings an account's service over weight up to target, and notes that
-// its keeper has to know.
-func (f *Fair[K]) raise(a *account[K], target float64) {
+// raiseService raises an account's service per weight to at least target, to be reported
+// to its keeper.
+func (f *Fair[K]) raiseService(a *account[K], target float64) {
 	floor := fleet.Tokens(target * float64(max(a.waiting.Weight, 1)))
-	if floor <= a.base+a.own {
+	if floor <= a.otherService+a.ownService {
 		return
 	}
-	a.base = floor - a.own
-	a.least = a.base
-	a.lifted = true
+	a.otherService = floor - a.ownService
+	a.otherFloor = a.otherService
+	a.isLifted = true
 }
 
-// Next returns the waiting key with the least virtual time among those that
-// eligible accepts. A nil eligible accepts all.
+// Next returns the waiting key with the least virtual time among those for which eligible
+// is true. A nil eligible accepts every key.
 func (f *Fair[K]) Next(eligible func(key K) bool) (K, bool) {
-	a, ok := f.waiting.first(func(a *account[K]) bool { return eligible == nil || eligible(a.key) })
+	a, ok := f.waiting.firstAccepted(func(a *account[K]) bool { return eligible == nil || eligible(a.key) })
 	if !ok {
 		var none K
 		return none, false
@@ -125,71 +124,74 @@
 	return a.key, true
 }
 
-// Start makes the estimate of a request that is sent now outstanding.
+// Start adds the estimate of a request that is sent now to key's outstanding cost.
 func (f *Fair[K]) Start(key K, estimate fleet.Tokens) {
 	a := f.account(key)
-	f.last = a.service()
-	f.starts++
-	a.started = f.starts
+	f.lastService = a.servicePerWeight()
+	f.startCount++
+	a.lastStart = f.startCount
 	a.outstanding += estimate
-	f.largest = max(estimate, f.largest-f.largest/leadMemory)
-	f.changed(a, estimate/2)
+	f.largestEstimate = max(estimate, f.largestEstimate-f.largestEstimate/largestEstimateDecay)
+	f.addLoad(a, estimate/2)
 }
 
-// Correct adds to what key was served; a negative amount takes back.
+// Correct adds to the service of key; a negative amount subtracts.
 func (f *Fair[K]) Correct(key K, amount fleet.Tokens) {
 	a := f.account(key)
-	a.own += amount
-	f.changed(a, amount)
+	a.ownService += amount
+	f.addLoad(a, amount)
 }
 
-// End takes the estimate of a request that has ended out of what is outstanding.
+// End removes the estimate of a request that has ended from key's outstanding cost.
 func (f *Fair[K]) End(key K, estimate fleet.Tokens) {
 	a := f.account(key)
 	before := a.outstanding
 	a.outstanding = max(before-estimate, 0)
-	f.changed(a, (a.outstanding-before)/2)
+	f.addLoad(a, (a.outstanding-before)/2)
 }
 
-// changed takes note that an account's load changed by amount.
-func (f *Fair[K]) changed(a *account[K], amount fleet.Tokens) {
+// addLoad accounts for a change of an account's load by amount. It assumes the same
+// change at each of the other dispatchers that were asked.
+func (f *Fair[K]) addLoad(a *account[K], amount fleet.Tokens) {
 	others := fleet.Tokens(max(a.waiting.Asked, 1) - 1)
-	a.surplus = max(a.surplus+others*amount, 0)
-	f.mark(a)
-	f.place(a)
+	a.assumedElsewhere = max(a.assumedElsewhere+others*amount, 0)
+	f.markChanged(a)
+	f.requeue(a)
 }
 
-// place moves an account that waits to its turn.
-func (f *Fair[K]) place(a *account[K]) {
+// requeue updates the virtual time of an account and its position in the queue, if it
+// waits.
+func (f *Fair[K]) requeue(a *account[K]) {
 	if a.waiting.Requests == 0 {
 		return
 	}
-	virtual := a.base + a.own + (a.outstanding+a.elsewhere)/2 + a.surplus
-	a.tag = float64(virtual) / float64(max(a.waiting.Weight, 1))
+	load := a.otherService + a.ownService + (a.outstanding+a.outstandingElsewhere)/2 + a.assumedElsewhere
+	a.virtualTime = float64(load) / float64(max(a.waiting.Weight, 1))
 	f.waiting.update(a)
 }
 
-func (f *Fair[K]) mark(a *account[K]) {
+// markChanged adds the account to those that Reports checks.
+func (f *Fair[K]) markChanged(a *account[K]) {
 	if !a.isChanged {
 		a.isChanged = true
-		f.change = append(f.change, a)
+		f.changed = append(f.changed, a)
 	}
 }
 
-// Service returns what the fleet is known to have served key, lifts included.
+// Service returns the known service of key across the fleet, including lifts.
 func (f *Fair[K]) Service(key K) fleet.Tokens {
 	a := f.accounts[key]
 	if a == nil {
 		return 0
 	}
-	return a.base + a.own
+	return a.otherService + a.ownService
 }
 
-// Len returns how many accounts are known.
+// Len returns the number of known accounts.
 func (f *Fair[K]) Len() int { return len(f.accounts) }
 
-// Forget drops all that is known of key. An account that comes back after it
-// starts with the service of those that wait, like any new one.
+// Forget removes key. An account that returns after this starts with the service per
+// weight of those that wait, as any new account does.
 func (f *Fair[K]) Forget(key K) {
 	a := f.accounts[key]
 	if a == nil {
--- a/share/first_come.go
+++ b/share/first_come.go
@@ -2,10 +2,9 @@
 
 import "nutmeglock.example/nutmeglock/fleet"
 
-// FirstCome serves the request that has waited longest, whoever sent it. It is
-// the baseline that Fair is measured against: an account gets what it asks
-// for, so one that floods takes nearly everything. Its zero value is ready to
-// use.
+// FirstCome serves the request that has waited longest, whichever account it belongs to.
+// It is the baseline for Fair: an account gets what it asks for, so that one account's
+// flood takes nearly everything. Its zero value is ready to use.
 type FirstCome[K comparable] struct {
 	accounts map[K]*arrival[K]
 	waiting  queue[*arrival[K]]
@@ -16,7 +15,7 @@
 type arrival[K comparable] struct {
 	key     K
 	waiting Waiting
-	// number breaks ties between accounts that began to wait at one instant.
+	// number breaks ties between accounts that began to wait at the same instant.
 	number   uint64
 	position int
 }
@@ -28,9 +27,9 @@
 	return a.number < other.number
 }
 
-func (a *arrival[K]) place() *int { return &a.position }
+func (a *arrival[K]) positionPtr() *int { return &a.position }
 
-// Wait replaces what is known of key's waiting work.
+// Wait replaces what is known about key's waiting requests.
 func (f *FirstCome[K]) Wait(key K, waiting Waiting) {
 	a := f.accounts[key]
 	if waiting.Requests == 0 {
@@ -49,10 +48,10 @@
 	f.waiting.update(a)
 }
 
-// Next returns the key that has waited longest among those that eligible
-// accepts. A nil eligible accepts all.
+// Next returns the key that has waited longest among those for which eligible is true. A
+// nil eligible accepts every key.
 func (f *FirstCome[K]) Next(eligible func(key K) bool) (K, bool) {
-	a, ok := f.waiting.first(func(a *arrival[K]) bool { return eligible == nil || eligible(a.key) })
+	a, ok := f.waiting.firstAccepted(func(a *arrival[K]) bool { return eligible == nil || eligible(a.key) })
 	if !ok {
 		var none K
 		return none, false
@@ -60,16 +59,16 @@
 	return a.key, true
 }
 
-// Start does nothing: service does not count here.
+// Start does nothing: FirstCome ignores service.
 func (f *FirstCome[K]) Start(K, fleet.Tokens) {}
 
-// Correct does nothing: service does not count here.
+// Correct does nothing: FirstCome ignores service.
 func (f *FirstCome[K]) Correct(K, fleet.Tokens) {}
 
-// End does nothing: service does not count here.
+// End does nothing: FirstCome ignores service.
 func (f *FirstCome[K]) End(K, fleet.Tokens) {}
 
-// Forget drops what is known of key.
+// Forget removes key.
 func (f *FirstCome[K]) Forget(key K) {
 	a := f.accounts[key]
 	if a == nil {
--- a/share/lead.go
+++ b/share/lead.go
@@ -1,54 +1,55 @@
 package share
 
 const (
-	// leadEstimates is the lead, in largest estimates, that an account may have
-	// over others that wait, besides half of what these have outstanding. In the
-	// virtual-time model 1 to 4 differ little where all wait on; a larger lead
-	// widens the gap after a first comer, and without the outstanding part long
-	// requests among short ones were taken for a lead of the short ones.
-	leadEstimates = 2
-	// leadMemory lets the largest estimate sink by a part for each start, so
-	// that one very long request does not widen the lead for good.
-	leadMemory = 256
+	// maxLeadEstimates is the lead, in multiples of the largest estimate, that an account
+	// may have over others that wait, in addition to half of their outstanding cost. In
+	// the virtual-time model values from 1 to 4 differ little when all accounts keep
+	// waiting. A larger lead widens the gap after one account found the fleet idle.
+	// Without the outstanding part, accounts with short requests seemed to lead those
+	// with long requests.
+	maxLeadEstimates = 2
+	// largestEstimateDecay is the divisor by which the largest estimate decays with each
+	// start, so that one very long request doesn't raise the allowed lead for good.
+	largestEstimateDecay = 256
 )
 
-// limitLead lifts waiting accounts that are too far behind the most served one
-// that waits.
+// limitLead lifts the waiting accounts that are too far behind the waiting account with
+// the most service.
 //
-// An account that finds the fleet idle is given every slot at once, rightly,
-// and the others, which come a moment later, can't take them back. When those
-// requests have ended it is some dozen largest requests ahead. Were that made
-// good in full, nothing of it would be started until all others had got as
-// much, for most of a minute with today's sizes, and its callers would see the
-// fleet stand still for them after each burst. The lead came from slots that
-// nobody else asked for, so it is forgiven but for what keeps the others first
-// while they take the slots over.
+// An account that finds the fleet idle rightly gets every slot, and accounts that arrive
+// a moment later can't take slots back. When its requests have ended it leads by a dozen
+// or more of the largest requests. If the others first caught up in full, nothing of it
+// would start for most of a minute at today's sizes, and its callers would see the fleet
+// stall after each burst. As no other account asked for those slots, the lead is
+// forgiven, except for the part that lets the others go first while they take over the
+// slots.
 func (f *Fair[K]) limitLead() {
-	lead := leadEstimates * float64(f.largest)
-	if lead == 0 {
+	maxLead := maxLeadEstimates * float64(f.largestEstimate)
+	if maxLead == 0 {
 		return
 	}
-	most := 0.0
+	highest := 0.0
 	for _, a := range f.waiting.heap {
-		most = max(most, a.service())
+		highest = max(highest, a.servicePerWeight())
 	}
-	// A lift moves an account in the heap, so those to lift are found first.
+	// A lift moves an account within the heap, so collect the accounts first.
 	var behind []*account[K]
 	for _, a := range f.waiting.heap {
-		if a.service()+a.inFlight()+lead < most {
+		if a.servicePerWeight()+a.halfOutstandingPerWeight()+maxLead < highest {
 			behind = append(behind, a)
 		}
 	}
 	for _, a := range behind {
-		f.raise(a, most-lead-a.inFlight())
-		f.mark(a)
-		f.place(a)
+		f.raiseService(a, highest-maxLead-a.halfOutstandingPerWeight())
+		f.markChanged(a)
+		f.requeue(a)
 	}
 }
 
-// inFlight returns half of what is outstanding of the account, over weight. By
-// that much its service is behind that of an account without any when it is
-// their turn alike, which is no lead of the other.
-func (a *account[K]) inFlight() float64 {
-	return float64((a.outstanding+a.elsewhere)/2) / float64(max(a.waiting.Weight, 1))
+// halfOutstandingPerWeight returns half of the account's outstanding cost across the
+// fleet, divided by its weight. When an account is next, its service is lower by this
+// amount than that of an account with nothing outstanding. This isn't a lead of the other
+// account.
+func (a *account[K]) halfOutstandingPerWeight() float64 {
+	return float64((a.outstanding+a.outstandingElsewhere)/2) / float64(max(a.waiting.Weight, 1))
 }
--- a/share/level.go
+++ b/share/level.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Level returns the max-min level of claims on an amount: those up to it are met
-// whole, the others get as much as the level each. It is infinite when the amount is more
-// than all claims. It reorders claims.
+// Level returns the max-min fair limit for dividing an amount among claims: claims up to
+// the limit are met in full, and the others get the limit each. It is +Inf if the amount
+// covers all claims with some left over. Level sorts claims in place.
 func Level(claims []float64, amount float64) float64 {
 	slices.Sort(claims)
 	for i, claim := range claims {
--- a/share/level_machine_test.go
+++ b/share/level_machine_test.go
@@ -9,8 +9,8 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// Guards against a level that gives away more than there is, or nothing at all, for any claims,
-// none included.
+// Guards against a limit that gives away more than the amount, or less than it could, for
+// any claims including none.
 func TestLevelOfAnyClaims(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/share/queue.go
+++ b/share/queue.go
@@ -1,36 +1,36 @@
 package share
 
-// queue is a binary heap of the waiting entries, by less. Each entry knows its
-// place, so that a changed one moves in O(log n).
+// queue is a binary min-heap of the waiting entries, ordered by less. Each entry stores
+// its position, so that it can be moved in O(log n) when it changes.
 type queue[E entry[E]] struct {
 	heap []E
-	// frontier is kept between calls of first to spare its allocation.
+	// frontier is scratch space of firstAccepted, kept to avoid an allocation per call.
 	frontier []int
 }
 
-// entry is what a queue holds.
+// entry is an element of a queue.
 type entry[E any] interface {
 	less(other E) bool
-	// place returns where the queue keeps the entry's position plus one; zero
-	// means that it is not queued.
-	place() *int
+	// positionPtr points to the entry's index in the heap plus one, or to zero if the
+	// entry isn't queued.
+	positionPtr() *int
 }
 
-// update puts e where it belongs, and adds it when it is not queued.
+// update moves e to its position in the heap, or adds it if it isn't queued.
 func (q *queue[E]) update(e E) {
-	if *e.place() == 0 {
+	if *e.positionPtr() == 0 {
 		q.heap = append(q.heap, e)
-		*e.place() = len(q.heap)
+		*e.positionPtr() = len(q.heap)
 	}
-	i := *e.place() - 1
+	i := *e.positionPtr() - 1
 	if !q.up(i) {
 		q.down(i)
 	}
 }
 
-// remove takes e out, if it is queued.
+// remove removes e if it is queued.
 func (q *queue[E]) remove(e E) {
-	i := *e.place() - 1
+	i := *e.positionPtr() - 1
 	if i < 0 {
 		return
 	}
@@ -39,16 +39,16 @@
 	var none E
 	q.heap[last] = none
 	q.heap = q.heap[:last]
-	*e.place() = 0
+	*e.positionPtr() = 0
 	if i < last && !q.up(i) {
 		q.down(i)
 	}
 }
 
-// first returns the least entry that accept accepts. It visits entries in
-// order: a frontier of positions, itself a heap, starts with the root, and each
-// rejected entry adds its two children. So k rejected entries cost O(k log k).
-func (q *queue[E]) first(accept func(E) bool) (E, bool) {
+// firstAccepted returns the least entry for which accept is true. It visits entries in
+// order: the frontier is itself a heap of positions that starts with the root, and each
+// rejected entry adds its two children. Rejecting k entries costs O(k log k).
+func (q *queue[E]) firstAccepted(accept func(E) bool) (E, bool) {
 	var none E
 	if len(q.heap) == 0 {
 		return none, false
@@ -66,8 +66,8 @@
 	return none, false
 }
 
-// least returns the least entry, and false when the queue is empty.
-func (q *queue[E]) least() (E, bool) {
+// min returns the least entry, or false if the queue is empty.
+func (q *queue[E]) min() (E, bool) {
 	if len(q.heap) == 0 {
 		var none E
 		return none, false
@@ -108,15 +108,15 @@
 
 func (q *queue[E]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
-	*q.heap[i].place() = i + 1
-	*q.heap[j].place() = j + 1
+	*q.heap[i].positionPtr() = i + 1
+	*q.heap[j].positionPtr() = j + 1
 }
 
 func (q *queue[E]) pushFrontier(position int) {
 	q.frontier = append(q.frontier, position)
 	for i := len(q.frontier) - 1; i > 0; {
 		parent := (i - 1) / 2
-		if !q.before(i, parent) {
+		if !q.frontierLess(i, parent) {
 			return
 		}
 		q.frontier[i], q.frontier[parent] = q.frontier[parent], q.frontier[i]
@@ -134,10 +134,10 @@
 		if child >= last {
 			return position
 		}
-		if child+1 < last && q.before(child+1, child) {
+		if child+1 < last && q.frontierLess(child+1, child) {
 			child++
 		}
-		if !q.before(child, i) {
+		if !q.frontierLess(child, i) {
 			return position
 		}
 		q.frontier[i], q.frontier[child] = q.frontier[child], q.frontier[i]
@@ -145,6 +145,6 @@
 	}
 }
 
-func (q *queue[E]) before(i, j int) bool {
+func (q *queue[E]) frontierLess(i, j int) bool {
 	return q.heap[q.frontier[i]].less(q.heap[q.frontier[j]])
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -14,22 +14,22 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// Properties are drawn from a fixed seed, so that each run checks the same.
+// A fixed seed makes every run check the same sequences.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// bench plays one dispatcher with a number of slots in turns: at each turn the
-// request that ends next is settled and the free slot is given away.
-type bench struct {
+// simulation runs one dispatcher with a fixed number of slots in steps. Each step counts
+// the requests that have ended and starts new ones in the free slots.
+type simulation struct {
 	order   share.Order[string]
 	random  *rand.Rand
 	running []request
 	service map[string]fleet.Tokens
-	demand  map[string]*demand
-	turn    int
+	loads   map[string]*accountLoad
+	now     int
 }
 
 type request struct {
@@ -39,43 +39,43 @@
 	ends     int
 }
 
-type demand struct {
+type accountLoad struct {
 	weight  uint32
 	waiting int
-	// refill keeps that many waiting.
+	// refill is the number of waiting requests that is maintained.
 	refill int
 	cost   func() fleet.Tokens
 	since  time.Time
 }
 
-func newBench(order share.Order[string], slots int) *bench {
-	return &bench{
+func newSimulation(order share.Order[string], slots int) *simulation {
+	return &simulation{
 		order:   order,
 		random:  rand.New(rand.NewPCG(1, 2)),
 		running: make([]request, slots),
 		service: make(map[string]fleet.Tokens),
-		demand:  make(map[string]*demand),
+		loads:   make(map[string]*accountLoad),
 	}
 }
 
-func (b *bench) add(account string, d demand) {
-	d.since = epoch.Add(time.Duration(b.turn) * time.Second)
-	b.demand[account] = &d
+func (b *simulation) add(account string, d accountLoad) {
+	d.since = epoch.Add(time.Duration(b.now) * time.Second)
+	b.loads[account] = &d
 	b.wait(account)
 }
 
-func (b *bench) wait(account string) {
-	d := b.demand[account]
+func (b *simulation) wait(account string) {
+	d := b.loads[account]
 	b.order.Wait(account, share.Waiting{
 		Weight: d.weight, Requests: d.waiting, Estimate: 320, Asked: 1, Since: d.since,
 	})
 }
 
-// step settles what has ended and fills the free slots.
-func (b *bench) step() {
-	b.turn++
+// step counts the requests that have ended and fills the free slots.
+func (b *simulation) step() {
+	b.now++
 	for i, r := range b.running {
-		if r.ends > b.turn {
+		if r.ends > b.now {
 			continue
 		}
 		if r.account != "" {
@@ -87,23 +87,23 @@
 	}
 }
 
-func (b *bench) start() request {
+func (b *simulation) start() request {
 	account, ok := b.order.Next(nil)
 	if !ok {
 		return request{}
 	}
-	d := b.demand[account]
+	d := b.loads[account]
 	cost := d.cost()
 	b.order.Start(account, 320)
 	d.waiting = max(d.waiting-1, d.refill)
 	if d.refill < 1000 {
-		d.since = epoch.Add(time.Duration(b.turn) * time.Second)
+		d.since = epoch.Add(time.Duration(b.now) * time.Second)
 	}
 	b.wait(account)
-	return request{account: account, cost: cost, estimate: 320, ends: b.turn + int(cost/16)}
+	return request{account: account, cost: cost, estimate: 320, ends: b.now + int(cost/16)}
 }
 
-func constant(cost fleet.Tokens) func() fleet.Tokens {
+func constantCost(cost fleet.Tokens) func() fleet.Tokens {
 	return func() fleet.Tokens { return cost }
 }
 
@@ -116,17 +116,17 @@
 	}
 }
 
-// One client account sends a thousand requests at once while others send a
-// few each and always have one waiting. Served in order of arrival, the users
-// of the small accounts wait until the whole flood is through. Fair gives each
-// the same service, whatever it asks for; first come first served does not.
+// One account sends a thousand requests at once while others always have a single one
+// waiting. In order of arrival, the small accounts would wait until the whole flood is
+// served. Fair gives each account the same service whatever it asks for; FirstCome
+// doesn't.
 func TestFloodDoesNotTakeTheShareOfOthers(t *testing.T) {
 	t.Parallel()
 	gap := func(order share.Order[string]) fleet.Tokens {
-		b := newBench(order, 16)
-		b.add("flood", demand{weight: 1, refill: 1000, waiting: 1000, cost: constant(320)})
+		b := newSimulation(order, 16)
+		b.add("flood", accountLoad{weight: 1, refill: 1000, waiting: 1000, cost: constantCost(320)})
 		for i := range 15 {
-			b.add(fmt.Sprintf("small-%d", i), demand{weight: 1, refill: 1, waiting: 1, cost: constant(320)})
+			b.add(fmt.Sprintf("small-%d", i), accountLoad{weight: 1, refill: 1, waiting: 1, cost: constantCost(320)})
 		}
 		for range 4000 {
 			b.step()
@@ -144,45 +144,45 @@
 	require.Greater(t, gap(&share.FirstCome[string]{}), fleet.Tokens(100*320))
 }
 
-// An account with long requests among short ones would get more service than
-// the others if each start counted the same. It is the tokens that count.
-func TestLongAmongShortCountsTokens(t *testing.T) {
+// Guards against an account with long requests that gets more service than one with short
+// requests, because starts count instead of tokens.
+func TestServiceCountsTokensNotRequests(t *testing.T) {
 	t.Parallel()
 	const long = 4000
-	b := newBench(&share.Fair[string]{}, 32)
-	b.add("long", demand{weight: 1, refill: 100, waiting: 100, cost: constant(long)})
-	b.add("short", demand{weight: 1, refill: 100, waiting: 100, cost: constant(100)})
+	b := newSimulation(&share.Fair[string]{}, 32)
+	b.add("long", accountLoad{weight: 1, refill: 100, waiting: 100, cost: constantCost(long)})
+	b.add("short", accountLoad{weight: 1, refill: 100, waiting: 100, cost: constantCost(100)})
 	for range 20_000 {
 		b.step()
 	}
-	// Each of the 32 slots may hold one long request that was charged its
-	// estimate only, as this bench corrects at the end.
+	// Each of the 32 slots may hold a long request of which only the estimate
+	// counts, as the simulation reports service at the end of a request.
 	require.InDelta(t, int64(b.service["long"]), int64(b.service["short"]), 32*long)
 	require.InEpsilon(t, int64(b.service["long"]), int64(b.service["short"]), 0.05)
 }
 
 func TestServiceFollowsWeights(t *testing.T) {
 	t.Parallel()
-	b := newBench(&share.Fair[string]{}, 16)
-	b.add("one", demand{weight: 1, refill: 50, waiting: 50, cost: constant(320)})
-	b.add("three", demand{weight: 3, refill: 50, waiting: 50, cost: constant(320)})
+	b := newSimulation(&share.Fair[string]{}, 16)
+	b.add("one", accountLoad{weight: 1, refill: 50, waiting: 50, cost: constantCost(320)})
+	b.add("three", accountLoad{weight: 3, refill: 50, waiting: 50, cost: constantCost(320)})
 	for range 4000 {
 		b.step()
 	}
 	require.InEpsilon(t, int64(3*b.service["one"]), int64(b.service["three"]), 0.01)
 }
 
-// An account is idle for an hour and then sends a burst. Had it saved up
-// credit, everyone else would stand still until the burst is through.
+// An account is idle for a long time and then sends a burst. If it had saved up credit,
+// the others would get nothing until the burst is served.
 func TestReturnFromIdleBringsNoCredit(t *testing.T) {
 	t.Parallel()
-	b := newBench(&share.Fair[string]{}, 16)
-	b.add("steady", demand{weight: 1, refill: 50, waiting: 50, cost: constant(320)})
+	b := newSimulation(&share.Fair[string]{}, 16)
+	b.add("steady", accountLoad{weight: 1, refill: 50, waiting: 50, cost: constantCost(320)})
 	for range 4000 {
 		b.step()
 	}
 	before := b.service["steady"]
-	b.add("returned", demand{weight: 1, refill: 50, waiting: 50, cost: constant(320)})
+	b.add("returned", accountLoad{weight: 1, refill: 50, waiting: 50, cost: constantCost(320)})
 	for range 400 {
 		b.step()
 	}
@@ -190,8 +190,8 @@
 	require.Positive(t, b.service["steady"]-before)
 }
 
-// A withdrawn account is dropped so that memory stays bounded. If the drop
-// reset its service to nothing, publishing it anew would bring credit.
+// A withdrawn account is removed so that memory stays bounded. If its service restarted
+// from zero, publishing the account again would give it credit.
 func TestForgottenAccountReturnsWithoutCredit(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
@@ -215,7 +215,7 @@
 	require.Equal(t, "single", next)
 }
 
-func TestNextSkipsWhatIsNotEligible(t *testing.T) {
+func TestNextSkipsIneligibleAccounts(t *testing.T) {
 	t.Parallel()
 	for name, order := range orders() {
 		order.Wait("a", share.Waiting{Weight: 1, Requests: 1, Since: epoch})
@@ -228,8 +228,8 @@
 	}
 }
 
-// Whatever the accounts ask for and the requests cost, an order gives a slot
-// away whenever someone eligible waits, and never to one that does not wait.
+// Whatever accounts ask for and requests cost, an order must offer a slot to every
+// eligible account that waits, and to none that doesn't wait.
 func TestOrdersConserveWork(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -253,31 +253,31 @@
 				for _, n := range waiting {
 					expected += min(n, 1)
 				}
-				seen := 0
+				offered := 0
 				_, found := keyed.Next(func(key string) bool {
-					seen++
+					offered++
 					require.NotZero(t, waiting[int(key[0]-'0')], name)
 					return false
 				})
 				require.False(t, found, name)
-				require.Equal(t, expected, seen, name)
+				require.Equal(t, expected, offered, name)
 			}
 		}
 	})
 }
 
-// The bound of the package comment at one dispatcher: whatever requests cost,
-// two accounts that both wait throughout differ by no more than the largest
-// request and what is in flight.
+// Checks the bound of the package comment at one dispatcher: whatever requests cost, two
+// accounts that both wait throughout differ by no more than the largest request and what
+// is in flight.
 func TestGapBetweenBackloggedAccountsIsBounded(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 24).Draw(t, "slots")
 		largest := fleet.Tokens(rapid.IntRange(16, 2000).Draw(t, "largest"))
-		b := newBench(&share.Fair[string]{}, slots)
+		b := newSimulation(&share.Fair[string]{}, slots)
 		accounts := rapid.IntRange(2, 8).Draw(t, "accounts")
 		for i := range accounts {
-			b.add(fmt.Sprint(i), demand{
+			b.add(fmt.Sprint(i), accountLoad{
 				weight: 1, refill: 5, waiting: 5,
 				cost: func() fleet.Tokens { return 1 + fleet.Tokens(b.random.Int64N(int64(largest))) },
 			})
@@ -309,10 +309,10 @@
 	}
 }
 
-// An account returns from idle beside one that has taken a hundred slots.
-// Were it lifted by what is outstanding there, it would wait until as many
-// slots had been given to it as to the flood, while the flood is served.
-func TestReturningAccountDoesNotWaitForAFloodsSlots(t *testing.T) {
+// An account returns from idle beside one that holds a hundred slots. If it were lifted
+// by the outstanding cost of these too, it would wait until it had been given as many
+// slots, while the flood is served.
+func TestReturningAccountIsNotLiftedByOutstandingCost(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
 	fair.Wait("flood", share.Waiting{Weight: 1, Requests: 900})
@@ -320,8 +320,8 @@
 		fair.Start("flood", 400)
 	}
 	fair.Wait("small", share.Waiting{Weight: 1, Requests: 9})
-	// The flood's requests end one by one, with short answers; none of their
-	// slots may go back to it while it holds more than the small account.
+	// The flood's requests end one by one with short answers. None of the freed
+	// slots may go to the flood while it holds more than the small account.
 	for range 9 {
 		fair.Correct("flood", 100)
 		fair.End("flood", 400)
@@ -331,23 +331,23 @@
 	}
 }
 
-// One account finds the fleet idle and is given every slot; the others come a
-// moment later. Made good in full, its lead would keep its callers waiting for
-// most of a minute after each such burst, while the fleet serves everyone else.
+// One account finds the fleet idle and gets every slot; the others arrive a moment later.
+// If its lead had to be made up in full, its callers would wait for most of a minute
+// after each such burst while the fleet serves everyone else.
 func TestLeadFromAnIdleFleetIsForgiven(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
-	b := newBench(&fair, 160)
-	b.add("first", demand{weight: 1, refill: 900, waiting: 900, cost: constant(320)})
+	b := newSimulation(&fair, 160)
+	b.add("first", accountLoad{weight: 1, refill: 900, waiting: 900, cost: constantCost(320)})
 	b.step()
 	for i := range 15 {
-		b.add(fmt.Sprint(i), demand{weight: 1, refill: 30, waiting: 30, cost: constant(320)})
+		b.add(fmt.Sprint(i), accountLoad{weight: 1, refill: 30, waiting: 30, cost: constantCost(320)})
 	}
 	for range 20 {
 		b.step()
 	}
 	require.Equal(t, fleet.Tokens(160*320), b.service["first"], "its first requests have ended")
-	// A residence is 20 turns, and a fair share 10 slots.
+	// A request holds its slot for 20 steps, and a fair share is 10 slots.
 	for range 80 {
 		fair.Reports(0)
 		b.step()
@@ -356,10 +356,10 @@
 	require.Less(t, b.service["first"], fleet.Tokens(210*320))
 }
 
-// An account with long requests has much outstanding when it is its turn as
-// often as the others'. That is no lead of the others, and forgiving it each
-// time would serve the account less and less.
-func TestWhatIsOutstandingIsNoLead(t *testing.T) {
+// An account with long requests has a large outstanding cost even when it gets its fair
+// share. If that counted as a lead of the others and was forgiven, the account would be
+// lifted each time and receive less and less service.
+func TestOutstandingCostIsNotALead(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
 	fair.Wait("long", share.Waiting{Weight: 1, Requests: 9})
@@ -373,7 +373,7 @@
 	require.Equal(t, fleet.Tokens(500), fair.Service("long"))
 }
 
-// BenchmarkReports is one exchange in which a tenth of the accounts changed.
+// BenchmarkReports measures an exchange in which a tenth of the accounts changed.
 func BenchmarkReports(b *testing.B) {
 	for _, accounts := range []int{16, 360, 3600, 36000} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
