--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -45,13 +45,13 @@
 	}
 }
 
-// Twice as much arrives as is served, and each caller gives up after ten
-// seconds. Let in without looking at the rate, every request waits until just
-// before its deadline or beyond, and its caller hears nothing until then.
-// Refused at once, a caller can do something else, and those let in are served.
+// Twice as many requests arrive as are served, and each caller gives up after ten
+// seconds. If the rate were ignored, every request would wait until about its deadline or
+// longer. Refused at once, a caller can do something else, and the admitted requests are
+// served.
 func TestSaturationIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
-	late := func(policy admission.Policy) (lateStarts, refusals int) {
+	simulate := func(policy admission.Policy) (lateStarts, refusals int) {
 		var drain admission.Drain
 		var queue []time.Time
 		for tick := range 600 {
@@ -76,15 +76,15 @@
 		}
 		return lateStarts, refusals
 	}
-	lateStarts, refusals := late(admission.Bounded{})
+	lateStarts, refusals := simulate(admission.Bounded{})
 	require.LessOrEqual(t, lateStarts, 6)
 	require.Greater(t, refusals, 200)
-	lateStarts, _ = late(admission.Unbounded{})
-	require.Greater(t, lateStarts, 100, "the baseline serves callers that are gone")
+	lateStarts, _ = simulate(admission.Unbounded{})
+	require.Greater(t, lateStarts, 100, "the baseline starts requests after their deadline")
 }
 
-// Hundreds of callers are refused in the same second. Told the same time, they
-// come back together and are refused together again.
+// Hundreds of callers are refused within the same second. With equal retry times they
+// would return together and be refused together again.
 func TestRefusedCallersDoNotReturnTogether(t *testing.T) {
 	t.Parallel()
 	waits := make(map[time.Duration]bool)
@@ -109,21 +109,21 @@
 	require.InEpsilon(t, 4, drain.Rate(now), 0.05)
 	drain.Waits(now, false)
 	now = now.Add(time.Hour)
-	require.InEpsilon(t, 4, drain.Rate(now), 0.05, "idle time is no evidence")
+	require.InEpsilon(t, 4, drain.Rate(now), 0.05, "idle time doesn't count")
 	drain.Waits(now, true)
 	now = now.Add(90 * time.Second)
-	require.Less(t, drain.Rate(now), 0.5, "a stall is")
+	require.Less(t, drain.Rate(now), 0.5, "a stall does")
 	require.Positive(t, drain.Rate(now.Add(time.Hour)))
 }
 
-// A router has just begun to start an account's requests, or starts them in
-// lumps. Judged by the mean of so few, requests are refused whose turn would
-// come long before their deadline, and callers are sent away beside free slots.
-func TestFewStartsLeaveTheRateInDoubt(t *testing.T) {
+// A router has just started an account's first requests, or starts them in bursts. The
+// mean of so few starts would refuse requests whose turn comes long before their
+// deadline, while slots are free.
+func TestHighestRateHasAMarginWithFewStarts(t *testing.T) {
 	t.Parallel()
 	var drain admission.Drain
 	drain.Waits(epoch, true)
-	require.Zero(t, drain.Most(epoch.Add(4*time.Second)), "nothing is known yet")
+	require.Zero(t, drain.Most(epoch.Add(4*time.Second)), "the rate is unknown")
 	now := epoch.Add(6 * time.Second)
 	drain.Started(now)
 	require.InDelta(t, 0.18, drain.Rate(now), 0.01)
@@ -132,5 +132,5 @@
 		now = now.Add(100 * time.Millisecond)
 		drain.Started(now)
 	}
-	require.InEpsilon(t, drain.Rate(now), drain.Most(now), 1e-9, "many starts leave no doubt")
+	require.InEpsilon(t, drain.Rate(now), drain.Most(now), 1e-9, "no margin with many starts")
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -6,84 +6,84 @@
 )
 
 const (
-	// drainMemory is the time constant of the rate: two usual residences, since
-	// slots come free in lumps a residence apart after a burst.
-	drainMemory = 30 * time.Second
-	// drainKnown is how long work must have waited until the rate counts.
-	drainKnown = 5 * time.Second
-	// doubt is how many standard deviations the highest rate is above the mean,
-	// while starts are few. An account has some three starts in the memory at
-	// one router of six. In the virtual-time model, where few accounts have most
-	// of the load and nobody waits for 120 s, the mean of the last 10 s refused
-	// 5,711 requests beside 15,012 answered; this refuses 2.
-	doubt = 2
-	// enough is how many starts leave no doubt. Doubt that stayed would let in
-	// a little too much for ever under saturation, and all that was let in would
-	// be started just after its deadline.
-	enough = 20
+	// drainTimeConstant is the time constant of the rate. It is twice the usual time that
+	// a request holds a slot, since after a burst slots become free in groups that are
+	// one such time apart.
+	drainTimeConstant = 30 * time.Second
+	// minObservation is how long requests must have waited before the rate is known.
+	minObservation = 5 * time.Second
+	// rateDeviations is how many standard deviations the highest rate lies above the mean
+	// while there are few starts. At one of six routers an account has about three starts
+	// within the time constant. In the virtual-time model, with most of the load from few
+	// accounts and no wait as long as 120 s, the mean of the last 10 s refused 5,711
+	// requests and 15,012 were answered; with this margin 2 were refused.
+	rateDeviations = 2
+	// confidentStarts is the number of starts at which the mean is used without a margin.
+	// A permanent margin would admit slightly too much for as long as saturation lasts,
+	// and all that was admitted would start just after its deadline.
+	confidentStarts = 20
 )
 
-// Drain measures the rate at which one account's requests are started while
-// some wait. Time in which none waits does not count, since a rate of
-// arrivals says nothing about how fast a queue empties. A stall does count:
-// the rate falls while work waits and none is started. Its zero value is ready
-// to use.
+// Drain measures the rate at which one account's requests are started while some wait.
+// Time without waiting requests doesn't count, since the rate of arrivals doesn't show
+// how fast a queue drains. A stall does count: the rate falls while requests wait and
+// none is started. Its zero value is ready to use.
 type Drain struct {
-	starts float64
-	span   float64 // seconds in which work waited, discounted like starts
-	at     time.Time
-	waits  bool
+	starts         float64
+	waitingSeconds float64 // seconds with waiting requests, decayed like starts
+	updatedAt      time.Time
+	isWaiting      bool
 }
 
-// Waits says whether any of the account's requests wait from now on.
-func (d *Drain) Waits(now time.Time, waits bool) {
+// Waits sets whether any of the account's requests wait from now on.
+func (d *Drain) Waits(now time.Time, isWaiting bool) {
 	d.advance(now)
-	d.waits = waits
+	d.isWaiting = isWaiting
 }
 
-// Started counts a request that got its turn.
+// Started counts a request that was started.
 func (d *Drain) Started(now time.Time) {
 	d.advance(now)
 	d.starts++
 }
 
-// Rate returns the requests started per second of waiting, and zero while too
-// little is known.
+// Rate returns the starts per second of waiting time, or zero while that is unknown.
 func (d *Drain) Rate(now time.Time) float64 {
 	d.advance(now)
-	return d.per(d.starts)
+	return d.perWaitingSecond(d.starts)
 }
 
-// Most returns the highest rate that the starts seen allow for, and zero while
-// too little is known. A request that is judged by it is refused only if its
-// turn would come too late even at that rate.
+// Most returns the highest rate that is consistent with the observed starts, or zero
+// while that is unknown. It is meant for refusals: a request is refused only if its turn
+// would come too late even at this rate.
 func (d *Drain) Most(now time.Time) float64 {
 	d.advance(now)
-	left := max(1-d.starts/enough, 0)
-	return d.per(d.starts + left*doubt*math.Sqrt(d.starts+1))
+	doubt := max(1-d.starts/confidentStarts, 0)
+	return d.perWaitingSecond(d.starts + doubt*rateDeviations*math.Sqrt(d.starts+1))
 }
 
-// per returns starts over the time in which work waited.
-func (d *Drain) per(starts float64) float64 {
-	if d.span < drainKnown.Seconds() {
+// perWaitingSecond returns the number of starts divided by the time in which requests
+// waited, or zero while that time is too short.
+func (d *Drain) perWaitingSecond(starts float64) float64 {
+	if d.waitingSeconds < minObservation.Seconds() {
 		return 0
 	}
-	// A queue from which nothing was started at all is a stall and not an
-	// unknown rate, so that the least rate stands in for zero.
-	return max(starts/d.span, 1/(10*drainMemory.Seconds()))
+	// No starts while requests wait is a stall and not an unknown rate, so a minimum rate
+	// is returned in place of zero.
+	return max(starts/d.waitingSeconds, 1/(10*drainTimeConstant.Seconds()))
 }
 
 func (d *Drain) advance(now time.Time) {
-	elapsed := now.Sub(d.at).Seconds()
-	if d.at.IsZero() || elapsed < 0 {
+	elapsed := now.Sub(d.updatedAt).Seconds()
+	if d.updatedAt.IsZero() || elapsed < 0 {
 		elapsed = 0
 	}
-	d.at = now
-	if !d.waits {
+	d.updatedAt = now
+	if !d.isWaiting {
 		return
 	}
-	memory := drainMemory.Seconds()
-	kept := math.Exp(-elapsed / memory)
-	d.starts *= kept
-	d.span = d.span*kept + memory*(1-kept)
+	timeConstant := drainTimeConstant.Seconds()
+	decay := math.Exp(-elapsed / timeConstant)
+	d.starts *= decay
+	d.waitingSeconds = d.waitingSeconds*decay + timeConstant*(1-decay)
 }
--- a/admission/line_test.go
+++ b/admission/line_test.go
@@ -11,21 +11,21 @@
 
 const linePatience = 125 * time.Millisecond
 
-// One account sends a thousand requests a second to one router and gets sixty
-// turns. Without a bound a hundred and more wait at any time, all but a few in vain;
-// the router is busy with them, and every other caller there waits for seconds.
+// One account sends a thousand requests per second to one router and gets sixty turns.
+// Without a limit more than a hundred would wait at any time, nearly all in vain, and the
+// router would keep every other caller waiting for seconds.
 func TestFloodIsRefusedBeforeItWaits(t *testing.T) {
 	t.Parallel()
 	var lines admission.Lines[string]
 	now := time.Unix(0, 0)
 	type waiting struct{ since time.Time }
 	var queue []waiting
-	most, full := 0, 0
+	longest, refused := 0, 0
 	for i := range 3000 {
 		now = now.Add(time.Millisecond)
-		if after, isFull := lines.IsFull(now, "flood", linePatience); isFull {
-			require.GreaterOrEqual(t, after, 100*time.Millisecond)
-			full++
+		if retryAfter, isFull := lines.IsFull(now, "flood", linePatience); isFull {
+			require.GreaterOrEqual(t, retryAfter, 100*time.Millisecond)
+			refused++
 		} else {
 			lines.Enter(now, "flood")
 			queue = append(queue, waiting{now})
@@ -38,17 +38,18 @@
 			lines.Leave(now, "flood", false)
 			queue = queue[1:]
 		}
-		most = max(most, len(queue))
+		longest = max(longest, len(queue))
 	}
-	require.LessOrEqual(t, most, 40)
-	require.Greater(t, full, 1500)
+	require.LessOrEqual(t, longest, 40)
+	require.Greater(t, refused, 1500)
 	_, isFull := lines.IsFull(now, "other", linePatience)
 	require.False(t, isFull)
 }
 
-// Nearly all of a flood is refused at once by who gives the turns, and never waits.
-// Asking for each of them takes more of a small router than what it serves.
-func TestFloodAsksSeldom(t *testing.T) {
+// Nearly every request of a flood is refused at once by the router that grants turns, and
+// never waits. Asking for each of them would cost a small router more than the requests
+// that it serves.
+func TestFloodAsksAtALimitedRate(t *testing.T) {
 	t.Parallel()
 	var lines admission.Lines[string]
 	now := time.Unix(0, 0)
@@ -70,9 +71,9 @@
 	require.Greater(t, starts, 30)
 }
 
-// A burst of an account finds engines free. All of its requests get their turns,
-// and none is refused because many came at once.
-func TestBurstThatIsServedIsNotRefused(t *testing.T) {
+// An account's burst finds idle engines and every request gets its turn. None may be
+// refused because many arrive at once.
+func TestServedBurstIsNotRefused(t *testing.T) {
 	t.Parallel()
 	var lines admission.Lines[string]
 	now := time.Unix(0, 0)
--- a/admission/machine_test.go
+++ b/admission/machine_test.go
@@ -10,9 +10,9 @@
 	"nutmeglock.example/nutmeglock/admission"
 )
 
-// Guards against an account that is refused for ever once its line has emptied, whatever came
-// before.
-func TestLinesOutliveAnyChange(t *testing.T) {
+// Guards against an account that is refused forever once its queue has emptied, after any
+// sequence of calls.
+func TestEmptiedQueueAdmitsAfterAnySequence(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		var lines admission.Lines[string]
@@ -31,15 +31,15 @@
 			"leave": func(t *rapid.T) {
 				k := key(t)
 				if waiting[k] == 0 {
-					t.Skip("nobody waits")
+					t.Skip("no request waits")
 				}
 				lines.Leave(now, k, rapid.Bool().Draw(t, "started"))
 				waiting[k]--
 			},
 			"full": func(t *rapid.T) {
 				patience := rapid.SampledFrom([]time.Duration{-time.Hour, 0, linePatience, 1 << 62}).Draw(t, "patience")
-				after, full := lines.IsFull(now, key(t), patience)
-				require.True(t, !full || after > 0, "asked back at once")
+				retryAfter, full := lines.IsFull(now, key(t), patience)
+				require.True(t, !full || retryAfter > 0, "retry without delay")
 			},
 		})
 		for k, count := range waiting {
@@ -47,7 +47,7 @@
 				lines.Leave(now, k, false)
 			}
 			_, full := lines.IsFull(now.Add(time.Minute), k, linePatience)
-			require.False(t, full, "an empty line")
+			require.False(t, full, "empty queue")
 		}
 	})
 }
