--- a/rate/peak.go
+++ b/rate/peak.go
@@ -2,21 +2,24 @@
 
 import "time"
 
-// Peak is the most that an amount was of late: it falls by a factor of e in each memory, and
-// rises with the amount. Its zero value is nothing. It isn't safe for concurrent use.
-type Peak struct{ most Recent }
+// Peak follows the maximum of an amount. It decays by a factor of e in each time
+// constant, and rises at once with the amount. Its zero value is zero. It is not safe for
+// concurrent use.
+type Peak struct{ value Recent }
 
-// At returns the peak.
-func (p *Peak) At(now time.Time, memory time.Duration) float64 { return p.most.At(now, memory) }
+// At returns the decayed peak at now.
+func (p *Peak) At(now time.Time, timeConstant time.Duration) float64 {
+	return p.value.At(now, timeConstant)
+}
 
-// Raise takes the amount as it is now.
-func (p *Peak) Raise(now time.Time, memory time.Duration, amount float64) {
-	if more := amount - p.At(now, memory); more > 0 {
-		p.most.Add(now, memory, more)
+// Raise raises the peak to the current amount if that is higher.
+func (p *Peak) Raise(now time.Time, timeConstant time.Duration, amount float64) {
+	if increase := amount - p.At(now, timeConstant); increase > 0 {
+		p.value.Add(now, timeConstant, increase)
 	}
 }
 
 // Add adds an amount to the peak.
-func (p *Peak) Add(now time.Time, memory time.Duration, amount float64) {
-	p.most.Add(now, memory, amount)
+func (p *Peak) Add(now time.Time, timeConstant time.Duration, amount float64) {
+	p.value.Add(now, timeConstant, amount)
 }
--- a/rate/peak_test.go
+++ b/rate/peak_test.go
@@ -10,7 +10,6 @@
 	"nutmeglock.example/nutmeglock/rate"
 )
 
-// A peak rises with what happens and is forgotten little by little.
 func TestPeak(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
--- a/rate/recent.go
+++ b/rate/recent.go
@@ -1,4 +1,4 @@
-// Package rate counts what happened of late.
+// Package rate provides exponentially decaying sums and peaks.
 package rate
 
 import (
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Recent is an amount that is forgotten little by little: it falls by a factor of e in
-// each memory. Its zero value is nothing. It isn't safe for concurrent use.
+// Recent is a sum that decays exponentially: it falls by a factor of e in each time
+// constant, which every call is given. Its zero value is zero. It is not safe for
+// concurrent use.
 type Recent struct {
-	amount float64
-	as     time.Time
+	amount    float64
+	updatedAt time.Time
 }
 
-// At returns the amount that is left.
-func (r *Recent) At(now time.Time, memory time.Duration) float64 {
+// At returns the decayed sum at now.
+func (r *Recent) At(now time.Time, timeConstant time.Duration) float64 {
 	if r.amount == 0 {
 		return 0
 	}
-	return r.amount * math.Exp(-now.Sub(r.as).Seconds()/memory.Seconds())
+	return r.amount * math.Exp(-now.Sub(r.updatedAt).Seconds()/timeConstant.Seconds())
 }
 
-// Add adds an amount, or takes it off when it is negative. Less than nothing is never
-// left.
-func (r *Recent) Add(now time.Time, memory time.Duration, amount float64) {
-	r.amount = max(r.At(now, memory)+amount, 0)
-	r.as = now
+// Add adds an amount, which may be negative. The sum never falls below zero.
+func (r *Recent) Add(now time.Time, timeConstant time.Duration, amount float64) {
+	r.amount = max(r.At(now, timeConstant)+amount, 0)
+	r.updatedAt = now
 }
--- a/rate/recent_test.go
+++ b/rate/recent_test.go
@@ -10,7 +10,7 @@
 	"nutmeglock.example/nutmeglock/rate"
 )
 
-func TestRecentIsForgottenLittleByLittle(t *testing.T) {
+func TestRecentDecays(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
 	var r rate.Recent
@@ -25,8 +25,8 @@
 	require.Zero(t, r.At(now, time.Second))
 }
 
-// Events at a steady pace leave as many as happen within the memory.
-func TestRecentFollowsASteadyPace(t *testing.T) {
+// At a steady rate the sum is the number of events within one time constant.
+func TestRecentFollowsASteadyRate(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
 	var r rate.Recent
