--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -1,14 +1,12 @@
-// Package warmup decides how fast an upstream that joins or recovers is
-// given work.
+// Package warmup limits the requests of an upstream that joins or recovers.
 //
-// It answers the load of a burst that waits while an upstream comes up. All of
-// it would go there at once, since it has the most room: an engine that has
-// just started has a cold prefix cache and compiles its kernels, so the first
-// answers come late together, and one that has just recovered is often pushed
-// over again by the work that had piled up. A Ramp bounds what is in flight
-// by an allowance that starts small and doubles with answers that begin, not
-// with time, so that an upstream that does not answer gets no more. It counts
-// beginnings because a whole answer may stream for 13 s: a ramp by ends would
+// Requests that queued up while an upstream started would all go there at once, since it
+// has the most free slots. An engine that has just started has a cold prefix cache and
+// compiles its kernels, so its first answers would all be late. One that has just
+// recovered often fails again under the queued work. A Ramp limits the requests in flight
+// by an allowance that starts small and doubles with the answers that begin. It doesn't
+// grow with time, so an upstream that doesn't answer gets no more requests. It counts the
+// beginnings of answers since a whole answer may stream for 13 s: counting ends would
 // leave most of an engine idle for the better part of a minute.
 package warmup
 
@@ -18,35 +16,34 @@
 	"nutmeglock.example/nutmeglock/dispatch"
 )
 
-// Thresholds of a Ramp.
+// Parameters of a Ramp.
 const (
-	// start is the allowance of an upstream that joins: enough to see that it
+	// initialAllowance is the allowance of an upstream that joins, enough to see that it
 	// answers.
-	start = 2
-	// failuresToClose is how many failures in a row close an upstream. One
-	// may be a single broken connection; three in a row with no answer
-	// between are not.
+	initialAllowance = 2
+	// failuresToClose is how many consecutive failures close an upstream. A single
+	// failure may be a broken connection; three without an answer in between are a fault.
 	failuresToClose = 3
-	// firstBackoff is how long an upstream stays closed at first: a restart
-	// of a process takes about as long.
-	firstBackoff = time.Second
-	// maxBackoff bounds the doubled back-off, so that a recovered upstream
-	// idles for ten seconds at most.
+	// initialBackoff is how long an upstream is closed at first, about the time of a
+	// process restart.
+	initialBackoff = time.Second
+	// maxBackoff limits the doubling back-off, so that a recovered upstream is idle for
+	// ten seconds at most.
 	maxBackoff = 10 * time.Second
-	// fullTime ends a ramp. In a quiet hour too few answers come to raise
-	// the allowance; by then the upstream is warm all the same.
-	fullTime = 60 * time.Second
+	// rampDuration ends a ramp. At low traffic too few answers begin to raise the
+	// allowance, but by then the upstream is warm.
+	rampDuration = 60 * time.Second
 )
 
-// Ramp is the allowance of one upstream. Its zero value is an upstream that
-// joins now. It is used by one goroutine.
+// Ramp computes the allowance of one upstream. Its zero value is an upstream that joins
+// now. It must not be used by several goroutines at once.
 type Ramp struct {
-	begun    time.Time
-	begins   int
-	failures int
-	closed   int
-	opensAt  time.Time
-	full     bool
+	rampStart     time.Time
+	answersBegun  int
+	failuresInRow int
+	closeCount    int
+	opensAt       time.Time
+	isComplete    bool
 }
 
 // Allow returns how many requests may be in flight at now, at most limit.
@@ -54,65 +51,65 @@
 	if now.Before(r.opensAt) {
 		return 0
 	}
-	if r.failures >= failuresToClose {
+	if r.failuresInRow >= failuresToClose {
 		return min(1, limit)
 	}
-	if r.full {
+	if r.isComplete {
 		return limit
 	}
-	if r.begun.IsZero() {
-		r.begun = now
+	if r.rampStart.IsZero() {
+		r.rampStart = now
 	}
-	if now.Sub(r.begun) >= fullTime {
-		r.full = true
+	if now.Sub(r.rampStart) >= rampDuration {
+		r.isComplete = true
 		return limit
 	}
-	return min(start+r.begins, limit)
+	return min(initialAllowance+r.answersBegun, limit)
 }
 
-// Began takes that an answer began: its first token or byte arrived. Each
-// raises the allowance by one, which doubles it for every round of requests.
+// Began counts an answer whose first token or byte has arrived. Each raises the allowance
+// by one, which doubles it with every round of requests.
 func (r *Ramp) Began() {
-	if r.failures >= failuresToClose {
+	if r.failuresInRow >= failuresToClose {
 		r.restart()
 	}
-	r.begins++
-	r.failures = 0
-	r.closed = 0
+	r.answersBegun++
+	r.failuresInRow = 0
+	r.closeCount = 0
 }
 
-// Ended takes how a request ended.
+// Ended records the result of a request.
 func (r *Ramp) Ended(now time.Time, result dispatch.Result) {
 	switch result {
 	case dispatch.Failed:
-		r.failed(now)
+		r.recordFailure(now)
 	case dispatch.Answered, dispatch.Refused, dispatch.Draining, dispatch.Unused:
 	}
 }
 
-// failed counts failures that come after the upstream was opened; the rest of
-// a burst that was in flight when it closed tells nothing new.
-func (r *Ramp) failed(now time.Time) {
+// recordFailure counts a failure while the upstream is open. Later failures of requests
+// that were in flight when it closed show nothing new.
+func (r *Ramp) recordFailure(now time.Time) {
 	if now.Before(r.opensAt) {
 		return
 	}
-	r.failures++
-	if r.failures < failuresToClose {
+	r.failuresInRow++
+	if r.failuresInRow < failuresToClose {
 		return
 	}
-	r.opensAt = now.Add(min(firstBackoff<<min(r.closed, 8), maxBackoff))
-	r.closed++
+	r.opensAt = now.Add(min(initialBackoff<<min(r.closeCount, 8), maxBackoff))
+	r.closeCount++
 }
 
-// OpensAt returns when an upstream that is closed may be tried again, and the
-// zero time or one that is past when it is not closed.
+// OpensAt returns when a closed upstream may be tried again. It is zero or in the past
+// for an upstream that is open.
 func (r *Ramp) OpensAt() time.Time { return r.opensAt }
 
-// Joined starts the ramp anew, for an upstream that left and came back.
+// Joined restarts the ramp of an upstream that left and came back.
 func (r *Ramp) Joined() { *r = Ramp{} }
 
 func (r *Ramp) restart() {
-	r.begun = time.Time{}
-	r.begins = 0
-	r.full = false
+	r.rampStart = time.Time{}
+	r.answersBegun = 0
+	r.isComplete = false
 }
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -12,9 +12,8 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// An upstream joins while hundreds of requests wait. Without a ramp it gets a
-// full batch before its first answer, and if it can't answer, all of them are
-// lost together.
+// An upstream joins while hundreds of requests wait. Without a ramp it would get a full
+// batch before its first answer, and all of these would be lost if it can't answer.
 func TestJoiningUpstreamIsNotFlooded(t *testing.T) {
 	t.Parallel()
 	var ramp warmup.Ramp
@@ -39,8 +38,8 @@
 	require.Equal(t, 64, ramp.Allow(epoch.Add(time.Minute), 64))
 }
 
-// An upstream breaks and comes back. Were it given its former share at once,
-// the work that had piled up would push it over again.
+// An upstream fails and recovers. If it got its former share at once, the queued requests
+// would overload it again.
 func TestRecoveredUpstreamIsNotFlooded(t *testing.T) {
 	t.Parallel()
 	var ramp warmup.Ramp
@@ -51,9 +50,9 @@
 		ramp.Ended(now, dispatch.Failed)
 	}
 	require.Zero(t, ramp.Allow(now, 64), "closed")
-	require.Equal(t, now.Add(time.Second), ramp.OpensAt(), "the burst is one failure")
+	require.Equal(t, now.Add(time.Second), ramp.OpensAt(), "failures of one burst close it once")
 	now = ramp.OpensAt()
-	require.Equal(t, 1, ramp.Allow(now, 64), "one request tries it")
+	require.Equal(t, 1, ramp.Allow(now, 64), "one request as a trial")
 	ramp.Began()
 	require.Equal(t, 3, ramp.Allow(now, 64), "a new ramp")
 }
