--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -1,12 +1,11 @@
-// Package estimate expects the cost of a request before it is run.
+// Package estimate predicts the cost of a request before it is run.
 //
-// It answers requests of unequal length, whose cost is known only at the end.
-// A fair order that charges nothing until then lets an account start a whole
-// batch of long requests before the first counts; one that charges every
-// account the same overcharges accounts with short answers until they end.
-// Callers' own bounds are rough hints: max_tokens is usually far above what
-// comes. What the account's last requests took is the better guess, and
-// max_tokens only bounds it.
+// Requests differ in length, and their cost is known only at the end. A fair order that
+// counts nothing until then lets an account start a whole batch of long requests before
+// the first counts. One that counts the same for every account overcharges accounts with
+// short answers until they end. The callers' own limits are rough hints, since max_tokens
+// is usually far above the actual output. The mean of the account's last requests is the
+// better prediction, and max_tokens only limits it.
 package estimate
 
 import (
@@ -16,38 +15,40 @@
 )
 
 const (
-	// firstOutput is expected of a service before any of its requests ended.
-	firstOutput = 320
-	// memory is the weight of each further request in an account's mean: about
-	// the last twenty count, so one long answer moves it by a twentieth.
-	memory = 0.05
-	// settled is how many requests an account needs until its mean counts
-	// alone; before that it is mixed with the service's.
-	settled = 8
-	// bytesPerToken is the usual length of a token in a request's JSON body.
+	// defaultOutput is the expected output tokens before any request of the service has
+	// ended.
+	defaultOutput = 320
+	// minSampleWeight is the weight of a new request in a mean of at least twenty. About
+	// the last twenty requests count, and one long answer moves the mean by a twentieth.
+	minSampleWeight = 0.05
+	// settledRequests is how many requests an account needs before its own mean is used
+	// alone. With fewer it is mixed with the service's mean.
+	settledRequests = 8
+	// bytesPerToken is the usual length of a token in the JSON body of a request.
 	bytesPerToken = 4
-	// defaultCapacity bounds the accounts remembered in each generation: the
-	// 36,000 of the target size fit in one, at some 100 bytes each.
+	// defaultCapacity is the default limit of remembered accounts, in both generations
+	// together. The target size is 36,000 accounts, at about 100 bytes each.
 	defaultCapacity = 50_000
-	// The weights of a token in thousandths where the service names none. An
-	// output token takes a step of the batch, input tokens are computed many
-	// at a time.
+	// defaultInputWeight and defaultOutputWeight are the weights of a token, in
+	// thousandths, for a service that sets none. An output token takes one step of the
+	// batch, while many input tokens are computed at a time.
 	defaultInputWeight  = 250
 	defaultOutputWeight = 1000
-	thousandth          = 1000
-	// defaultCall is the charge of a plain call whose service declares none, in
-	// weighted tokens: a third of a usual answer.
-	defaultCall = 100
+	// weightScale is the divisor of weights, which are in thousandths.
+	weightScale = 1000
+	// defaultCallCost is the cost of a plain call, in weighted tokens, for a service that
+	// sets none: a third of a usual answer.
+	defaultCallCost = 100
 )
 
-// Weights are what one token is charged, in thousandths. Zeros mean 250 for
-// input and 1000 for output.
+// Weights are the costs of one token in thousandths. Zero means 250 for input and 1000
+// for output.
 type Weights struct {
 	Input  uint32
 	Output uint32
 }
 
-// Cost returns the weighted tokens of a request, at least 1.
+// Cost returns the cost of a request in weighted tokens, at least 1.
 func (w Weights) Cost(input, output int64) fleet.Tokens {
 	in, out := int64(w.Input), int64(w.Output)
 	if in == 0 {
@@ -56,66 +57,65 @@
 	if out == 0 {
 		out = defaultOutputWeight
 	}
-	return max(fleet.Tokens((in*max(input, 0)+out*max(output, 0))/thousandth), 1)
+	return max(fleet.Tokens((in*max(input, 0)+out*max(output, 0))/weightScale), 1)
 }
 
-// Call returns the weighted tokens that one call of a plain service is charged:
-// what the service declares, or 100 when that is zero.
+// Call returns the cost of one call of a plain service in weighted tokens: the declared
+// cost, or 100 if that is zero.
 func Call(declared uint32) fleet.Tokens {
 	if declared == 0 {
-		return defaultCall
+		return defaultCallCost
 	}
 	return fleet.Tokens(declared)
 }
 
-// InputTokens returns about how many tokens a request body of size bytes has.
+// InputTokens returns the approximate number of tokens in a request body of size bytes.
 func InputTokens(size int64) int64 { return size / bytesPerToken }
 
-// Key is an account's use of one service.
+// Key identifies an account's use of one service.
 type Key struct {
 	Account fleet.AccountID
 	Service fleet.ServiceID
 }
 
-// Estimator expects output tokens by account and service. Its zero value is
-// ready to use, and it is safe for concurrent use. Its memory is bounded: the
-// accounts that were not used for longest are forgotten and start again from
-// their service's mean.
+// Estimator predicts output tokens by account and service. Its zero value is ready to
+// use, and it is safe for concurrent use. Its memory is bounded: the least recently used
+// accounts are forgotten and start again from their service's mean.
 type Estimator struct {
-	// Capacity bounds the accounts remembered; zero means 50,000.
+	// Capacity limits the remembered accounts; zero means 50,000.
 	Capacity int
 
 	mutex    sync.Mutex
-	services map[fleet.ServiceID]*mean
-	// recent and older are two generations: when recent is full it becomes
-	// older, and what was in older and not used since is forgotten.
-	recent map[Key]*mean
-	older  map[Key]*mean
+	services map[fleet.ServiceID]*runningMean
+	// recent and older are two generations of accounts. When recent is full it replaces
+	// older, which discards the accounts that were not used since.
+	recent map[Key]*runningMean
+	older  map[Key]*runningMean
 }
 
-// mean is a mean of output tokens in which later requests weigh more.
-type mean struct {
+// runningMean is a mean of output tokens that gives recent requests more weight.
+type runningMean struct {
 	value float64
 	count int
 }
 
-func (m *mean) add(value float64) {
+func (m *runningMean) observe(value float64) {
 	m.count++
-	m.value += (value - m.value) * max(memory, 1/float64(m.count))
+	m.value += (value - m.value) * max(minSampleWeight, 1/float64(m.count))
 }
 
-// Output returns the output tokens expected of a request, at most maxTokens
-// where the caller gave one above zero.
+// Output returns the expected output tokens of a request, limited to maxTokens if that is
+// above zero.
 func (e *Estimator) Output(key Key, maxTokens int64) int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	expected := float64(firstOutput)
+	expected := float64(defaultOutput)
 	if s := e.services[key.Service]; s != nil {
 		expected = s.value
 	}
 	if a := e.account(key); a != nil {
-		part := min(float64(a.count)/settled, 1)
-		expected += (a.value - expected) * part
+		ownWeight := min(float64(a.count)/settledRequests, 1)
+		expected += (a.value - expected) * ownWeight
 	}
 	output := max(int64(expected), 1)
 	if maxTokens > 0 {
@@ -124,7 +124,7 @@
 	return output
 }
 
-// Ended takes the output tokens of a request that was answered whole.
+// Ended adds the output tokens of a request that was answered completely.
 func (e *Estimator) Ended(key Key, output int64) {
 	if output < 0 {
 		return
@@ -132,24 +132,24 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.services == nil {
-		e.services = make(map[fleet.ServiceID]*mean)
+		e.services = make(map[fleet.ServiceID]*runningMean)
 	}
 	s := e.services[key.Service]
 	if s == nil {
-		s = &mean{}
+		s = &runningMean{}
 		e.services[key.Service] = s
 	}
-	s.add(float64(output))
+	s.observe(float64(output))
 	a := e.account(key)
 	if a == nil {
-		a = &mean{}
+		a = &runningMean{}
 		e.remember(key, a)
 	}
-	a.add(float64(output))
+	a.observe(float64(output))
 }
 
-// account returns what is known of key, and keeps it in the recent generation.
-func (e *Estimator) account(key Key) *mean {
+// account returns the mean of key, or nil, and moves it to the recent generation.
+func (e *Estimator) account(key Key) *runningMean {
 	if a := e.recent[key]; a != nil {
 		return a
 	}
@@ -160,19 +160,19 @@
 	return a
 }
 
-func (e *Estimator) remember(key Key, a *mean) {
+func (e *Estimator) remember(key Key, a *runningMean) {
 	capacity := e.Capacity
 	if capacity <= 0 {
 		capacity = defaultCapacity
 	}
 	if e.recent == nil || len(e.recent) >= max(capacity/2, 1) {
 		e.older = e.recent
-		e.recent = make(map[Key]*mean)
+		e.recent = make(map[Key]*runningMean)
 	}
 	e.recent[key] = a
 }
 
-// Len returns how many accounts are remembered.
+// Len returns the number of remembered accounts.
 func (e *Estimator) Len() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -15,7 +15,7 @@
 	return estimate.Key{Account: fleet.AccountID(account), Service: "model"}
 }
 
-func TestEstimateFollowsTheAccount(t *testing.T) {
+func TestOutputFollowsTheAccount(t *testing.T) {
 	t.Parallel()
 	var e estimate.Estimator
 	require.Equal(t, int64(320), e.Output(key("long"), 0))
@@ -26,10 +26,10 @@
 	require.Equal(t, int64(2000), e.Output(key("long"), 0))
 	require.Equal(t, int64(50), e.Output(key("short"), 0))
 	require.Equal(t, int64(500), e.Output(key("long"), 500))
-	require.InDelta(t, 1025, e.Output(key("new"), 0), 100, "a new account is expected to be like the others")
+	require.InDelta(t, 1025, e.Output(key("new"), 0), 100, "a new account starts from the service's mean")
 }
 
-func TestOneLongAnswerMovesLittle(t *testing.T) {
+func TestOneLongAnswerHasLittleEffect(t *testing.T) {
 	t.Parallel()
 	var e estimate.Estimator
 	for range 100 {
@@ -47,7 +47,7 @@
 	require.Equal(t, int64(25), estimate.InputTokens(100))
 }
 
-func TestMemoryIsBoundedAndUsersAreKept(t *testing.T) {
+func TestUnusedAccountsAreForgotten(t *testing.T) {
 	t.Parallel()
 	e := estimate.Estimator{Capacity: 100}
 	for range 10 {
@@ -60,7 +60,7 @@
 	require.LessOrEqual(t, e.Len(), 100)
 }
 
-func TestEstimatorIsSharedByGoroutines(t *testing.T) {
+func TestEstimatorIsSafeForConcurrentUse(t *testing.T) {
 	t.Parallel()
 	var e estimate.Estimator
 	var group sync.WaitGroup
