--- a/share/fair.go
+++ b/share/fair.go
@@ -95,7 +95,7 @@
 // what the others received while it was idle.
 func (f *Fair[K]) liftReturning(a *account[K]) {
 	target := f.lastService
-	if head, ok := f.waiting.min(); ok {
+	if head, ok := f.waiting.peek(); ok {
 		target = head.servicePerWeight()
 	}
 	f.raiseService(a, target)
--- a/share/queue.go
+++ b/share/queue.go
@@ -66,8 +66,8 @@
 	return none, false
 }
 
-// min returns the least entry, or false if the queue is empty.
-func (q *queue[E]) min() (E, bool) {
+// peek returns the least entry, or false if the queue is empty.
+func (q *queue[E]) peek() (E, bool) {
 	if len(q.heap) == 0 {
 		var none E
 		return none, false
