--- a/home/home.go
+++ b/home/home.go
@@ -9,9 +9,10 @@
 //
 // Homes need no agreement and no stored state. Every router picks the same home by
 // rendezvous hashing over the connected routers. While two routers disagree for a moment,
-// both homes send work to the same engine. A new home doesn't know what is in flight, but
-// learns it within a second. A home that doesn't answer is skipped until a message from
-// it arrives, and after two such homes the asking router decides by itself.
+// both homes send work to the same engine. A new home doesn't know which prompts are in
+// flight, but the engines have read these within a second. A home that doesn't answer is
+// skipped until a message from it arrives, and after two such homes the asking router
+// decides by itself.
 package home
 
 import (
