--- a/share/deficit.go
+++ b/share/deficit.go
@@ -38,12 +38,12 @@
 		a = &robinAccount[K]{key: key}
 		d.accounts[key] = a
 	}
-	was := a.waiting.Requests
+	previous := a.waiting.Requests
 	a.waiting = waiting
 	switch {
-	case was == 0 && waiting.Requests > 0:
+	case previous == 0 && waiting.Requests > 0:
 		d.active = append(d.active, a)
-	case was > 0 && waiting.Requests == 0:
+	case previous > 0 && waiting.Requests == 0:
 		d.active = slices.DeleteFunc(d.active, func(other *robinAccount[K]) bool { return other == a })
 		a.balance = min(a.balance, 0)
 	}
@@ -67,8 +67,8 @@
 		}
 	}
 	if best == nil {
-		var none K
-		return none, false
+		var zero K
+		return zero, false
 	}
 	return best.key, true
 }
--- a/share/fair.go
+++ b/share/fair.go
@@ -118,8 +118,8 @@
 func (f *Fair[K]) Next(eligible func(key K) bool) (K, bool) {
 	a, ok := f.waiting.firstAccepted(func(a *account[K]) bool { return eligible == nil || eligible(a.key) })
 	if !ok {
-		var none K
-		return none, false
+		var zero K
+		return zero, false
 	}
 	return a.key, true
 }
--- a/share/first_come.go
+++ b/share/first_come.go
@@ -53,8 +53,8 @@
 func (f *FirstCome[K]) Next(eligible func(key K) bool) (K, bool) {
 	a, ok := f.waiting.firstAccepted(func(a *arrival[K]) bool { return eligible == nil || eligible(a.key) })
 	if !ok {
-		var none K
-		return none, false
+		var zero K
+		return zero, false
 	}
 	return a.key, true
 }
--- a/share/queue.go
+++ b/share/queue.go
@@ -36,8 +36,8 @@
 	}
 	last := len(q.heap) - 1
 	q.swap(i, last)
-	var none E
-	q.heap[last] = none
+	var zero E
+	q.heap[last] = zero
 	q.heap = q.heap[:last]
 	*e.positionPtr() = 0
 	if i < last && !q.up(i) {
@@ -49,9 +49,9 @@
 // order: the frontier is itself a heap of positions that starts with the root, and each
 // rejected entry adds its two children. Rejecting k entries costs O(k log k).
 func (q *queue[E]) firstAccepted(accept func(E) bool) (E, bool) {
-	var none E
+	var zero E
 	if len(q.heap) == 0 {
-		return none, false
+		return zero, false
 	}
 	q.frontier = append(q.frontier[:0], 0)
 	for len(q.frontier) > 0 {
@@ -63,14 +63,14 @@
 			q.pushFrontier(child)
 		}
 	}
-	return none, false
+	return zero, false
 }
 
 // peek returns the least entry, or false if the queue is empty.
 func (q *queue[E]) peek() (E, bool) {
 	if len(q.heap) == 0 {
-		var none E
-		return none, false
+		var zero E
+		return zero, false
 	}
 	return q.heap[0], true
 }
