--- a/forward/admit.go
+++ b/forward/admit.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// notReadyRetryAfter is when a caller of a router without a configuration
-	// comes back, probably to another router.
+	// notReadyRetryAfter is the Retry-After of a router without a configuration; the retry will
+	// probably reach another router.
 	notReadyRetryAfter = 250 * time.Millisecond
-	// stoppingRetryAfter sends a caller to another router at once.
+	// stoppingRetryAfter is the Retry-After of a stopping router; another one can serve the caller
+	// at once.
 	stoppingRetryAfter = 50 * time.Millisecond
-	// overloadedRetryAfter is when a caller comes back that this router has no processor
-	// time for. The balancer brings most to the same router again, where streams end
-	// within some tenths of a second; the strictest targets leave no more.
+	// overloadedRetryAfter is the Retry-After of a router without processor time. The balancer
+	// sends most retries to the same router, where streams end within some tenths of a second; the
+	// strictest targets leave no time for more.
 	overloadedRetryAfter = 200 * time.Millisecond
-	// defaultMaxBody bounds a body before a configuration says how long it may be.
+	// defaultMaxBody is the maximum body size in bytes if the configuration sets none.
 	defaultMaxBody = 4 << 20
-	// bodyTimeout bounds the arrival of a body that the caller has begun to send.
+	// bodyTimeout bounds the time from a request's arrival until its whole body is read.
 	bodyTimeout = 10 * time.Second
 )
 
-// admit reads the request and finds out how it is to be handled. It returns a
-// refusal when it isn't.
+// admit authenticates the request, finds its route and reads its body. It returns a refusal if the
+// request isn't served.
 func (j *job) admit() *refusal.Error {
 	h := j.handler
-	if h.held.isRefusing() {
-		return refusal.New(refusal.Stopping, "this router stops", stoppingRetryAfter)
+	if h.shutdown.isRefusing() {
+		return refusal.New(refusal.Stopping, "this router is stopping", stoppingRetryAfter)
 	}
 	j.intake = h.Dialect.Intake(j.request.Header)
 	table := h.State.Table()
@@ -50,31 +51,32 @@
 	if h.Takes != nil && !h.Takes(j.arrived, j.account) {
 		return j.shed()
 	}
-	if err := j.checkLine(); err != nil {
+	if err := j.checkQueue(); err != nil {
 		return err
 	}
 	return j.readBody(table.Limits())
 }
 
-// shed refuses a request for which this router has no processor time.
+// shed returns the refusal of a request for which this router has no processor time, and reports
+// its cost.
 func (j *job) shed() *refusal.Error {
 	if j.handler.Shed != nil {
 		j.handler.Shed(j.service, j.account, j.cost())
 	}
-	return refusal.New(refusal.RouterOverloaded, "this router has too much to do", overloadedRetryAfter)
+	return refusal.New(refusal.RouterOverloaded, "this router is overloaded", overloadedRetryAfter)
 }
 
-// checkLine refuses a request, before its body is read, when so many of its account
-// wait here that its turn can't come in time.
-func (j *job) checkLine() *refusal.Error {
-	after, full := j.handler.lines.IsFull(j.arrived, j.line(), j.patience())
+// checkQueue refuses a request, before its body is read, if its account's queue is so long that its
+// turn can't come in time.
+func (j *job) checkQueue() *refusal.Error {
+	after, full := j.handler.queues.IsFull(j.arrived, j.queueKey(), j.maxWait())
 	if !full {
 		return nil
 	}
-	return refusal.New(refusal.AccountQueueFull, "too many requests of the account wait here", after)
+	return refusal.New(refusal.AccountQueueFull, "too many requests of the account are queued", after)
 }
 
-func (j *job) line() lineKey { return lineKey{j.service, j.account} }
+func (j *job) queueKey() queueKey { return queueKey{j.service, j.account} }
 
 func (j *job) findRoute(table *route.Table) *refusal.Error {
 	path, _, _ := strings.Cut(j.request.RequestURI, "?")
@@ -103,34 +105,34 @@
 	if j.route.Public {
 		return nil
 	}
-	return refusal.New(refusal.UnknownAccount, "no account holds this key", 0)
+	return refusal.New(refusal.UnknownAccount, "no account has this key", 0)
 }
 
-// readBody reads the whole body before the request may wait: a caller that
-// sends slowly would hold a place at an upstream that others wait for.
+// readBody reads the whole body before the request is queued. Otherwise a caller that sends slowly
+// would occupy a slot at an upstream.
 func (j *job) readBody(limits route.Limits) *refusal.Error {
 	if j.request.ContentLength == 0 {
-		return j.prepare(nil)
+		return j.prepareHeader(nil)
 	}
-	most := int64(limits.MaxBodyBytes)
-	if most <= 0 {
-		most = defaultMaxBody
+	maxBytes := int64(limits.MaxBodyBytes)
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBody
 	}
 	control := http.NewResponseController(j.writer)
-	_ = control.SetReadDeadline(j.arrived.Add(bodyTimeout)) // a writer without deadlines is one of a test
-	body, err := j.readAll(most)
+	_ = control.SetReadDeadline(j.arrived.Add(bodyTimeout)) // fails only for test writers, which have no deadlines
+	body, err := j.readAll(maxBytes)
 	if err != nil {
 		j.writer.Header().Set("Connection", "close")
 		return bodyRefusal(err)
 	}
 	_ = control.SetReadDeadline(time.Time{})
-	return j.prepare(body)
+	return j.prepareHeader(body)
 }
 
-func (j *job) readAll(most int64) ([]byte, error) {
-	reader := http.MaxBytesReader(j.writer, j.request.Body, most)
+func (j *job) readAll(maxBytes int64) ([]byte, error) {
+	reader := http.MaxBytesReader(j.writer, j.request.Body, maxBytes)
 	length := j.request.ContentLength
-	if length < 0 || length > most {
+	if length < 0 || length > maxBytes {
 		return io.ReadAll(reader)
 	}
 	body := make([]byte, length)
@@ -141,13 +143,13 @@
 func bodyRefusal(err error) *refusal.Error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return refusal.New(refusal.BodyTooLarge, "the body is too long", 0)
+		return refusal.New(refusal.BodyTooLarge, "the body is too large", 0)
 	}
-	return &refusal.Error{Reason: refusal.BodyTooSlow, Outcome: refusal.NotRun, Detail: "the body broke off", Cause: err}
+	return &refusal.Error{Reason: refusal.BodyTooSlow, Outcome: refusal.NotRun, Detail: "the body did not arrive completely", Cause: err}
 }
 
-// prepare makes the header that upstreams get.
-func (j *job) prepare(body []byte) *refusal.Error {
+// prepareHeader stores the body and turns the caller's header into the one that upstreams get.
+func (j *job) prepareHeader(body []byte) *refusal.Error {
 	j.body = body
 	j.header = j.request.Header
 	attempt.StripHopByHop(j.header)
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -11,24 +11,24 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// usableRetryAfter is the part of its time left that a caller waits at most
-// before it comes back.
-const usableRetryAfter = 0.3
+// maxRetryAfterFraction is the largest part of the caller's remaining time that it is told to wait
+// before a retry.
+const maxRetryAfterFraction = 0.3
 
-// begin sends the header of an upstream's answer, once.
-func (j *job) begin(status int, header http.Header, length int64) {
-	if j.begun {
+// sendHeader sends the status and header of an upstream's answer, unless that was done already.
+func (j *job) sendHeader(status int, header http.Header, length int64) {
+	if j.headerSent {
 		return
 	}
-	j.begun = true
-	j.firstEvent = time.Now()
+	j.headerSent = true
+	j.firstByteAt = time.Now()
 	out := j.writer.Header()
 	attempt.StripHopByHop(header)
 	for name, values := range header {
 		out[name] = values
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		out["Content-Type"] = nil // net/http would guess one that the upstream didn't send
+		out["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	if length >= 0 {
 		out.Set("Content-Length", strconv.FormatInt(length, 10))
@@ -36,21 +36,22 @@
 	j.writer.WriteHeader(status)
 }
 
-// pass passes on an answer that was read to its end.
-func (j *job) pass(w *whole) {
+// writeAnswer sends a buffered answer to the caller.
+func (j *job) writeAnswer(w *bufferedAnswer) {
 	length := int64(len(w.body))
 	if j.request.Method == http.MethodHead {
 		length = -1
 	}
-	j.begin(w.status, w.header, length)
+	j.sendHeader(w.status, w.header, length)
 	_, err := j.writer.Write(w.body)
 	if err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		j.handler.Log.Info("caller took no answer", "request", j.intake.ID, "error", err)
+		j.handler.Log.Info("answer not delivered", "request", j.intake.ID, "error", err)
 	}
 }
 
-// refuse answers a request with a refusal. After the header has gone out the
-// answer is broken off instead, visibly, since it can't be whole any more.
+// refuse answers a request with a refusal. If the header of an answer was already sent, or the
+// caller has disconnected, it aborts the connection instead, so that a partial answer can't pass
+// for a complete one.
 func (j *job) refuse(e *refusal.Error) {
 	j.logRefusal(e)
 	h := j.handler
@@ -58,11 +59,11 @@
 	if j.account != "" {
 		h.Metrics.RefusedTokens.WithLabelValues(string(j.account), string(e.Reason)).Add(j.cost())
 	}
-	if j.begun || e.Reason == refusal.CallerGone {
+	if j.headerSent || e.Reason == refusal.CallerGone {
 		panic(http.ErrAbortHandler)
 	}
 	status := e.Reason.Status()
-	if e.Outcome != refusal.NotRun && promises(status) {
+	if e.Outcome != refusal.NotRun && impliesNotRun(status) {
 		status = http.StatusBadGateway
 	}
 	if e.Outcome == refusal.NotRun && e.Reason == refusal.DeadlinePassed {
@@ -76,12 +77,12 @@
 	j.writer.WriteHeader(status)
 	_, err := j.writer.Write([]byte(string(e.Reason) + "\n"))
 	if err != nil {
-		h.routine().Info("caller took no refusal", "request", j.intake.ID, "error", err)
+		h.routine().Info("refusal not delivered", "request", j.intake.ID, "error", err)
 	}
 }
 
-// promises reports whether a status says that the request wasn't run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status means that the request wasn't run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -89,27 +90,27 @@
 	return false
 }
 
-// retryAfter returns when the caller comes back: as the refusal says, but no
-// later than it would wait with the time that it has left.
+// retryAfter returns the refusal's Retry-After, limited to a part of the time that the caller has
+// left.
 func (j *job) retryAfter(e *refusal.Error) time.Duration {
 	if e.RetryAfter <= 0 || j.deadline.IsZero() {
 		return e.RetryAfter
 	}
-	usable := time.Duration(usableRetryAfter * float64(time.Until(j.deadline)))
+	usable := time.Duration(maxRetryAfterFraction * float64(time.Until(j.deadline)))
 	return max(min(e.RetryAfter, usable), time.Millisecond)
 }
 
-// answered notes a request that was answered.
-func (j *job) answered(ticket home.Ticket) {
-	j.noteServed()
+// recordAnswer records a completed answer in quarantine, metrics and log.
+func (j *job) recordAnswer(ticket home.Ticket) {
+	j.recordServed()
 	h := j.handler
 	now := time.Now()
-	first := j.firstEvent.Sub(j.arrived)
+	firstByte := j.firstByteAt.Sub(j.arrived)
 	h.Metrics.Requests.WithLabelValues(string(j.service), "answered").Inc()
 	if j.account != "" {
 		h.Metrics.Service.WithLabelValues(string(j.account)).Add(j.cost())
 	}
-	h.Metrics.QueueSeconds.WithLabelValues(string(j.service)).Observe(j.waited.Seconds())
-	h.Metrics.FirstByteSeconds.WithLabelValues(string(j.service)).Observe(first.Seconds())
-	j.logAnswer(ticket, now, first)
+	h.Metrics.QueueSeconds.WithLabelValues(string(j.service)).Observe(j.queueTime.Seconds())
+	h.Metrics.FirstByteSeconds.WithLabelValues(string(j.service)).Observe(firstByte.Seconds())
+	j.logAnswer(ticket, now, firstByte)
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -19,41 +19,42 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// errFalse is the cause of an answer that isn't the upstream's own.
-var errFalse = eris.New("the answer lacks what an upstream's answer has")
+// errNotFromUpstream is the cause of a failed attempt whose answer can't come from the upstream
+// itself.
+var errNotFromUpstream = eris.New("the answer doesn't come from the upstream itself")
 
 const (
-	// maxBuffered bounds the answers that are read whole before they are passed
-	// on, in bytes, so that one that breaks off can still be replaced.
+	// maxBuffered is the size in bytes up to which an answer is buffered before it is relayed. If
+	// it breaks off before, the request can still be retried.
 	maxBuffered = 256 << 10
-	// silenceMargin and silenceFactor bound the wait for the first event of a
-	// stream that may go on elsewhere: the queue at an upstream is held below
-	// its target, so one that took half as long again, and the time of some
-	// lost packets, is stuck. Callers leave at four times the target.
+	// silenceFactor, applied to the target, and silenceMargin bound the wait for the first event of
+	// a stream that can be resumed elsewhere. Upstream queues are kept below the target, so an
+	// upstream that takes half as long again, plus the time for a few lost packets, is stuck.
+	// Callers give up at four times the target.
 	silenceFactor = 1.5
 	silenceMargin = 700 * time.Millisecond
-	// pauseFactor and pauseMargin do the same for pauses between events.
+	// pauseFactor and pauseMargin bound the pauses between events in the same way.
 	pauseFactor = 2.0
 	pauseMargin = 400 * time.Millisecond
-	// plainSilence is the part of the target after which a repeatable plain
-	// request is tried elsewhere; usual work takes a fifth of it.
-	plainSilence = 1.5
+	// plainSilenceFactor is the multiple of the target after which an idempotent plain request is
+	// tried elsewhere; it usually takes a fifth of the target.
+	plainSilenceFactor = 1.5
 )
 
-// failure is an attempt that brought no answer to pass on.
+// failure describes an attempt that brought no answer to relay.
 type failure struct {
 	reason retry.Reason
-	// sent is true when a byte may have left; notRun when the request certainly
-	// wasn't and won't be run by this attempt.
+	// sent is true when a byte of the request may have left this machine; notRun when the upstream
+	// certainly hasn't run the request and won't.
 	sent   bool
 	notRun bool
-	// final failures can't be repeated.
+	// final is true when the request can't be retried.
 	final      bool
 	retryAfter time.Duration
-	// answer is an error that the upstream answered with, to be passed on if
-	// the request isn't repeated.
-	answer *whole
-	cause  error
+	// errorAnswer is the error that the upstream answered with. It is relayed if the request isn't
+	// sent again.
+	errorAnswer *bufferedAnswer
+	cause       error
 }
 
 func (f *failure) outcome() refusal.Outcome {
@@ -63,28 +64,28 @@
 	return refusal.Unknown
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedAnswer is an answer that was read into memory.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// attempt sends the request to the upstream of a ticket. It returns nil once
-// the answer has been passed on.
+// attempt sends the request to the upstream of a ticket. It returns nil once the answer has been
+// relayed completely.
 func (j *job) attempt(ctx context.Context, ticket home.Ticket) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	j.sends++
 	j.ticket = ticket
-	j.sent = time.Now()
+	j.sentAt = time.Now()
 	j.tried = append(j.tried, turn.InstanceOf(ticket.Upstream()))
-	watch := newWatch(ctx, cancel, j.silenceLimit(), j.findOther(), j.handler.Guard)
-	defer func() { j.next, j.silence = watch.stop() }()
+	watch := newSilenceWatch(ctx, cancel, j.silenceLimit(), j.otherUpstreamFinder(), j.handler.Guard)
+	defer func() { j.nextTicket, j.silence = watch.stop() }()
 
 	answer, err := j.send(ctx, ticket, &watch.probe)
 	if err != nil {
-		return j.sendFailure(ctx, ticket, err)
+		return j.failSend(ctx, ticket, err)
 	}
 	defer answer.Body.Close()
 	verdict := j.handler.Dialect.Verdict(answer.Status, answer.Header)
@@ -93,22 +94,22 @@
 		_, _ = io.CopyN(io.Discard, answer.Body, maxBuffered) // read so that the connection can be used again
 		return &failure{reason: retry.UpstreamRefused, sent: true, notRun: true, retryAfter: retryAfter(answer.Header)}
 	}
-	j.runs++
-	if isFalse(answer.Status, verdict) {
-		f := &failure{reason: retry.BrokenBefore, sent: true, cause: errFalse}
+	j.possibleRuns++
+	if isNotFromUpstream(answer.Status, verdict) {
+		f := &failure{reason: retry.BrokenBefore, sent: true, cause: errNotFromUpstream}
 		ticket.End(time.Now(), turn.Failed)
 		return f
 	}
 	if j.isStream(answer) {
 		return j.relay(ctx, ticket, answer, watch)
 	}
-	return j.readWhole(ctx, ticket, answer, watch)
+	return j.relayPlain(ctx, ticket, answer, watch)
 }
 
-// isFalse reports whether an answer can't be an upstream's own: a success
-// without its signature, or a status that promises "not run" without its word.
-func isFalse(status int, verdict Verdict) bool {
-	return promises(status) || (status >= 200 && status < 300 && !verdict.Genuine)
+// isNotFromUpstream reports whether an answer can't come from the upstream itself: a success
+// without its signature, or a status that implies "not run" though the upstream didn't state it.
+func isNotFromUpstream(status int, verdict Verdict) bool {
+	return impliesNotRun(status) || (status >= 200 && status < 300 && !verdict.Genuine)
 }
 
 func (j *job) isStream(answer *upstream.Answer) bool {
@@ -118,8 +119,8 @@
 func (j *job) send(ctx context.Context, ticket home.Ticket, probe *upstream.Probe) (*upstream.Answer, error) {
 	to := ticket.Upstream()
 	passing := Passing{Left: time.Until(j.deadline), Account: j.account, Upstream: to, FetchFrom: ticket.FetchFrom()}
-	if j.begun && j.last > 0 {
-		passing.After = strconv.FormatUint(j.last, 10)
+	if j.headerSent && j.lastEventID > 0 {
+		passing.After = strconv.FormatUint(j.lastEventID, 10)
 	}
 	j.handler.Dialect.Address(j.header, passing)
 	return j.handler.Client.Do(ctx, to.Address, upstream.Request{
@@ -128,8 +129,8 @@
 	})
 }
 
-// sendFailure sorts the failure of an exchange that brought no answer.
-func (j *job) sendFailure(ctx context.Context, ticket home.Ticket, err error) *failure {
+// failSend classifies the failure of an exchange that brought no answer and ends the ticket.
+func (j *job) failSend(ctx context.Context, ticket home.Ticket, err error) *failure {
 	f := &failure{reason: retry.BrokenBefore, sent: true, cause: err}
 	var failed *upstream.Error
 	if errors.As(err, &failed) && !failed.Sent {
@@ -138,28 +139,28 @@
 		f.reason = retry.ConnectFailed
 	}
 	if f.sent {
-		j.runs++
+		j.possibleRuns++
 	}
 	return j.fail(ctx, ticket, f)
 }
 
-// fail ends a ticket whose exchange has failed.
+// fail ends the ticket of a failed attempt.
 func (j *job) fail(ctx context.Context, ticket home.Ticket, f *failure) *failure {
-	if f.sent && endedByUpstream(ctx, f.cause) {
-		j.noteBroken(ticket)
+	if f.sent && isUpstreamDisconnect(ctx, f.cause) {
+		j.recordBroken(ticket)
 	}
-	ticket.End(time.Now(), j.judge(ctx, f))
+	ticket.End(time.Now(), j.upstreamOutcome(ctx, f))
 	return f
 }
 
-// judge returns what a failure says about the upstream.
-func (j *job) judge(ctx context.Context, f *failure) turn.Outcome {
+// upstreamOutcome returns the outcome of a failed attempt that its upstream is judged by.
+func (j *job) upstreamOutcome(ctx context.Context, f *failure) turn.Outcome {
 	cause := context.Cause(ctx)
 	var sink *stream.SinkError
 	switch {
 	case errors.As(f.cause, &sink):
 		return turn.Left
-	case errors.Is(cause, errSilent):
+	case errors.Is(cause, errUpstreamSilent):
 		return turn.Failed
 	case errors.Is(cause, errDeadline) && j.sends > 0 && time.Since(j.arrived) > j.route.Target:
 		return turn.Failed
@@ -171,53 +172,53 @@
 	return turn.Failed
 }
 
-// silenceLimit returns how long the upstream may be silent before its first event;
-// zero when there is nothing better to do than to wait.
+// silenceLimit returns how long the upstream may be silent before its first event; zero means no
+// limit, when the request can't be retried anyway.
 func (j *job) silenceLimit() time.Duration {
 	switch {
-	case !j.route.Idempotent() || j.runs+1 >= j.route.Attempts || j.sends+1 >= maxSends:
+	case !j.route.Idempotent() || j.possibleRuns+1 >= j.route.Attempts || j.sends+1 >= maxSends:
 		return 0
 	case j.route.Kind == route.Streaming:
 		return time.Duration(silenceFactor*float64(j.route.Target)) + silenceMargin
 	default:
-		return time.Duration(plainSilence * float64(j.route.Target))
+		return time.Duration(plainSilenceFactor * float64(j.route.Target))
 	}
 }
 
-// readWhole reads an answer that isn't a stream and passes it on.
-func (j *job) readWhole(ctx context.Context, ticket home.Ticket, answer *upstream.Answer, watch *watch) *failure {
+// relayPlain relays an answer that isn't a stream, buffered if it is small enough.
+func (j *job) relayPlain(ctx context.Context, ticket home.Ticket, answer *upstream.Answer, watch *silenceWatch) *failure {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBuffered+1))
 	if err != nil {
 		return j.fail(ctx, ticket, &failure{reason: retry.BrokenBefore, sent: true, cause: err})
 	}
 	ticket.First(time.Now())
-	w := &whole{status: answer.Status, header: answer.Header, body: body}
+	w := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) > maxBuffered {
-		if !watch.keep() {
+		if !watch.keepUpstream() {
 			ticket.End(time.Now(), turn.Failed)
-			return &failure{reason: retry.BrokenBefore, sent: true, cause: errSilent}
+			return &failure{reason: retry.BrokenBefore, sent: true, cause: errUpstreamSilent}
 		}
-		return j.passLong(ctx, ticket, w, answer)
+		return j.relayUnbuffered(ctx, ticket, w, answer)
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		j.noteServed()
+		j.recordServed()
 		ticket.End(time.Now(), turn.Failed)
-		return &failure{reason: retry.AnsweredError, sent: true, answer: w}
+		return &failure{reason: retry.AnsweredError, sent: true, errorAnswer: w}
 	}
 	ticket.End(time.Now(), turn.Served)
-	if j.begun {
+	if j.headerSent {
 		return &failure{reason: retry.StreamBroken, sent: true, final: true, cause: errNotResumed}
 	}
-	j.pass(w)
+	j.writeAnswer(w)
 	return nil
 }
 
-// passLong passes on an answer that is too long to be kept.
-func (j *job) passLong(ctx context.Context, ticket home.Ticket, w *whole, answer *upstream.Answer) *failure {
-	if j.begun {
+// relayUnbuffered relays an answer that is too long to be buffered. w holds what was read so far.
+func (j *job) relayUnbuffered(ctx context.Context, ticket home.Ticket, w *bufferedAnswer, answer *upstream.Answer) *failure {
+	if j.headerSent {
 		return &failure{reason: retry.StreamBroken, sent: true, final: true, cause: errNotResumed}
 	}
-	j.begin(w.status, w.header, answer.Length)
+	j.sendHeader(w.status, w.header, answer.Length)
 	_, _ = j.writer.Write(w.body) // a caller that left ends ctx
 	_, err := io.Copy(j.writer, answer.Body)
 	if err != nil {
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -22,20 +22,20 @@
 )
 
 func BenchmarkWhole(b *testing.B) {
-	f := benchmark(b, served)
+	f := startBenchmark(b, answersOK)
 	for b.Loop() {
 		f(b, "/order/1")
 	}
 }
 
 func BenchmarkStream(b *testing.B) {
-	f := benchmark(b, events(1, 100, true))
+	f := startBenchmark(b, events(1, 100, true))
 	for b.Loop() {
 		f(b, "/stream/1")
 	}
 }
 
-func benchmark(b *testing.B, fn http.HandlerFunc) func(b *testing.B, path string) {
+func startBenchmark(b *testing.B, fn http.HandlerFunc) func(b *testing.B, path string) {
 	b.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Id", r.Header.Get("X-Id"))
@@ -50,7 +50,7 @@
 	pool := &turn.Pool{Placement: turn.LeastLoaded{}}
 	pool.Set(time.Now(), []registry.Upstream{{ID: "u", Address: server.Listener.Addr().String(), Slots: 1024}}, time.Second)
 	handler := &forward.Handler{
-		Dialect: dialect{}, State: &state{table: table, pool: pool}, Client: &upstream.Client{},
+		Dialect: dialect{}, State: &fixedState{table: table, pool: pool}, Client: &upstream.Client{},
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	front := httptest.NewServer(handler)
@@ -73,13 +73,13 @@
 	}
 }
 
-// Streams that are open at once hold a connection on each side, their buffers
-// and two goroutines.
+// Measures the memory of an open stream: a connection on each side, their buffers and two
+// goroutines.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 500
 	release := make(chan struct{})
 	opened := make(chan struct{}, streams)
-	ask := benchmark(b, func(w http.ResponseWriter, _ *http.Request) {
+	send := startBenchmark(b, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Signed", "yes")
 		_, _ = io.WriteString(w, "id: 1\ndata: 1\n\n")
 		_ = http.NewResponseController(w).Flush()
@@ -91,10 +91,10 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		var group sync.WaitGroup
-		// One after the other: of hundreds at once the account's line would refuse some,
-		// and the wait for those would never end.
+		// Opened one by one: hundreds at once would overfill the account's queue, and the
+		// wait for those that it refuses would never end.
 		for range streams {
-			group.Go(func() { ask(b, "/stream/1") })
+			group.Go(func() { send(b, "/stream/1") })
 			<-opened
 		}
 		runtime.GC()
--- a/forward/caller.go
+++ b/forward/caller.go
@@ -12,23 +12,23 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// callerKey is the key of a caller's connection in the contexts of its requests.
-type callerKey struct{}
+// callerConnKey is the context key of a caller's connection.
+type callerConnKey struct{}
 
-// WithCaller returns the context of the requests on a caller's connection. A Handler can
-// then tell whether the caller has left; it is to be the ConnContext of its server.
+// WithCaller adds a caller's connection to the context of its requests, so that a Handler can tell
+// whether the caller has disconnected. Use it as the server's ConnContext.
 func WithCaller(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, conn)
+	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// hasLeft reports whether the caller has closed its connection.
+// isCallerGone reports whether the caller has closed its connection.
 //
-// The server finds out by a goroutine of its own that reads on. On a router that is short of
-// processor time that one runs after those that pass requests on: upstreams would work for
-// callers that left while their requests lay unread, and the router would be late for
-// those that wait.
-func (j *job) hasLeft() bool {
-	conn, ok := j.request.Context().Value(callerKey{}).(syscall.Conn)
+// The server notices this too, but on a background goroutine. On a router short of processor time,
+// that goroutine runs after those that forward requests. Upstreams would then work for callers that
+// disconnected while their requests were still unread, and the callers that wait would be served
+// late.
+func (j *job) isCallerGone() bool {
+	conn, ok := j.request.Context().Value(callerConnKey{}).(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -36,15 +36,15 @@
 	return err == nil && socket.Ended(raw)
 }
 
-// leave ends a request whose caller has left, and gives its turn back if it has one.
-func (j *job) leave(ticket home.Ticket) {
+// abandon ends a request whose caller has disconnected, and gives back its turn if it has one.
+func (j *job) abandon(ticket home.Ticket) {
 	if ticket != nil {
 		ticket.End(time.Now(), turn.Unsent)
 	}
-	j.refuse(j.gone())
+	j.refuse(j.callerGone())
 }
 
-// gone returns the refusal of a request whose caller has left.
-func (j *job) gone() *refusal.Error {
-	return &refusal.Error{Reason: refusal.CallerGone, Outcome: j.outcome(), Detail: errLeft.Error()}
+// callerGone returns the refusal of a request whose caller has disconnected.
+func (j *job) callerGone() *refusal.Error {
+	return &refusal.Error{Reason: refusal.CallerGone, Outcome: j.outcome(), Detail: errCallerGone.Error()}
 }
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -13,17 +13,17 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// fingerprint returns what the request has in common with its repetitions.
+// fingerprint returns a hash that is the same for repetitions of this request.
 func (j *job) fingerprint() quarantine.Fingerprint {
-	if j.print == 0 {
-		j.print = quarantine.FingerprintOf(quarantine.Request{
+	if j.cachedFingerprint == 0 {
+		j.cachedFingerprint = quarantine.FingerprintOf(quarantine.Request{
 			Account: j.account, Method: j.request.Method, Host: j.request.Host, URI: j.request.RequestURI, Body: j.body,
 		})
 	}
-	return j.print
+	return j.cachedFingerprint
 }
 
-// checkQuarantine refuses a request that is known to crash upstreams.
+// checkQuarantine refuses a request that is quarantined for crashing upstreams.
 func (j *job) checkQuarantine() *refusal.Error {
 	if j.handler.Quarantine == nil {
 		return nil
@@ -32,33 +32,34 @@
 	if left <= 0 {
 		return nil
 	}
-	refused := refusal.New(refusal.CrashesUpstreams, "upstreams ended while they ran this request", left)
+	refused := refusal.New(refusal.CrashesUpstreams, "upstreams crashed while they ran this request", left)
 	refused.Outcome = j.outcome()
 	return refused
 }
 
-// isOnProbation reports whether the request was refused of late for crashing upstreams.
+// isOnProbation reports whether the request was recently quarantined.
 func (j *job) isOnProbation() bool {
 	return j.handler.Quarantine != nil && j.handler.Quarantine.IsOnProbation(time.Now(), j.fingerprint())
 }
 
-// noteServed notes that an upstream has answered the request.
-func (j *job) noteServed() {
+// recordServed reports to the quarantine that an upstream has answered the request.
+func (j *job) recordServed() {
 	if j.handler.Quarantine != nil {
 		j.handler.Quarantine.Served(time.Now(), j.fingerprint())
 	}
 }
 
-// noteBroken notes that the upstream ended its connection while it ran the request.
-func (j *job) noteBroken(ticket home.Ticket) {
+// recordBroken reports to the quarantine that the upstream closed its connection while it ran the
+// request.
+func (j *job) recordBroken(ticket home.Ticket) {
 	if j.handler.Quarantine != nil {
-		j.handler.Quarantine.Broken(j.fingerprint(), ticket.Upstream(), j.sent)
+		j.handler.Quarantine.Broken(j.fingerprint(), ticket.Upstream(), j.sentAt)
 	}
 }
 
-// endedByUpstream reports whether an exchange failed because the upstream's side of the
-// connection ended, as it does in a crash.
-func endedByUpstream(ctx context.Context, cause error) bool {
+// isUpstreamDisconnect reports whether an exchange failed because the upstream closed or reset its
+// connection, as it does in a crash.
+func isUpstreamDisconnect(ctx context.Context, cause error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -14,18 +14,18 @@
 	"nutmeglock.example/nutmeglock/registry"
 )
 
-// notes is a Quarantine that takes note of what it is told.
-type notes struct {
+// recordingQuarantine is a Quarantine that records its calls.
+type recordingQuarantine struct {
 	mu sync.Mutex
-	// refused and onProbation say what all requests are.
+	// refused and onProbation apply to all requests.
 	refused, onProbation bool
-	// refusesBroken makes a request refused once it has broken off.
+	// refusesBroken makes requests refused once one has broken off.
 	refusesBroken bool
 	served        int
 	broken        []fleet.UpstreamID
 }
 
-func (n *notes) Refuses(time.Time, quarantine.Fingerprint) time.Duration {
+func (n *recordingQuarantine) Refuses(time.Time, quarantine.Fingerprint) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.refused {
@@ -34,35 +34,37 @@
 	return 0
 }
 
-func (n *notes) IsOnProbation(time.Time, quarantine.Fingerprint) bool { return n.onProbation }
+func (n *recordingQuarantine) IsOnProbation(time.Time, quarantine.Fingerprint) bool {
+	return n.onProbation
+}
 
-func (n *notes) Served(time.Time, quarantine.Fingerprint) {
+func (n *recordingQuarantine) Served(time.Time, quarantine.Fingerprint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.served++
 }
 
-func (n *notes) Broken(_ quarantine.Fingerprint, u registry.Upstream, _ time.Time) {
+func (n *recordingQuarantine) Broken(_ quarantine.Fingerprint, u registry.Upstream, _ time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.broken = append(n.broken, u.ID)
 	n.refused = n.refused || n.refusesBroken
 }
 
-// startNoted serves with upstreams that answer by a function, and takes notes.
-func startNoted(t *testing.T, fn http.HandlerFunc, n *notes) *fixture {
+// startWithQuarantine starts a router with a recording quarantine and two upstreams that run fn.
+func startWithQuarantine(t *testing.T, fn http.HandlerFunc, n *recordingQuarantine) *fixture {
 	t.Helper()
 	f := start(t, fn, fn)
 	f.handler.Quarantine = n
 	return f
 }
 
-// Guards against a request that crashes upstreams being sent, or refused without the
-// promise that it wasn't run.
+// Guards against a quarantined request that is sent, or is refused without saying that it wasn't
+// run.
 func TestQuarantinedRequestIsRefusedAsNotRun(t *testing.T) {
 	t.Parallel()
-	f := startNoted(t, served, &notes{refused: true})
-	status, body, header, err := f.ask(t, "/read/1")
+	f := startWithQuarantine(t, answersOK, &recordingQuarantine{refused: true})
+	status, body, header, err := f.post(t, "/read/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Equal(t, "crashes-upstreams\n", body)
@@ -70,28 +72,28 @@
 	require.Zero(t, f.count())
 }
 
-// Guards against a request that is said not to have run though its first attempt did.
-func TestRequestThatIsQuarantinedAfterItsRunPromisesNothing(t *testing.T) {
+// Guards against a request reported as not run though its first attempt may have run it.
+func TestRequestQuarantinedAfterItsRunIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
-	f := startNoted(t, resets, &notes{refusesBroken: true})
-	status, _, _, err := f.ask(t, "/read/1")
+	f := startWithQuarantine(t, resets, &recordingQuarantine{refusesBroken: true})
+	status, _, _, err := f.post(t, "/read/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, status)
 	require.Equal(t, 1, f.count())
 }
 
-// Guards against a request on probation that ends two upstreams by its retry.
+// Guards against a request on probation that crashes a second upstream when it is retried.
 func TestRequestOnProbationIsNotRepeated(t *testing.T) {
 	t.Parallel()
-	f := startNoted(t, resets, &notes{onProbation: true})
-	status, _, _, err := f.ask(t, "/read/1")
+	f := startWithQuarantine(t, resets, &recordingQuarantine{onProbation: true})
+	status, _, _, err := f.post(t, "/read/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, status)
 	require.Equal(t, 1, f.count())
 }
 
-// endsWithinAnEvent answers with a stream without length that ends with its connection.
-func endsWithinAnEvent(w http.ResponseWriter, r *http.Request) {
+// breaksOffWithinEvent sends a stream without a length and closes the connection within an event.
+func breaksOffWithinEvent(w http.ResponseWriter, r *http.Request) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -109,18 +111,18 @@
 		path           string
 		served, broken int
 	}{
-		{"an answer", served, "/read/1", 1, 0},
-		{"an error of the upstream's own", failing, "/order/1", 1, 0},
-		{"a refusal of the upstream", notRun, "/order/1", 0, 0},
+		{"an answer", answersOK, "/read/1", 1, 0},
+		{"an error of the upstream's own", answersError, "/order/1", 1, 0},
+		{"a refusal of the upstream", answersNotRun, "/order/1", 0, 0},
 		{"a connection that the upstream ends", resets, "/order/1", 0, 1},
 		{"a connection that the upstream ends, repeated", resets, "/read/1", 0, 2},
-		{"a stream that the upstream ends within an event", endsWithinAnEvent, "/once/1", 0, 1},
+		{"a stream that the upstream ends within an event", breaksOffWithinEvent, "/once/1", 0, 1},
 		{"a time-out", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, "/short/1", 0, 0},
 	}
 	for _, c := range cases {
-		n := &notes{}
-		f := startNoted(t, c.fn, n)
-		_, _, _, _ = f.ask(t, c.path) //nolint:dogsled // what the caller gets is tested elsewhere
+		n := &recordingQuarantine{}
+		f := startWithQuarantine(t, c.fn, n)
+		_, _, _, _ = f.post(t, c.path) //nolint:dogsled // what the caller gets is tested elsewhere
 		n.mu.Lock()
 		require.Equal(t, c.served, n.served, c.name)
 		require.Len(t, n.broken, c.broken, c.name)
--- a/forward/empty_test.go
+++ b/forward/empty_test.go
@@ -13,8 +13,8 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// emptied makes each request that has to wait see the last upstream leave.
-func (f *fixture) emptied() {
+// removeUpstreamsDuringWait removes all upstreams while a request waits for its turn.
+func (f *fixture) removeUpstreamsDuringWait() {
 	f.state.turn = func(ctx context.Context, d turn.Demand) (home.Ticket, error) {
 		time.AfterFunc(50*time.Millisecond, func() { f.state.pool.Set(time.Now(), nil, time.Second) })
 		d.Patience = time.Hour
@@ -22,7 +22,7 @@
 	}
 }
 
-// occupy takes all places of the upstreams.
+// occupy takes all slots of the upstreams.
 func (f *fixture) occupy(t *testing.T) {
 	t.Helper()
 	for {
@@ -37,14 +37,14 @@
 	}
 }
 
-// Guards against a caller that waits for its turn after the last upstream has left.
+// Guards against a caller that is kept waiting for a turn after the last upstream was removed.
 func TestRequestIsRefusedWhenTheLastUpstreamLeaves(t *testing.T) {
 	t.Parallel()
-	f := start(t, served)
+	f := start(t, answersOK)
 	f.occupy(t)
-	f.emptied()
+	f.removeUpstreamsDuringWait()
 	begin := time.Now()
-	status, body, header, err := f.ask(t, "/order/1")
+	status, body, header, err := f.post(t, "/order/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Equal(t, "no-upstream\n", body)
@@ -53,7 +53,7 @@
 	require.Zero(t, f.count())
 }
 
-// Guards against a broken stream that waits to go on after the last upstream has left.
+// Guards against a broken stream that waits to be resumed after the last upstream was removed.
 func TestBrokenStreamEndsWhenTheLastUpstreamLeaves(t *testing.T) {
 	t.Parallel()
 	breaks := make(chan struct{})
@@ -68,15 +68,15 @@
 		if len(d.Tried) > 0 {
 			pool.Set(time.Now(), []registry.Upstream{busy}, time.Second)
 			f.occupy(t)
-			f.emptied()
+			f.removeUpstreamsDuringWait()
 			begin <- time.Now()
 			return f.state.turn(ctx, d)
 		}
 		defer close(breaks)
 		return home.Await(ctx, pool, d)
 	}
-	_, body, _, err := f.ask(t, "/stream/1")
+	_, body, _, err := f.post(t, "/stream/1")
 	require.Error(t, err)
-	require.Equal(t, expect(3), body)
+	require.Equal(t, expectedEvents(3), body)
 	require.Less(t, time.Since(<-begin), time.Second)
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,11 +1,10 @@
-// Package forward serves the requests of callers on the routes of a
-// configuration: it finds the route and the account, waits for a turn, passes
-// the request on and the answer back.
+// Package forward serves client requests on the routes of a configuration: it finds the route and
+// the account, waits for a turn, forwards the request to an upstream and relays the answer.
 //
-// What it holds to, whatever fails: "not run" is only said when no upstream has
-// run the request and none will; a request that must not run twice is sent
-// again only then; an answer reaches its caller whole and unchanged, or is
-// visibly broken off; a caller that leaves ends its work at the upstream.
+// It guarantees, whatever fails: the caller is told "not run" only when no upstream has run the
+// request and none will; a non-idempotent request is sent again only in that case; an answer reaches its
+// caller complete and unchanged, or is visibly broken off; when a caller disconnects, its work at
+// the upstream is cancelled.
 package forward
 
 import (
@@ -29,134 +28,134 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// Intake is what the header of a caller's request says.
+// Intake holds what a caller's header says about its request.
 type Intake struct {
 	ID fleet.RequestID
-	// Key is the account's key, empty when the caller gave none.
+	// Key is the account's API key, empty when the caller sent none.
 	Key string
-	// Left is how long the caller will wait; zero when it doesn't say.
+	// Left is the caller's timeout; zero when it states none.
 	Left time.Duration
-	// Beginnings are those of the prompt, from short to long.
+	// Beginnings identify the prefixes of the prompt, from short to long.
 	Beginnings []turn.Beginning
-	// Input and Output are the tokens of the prompt, and those that will
-	// probably be generated; zero when the request has no prompt.
+	// Input is the number of prompt tokens and Output the expected number of generated tokens; both
+	// are zero when the request has no prompt.
 	Input  int
 	Output int
 }
 
-// Passing is what an upstream is told besides the request.
+// Passing holds what an upstream is told in addition to the request.
 type Passing struct {
-	// Left is how long the caller will wait.
+	// Left is the time until the request's deadline.
 	Left    time.Duration
 	Account fleet.AccountID
-	// Upstream is the life that may run the request.
+	// Upstream is the upstream, and its life, that the request is sent to.
 	Upstream registry.Upstream
-	// After is the id of the last event that the caller has, empty when it has
-	// none or said so itself.
+	// After is the id of the last event that was relayed to the caller. It is empty when there is
+	// none or when the caller sent Last-Event-ID itself.
 	After string
-	// FetchFrom is the address of an upstream from whose cache the request's one
-	// should copy the beginning of the prompt, empty for none.
+	// FetchFrom is the address of an upstream whose cache holds the beginning of the prompt, to be
+	// copied from there; empty for none.
 	FetchFrom string
 }
 
-// Verdict is what an answer says besides its content.
+// Verdict holds what an answer's header says about the handling of the request.
 type Verdict struct {
-	// NotRun is true when the upstream says that it hasn't run the request and
-	// never will.
+	// NotRun is true when the upstream states that it hasn't run the request and never will.
 	NotRun bool
-	// Genuine is true when the answer bears an upstream's signature.
+	// Genuine is true when the answer carries an upstream's signature.
 	Genuine bool
 }
 
-// Dialect translates between header fields and what they mean.
+// Dialect translates between header fields and their meaning.
 type Dialect interface {
-	// Intake reads a caller's header. A field that can't be read counts as absent.
+	// Intake parses a caller's header. A field that can't be parsed counts as absent.
 	Intake(header http.Header) Intake
-	// Clean removes the fields that callers may not set for upstreams, and the key.
+	// Clean removes the key, and the fields that callers may not set for upstreams.
 	Clean(header http.Header)
-	// Address sets the fields that an upstream is to get.
+	// Address sets the fields of the request that is sent to an upstream.
 	Address(header http.Header, passing Passing)
-	// Verdict reads the header of an upstream's answer.
+	// Verdict parses the status and header of an upstream's answer.
 	Verdict(status int, header http.Header) Verdict
 }
 
-// State is what a router knows. It is safe for concurrent use.
+// State gives access to a router's configuration, turns and retry policies. It is safe for
+// concurrent use.
 type State interface {
 	// Table returns the configuration in force, nil when none is known.
 	Table() *route.Table
-	// Turn waits for a request's turn at a service. The error is
-	// *turn.RefusedError when the turn can't come in time, or that of ctx.
+	// Turn waits for a request's turn at a service. The error is *turn.RefusedError when the turn
+	// can't come in time, or the error of ctx.
 	Turn(ctx context.Context, service fleet.ServiceID, demand turn.Demand) (home.Ticket, error)
 	// Retries returns the retry policy of a service.
 	Retries(service fleet.ServiceID) retry.Policy
 }
 
-// Quarantine knows requests that crash the upstreams that run them. It is safe for
-// concurrent use.
+// Quarantine tracks requests that crash the upstreams that run them. It is safe for concurrent use.
 type Quarantine interface {
-	// Refuses returns for how long a request is refused, zero if it isn't.
+	// Refuses returns how long a request will still be refused, zero if it isn't refused.
 	Refuses(now time.Time, request quarantine.Fingerprint) time.Duration
-	// IsOnProbation reports whether a request was refused of late, so that it isn't sent
-	// again if it breaks off.
+	// IsOnProbation reports whether a request was refused recently, so that it isn't retried after
+	// a broken connection.
 	IsOnProbation(now time.Time, request quarantine.Fingerprint) bool
-	// Served notes that an upstream has answered a request.
+	// Served records that an upstream has answered a request.
 	Served(now time.Time, request quarantine.Fingerprint)
-	// Broken notes that an upstream ended its connection while it ran a request that began
-	// at a time.
+	// Broken records that an upstream closed its connection while it ran a request that was sent at
+	// began.
 	Broken(request quarantine.Fingerprint, upstream registry.Upstream, began time.Time)
 }
 
-// Handler serves callers. All fields have to be set but Routine, Crowded, Takes, Shed,
-// Quarantine, Guard and Latency.
+// Handler is the http.Handler for callers. All fields are required but Routine, Crowded, Takes,
+// Shed, Quarantine, Guard and Latency.
 type Handler struct {
 	Dialect Dialect
 	State   State
 	Client  *upstream.Client
 	Metrics *metric.Set
-	// Log is for requests that were sent and got no whole answer, and for sums of refusals.
+	// Log gets failed attempts, refusals of requests that were sent, and summaries of other
+	// refusals.
 	Log *slog.Logger
-	// Routine is for all other requests, of which there may be many; nil means Log.
+	// Routine gets the lines on all other requests, of which there may be many; nil means Log.
 	Routine *slog.Logger
-	// Crowded reports whether connections should close after their answer, because
-	// too many are open; nil never.
+	// Crowded reports whether connections should be closed after their answer because too many are
+	// open; nil means never.
 	Crowded func() bool
-	// Takes reports whether the router has processor time for a request of an
-	// account that has just arrived; nil always.
+	// Takes reports whether the router has processor time for a request of an account that has just
+	// arrived; nil means always.
 	Takes func(now time.Time, account fleet.AccountID) bool
-	// Shed is told of each request that Takes refused, with what it counts in its account's
-	// service, in tokens; it may be nil.
+	// Shed is called for each request that Takes refused, with the request's cost in tokens; it may
+	// be nil.
 	Shed func(service fleet.ServiceID, account fleet.AccountID, tokens float64)
 	// Quarantine may be nil.
 	Quarantine Quarantine
-	// Guard contains panics of single requests; nil lets them pass.
+	// Guard recovers from panics in single requests; nil lets them propagate.
 	Guard *recovery.Guard
-	// Latency returns how long goroutines waited for the processor of late; nil means zero.
+	// Latency returns the recent scheduling latency of goroutines; nil means zero.
 	Latency func() time.Duration
 
-	lines  admission.Lines[lineKey]
-	held   held
-	served atomic.Uint64
-	sums   refusal.Summary
+	queues   admission.Lines[queueKey]
+	shutdown shutdownState
+	answered atomic.Uint64
+	refusals refusal.Summary
 }
 
-// lineKey is whose requests wait in one line.
-type lineKey struct {
+// queueKey identifies a queue: requests of one account for one service wait together.
+type queueKey struct {
 	service fleet.ServiceID
 	account fleet.AccountID
 }
 
-// isSampled reports whether a request that was served as usual is logged.
-func (h *Handler) isSampled() bool { return h.served.Add(1)%sampleEvery == 1 }
+// isSampled reports whether a request that was answered normally is logged.
+func (h *Handler) isSampled() bool { return h.answered.Add(1)%answerLogInterval == 1 }
 
-// ServeHTTP serves one request.
+// ServeHTTP handles one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.held.enter()
-	defer h.held.leave()
+	h.shutdown.begin()
+	defer h.shutdown.end()
 	j := &job{handler: h, writer: w, request: r, arrived: time.Now()}
-	if h.held.isLeaving() || (h.Crowded != nil && h.Crowded()) {
+	if h.shutdown.isClosingConnections() || (h.Crowded != nil && h.Crowded()) {
 		w.Header().Set("Connection", "close")
 	}
-	if err := h.Guard.Do(recovery.Request, j.handle, "request", requestOf{j}); err != nil {
+	if err := h.Guard.Do(recovery.Request, j.handle, "request", requestIDValue{j}); err != nil {
 		j.panicked(err)
 	}
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -24,7 +24,7 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// dialect is a plain one for tests.
+// dialect is a simple Dialect for tests.
 type dialect struct{}
 
 func (dialect) Intake(h http.Header) forward.Intake {
@@ -49,42 +49,42 @@
 	return forward.Verdict{NotRun: h.Get("X-Not-Run") != "", Genuine: h.Get("X-Signed") != ""}
 }
 
-// upstreams counts what reaches them.
+// upstreams records the requests that reach any upstream.
 type upstreams struct {
-	mu      sync.Mutex
-	reached []*http.Request
-	bodies  []string
+	mu       sync.Mutex
+	requests []*http.Request
+	bodies   []string
 }
 
-func (u *upstreams) note(r *http.Request) {
+func (u *upstreams) record(r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.reached = append(u.reached, r)
+	u.requests = append(u.requests, r)
 	u.bodies = append(u.bodies, string(body))
 }
 
 func (u *upstreams) count() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.reached)
+	return len(u.requests)
 }
 
 type fixture struct {
 	*upstreams
-	front   *httptest.Server
+	router  *httptest.Server
 	handler *forward.Handler
-	state   *state
+	state   *fixedState
 }
 
-// start serves with upstreams that answer by fns, and routes of each kind.
+// start starts a router with one upstream per function and routes of each kind.
 func start(t *testing.T, fns ...http.HandlerFunc) *fixture {
 	t.Helper()
 	f := &fixture{upstreams: &upstreams{}}
 	var list []registry.Upstream
 	for i, fn := range fns {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			f.note(r)
+			f.record(r)
 			w.Header().Set("X-Id", r.Header.Get("X-Id"))
 			fn(w, r)
 		}))
@@ -115,21 +115,21 @@
 	pool.Set(time.Now(), list, time.Second)
 	client := &upstream.Client{Echoed: func(h http.Header) fleet.RequestID { return fleet.RequestID(h.Get("X-Id")) }}
 	t.Cleanup(client.Close)
-	f.state = &state{table: table, pool: pool}
+	f.state = &fixedState{table: table, pool: pool}
 	f.handler = &forward.Handler{
 		Dialect: dialect{}, State: f.state, Client: client,
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
-	f.front = httptest.NewUnstartedServer(f.handler)
-	f.front.Config.ConnContext = forward.WithCaller
-	f.front.Start()
-	t.Cleanup(f.front.Close)
+	f.router = httptest.NewUnstartedServer(f.handler)
+	f.router.Config.ConnContext = forward.WithCaller
+	f.router.Start()
+	t.Cleanup(f.router.Close)
 	return f
 }
 
 func (f *fixture) request(t *testing.T, method, path, body string) *http.Request {
 	t.Helper()
-	r, err := http.NewRequestWithContext(t.Context(), method, f.front.URL+path, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(t.Context(), method, f.router.URL+path, strings.NewReader(body))
 	require.NoError(t, err)
 	r.Host = "h"
 	r.Header.Set("X-Id", "id-1")
@@ -150,22 +150,22 @@
 	return answer.StatusCode, string(body), answer.Header, err
 }
 
-func (f *fixture) ask(t *testing.T, path string) (int, string, http.Header, error) {
+func (f *fixture) post(t *testing.T, path string) (int, string, http.Header, error) {
 	t.Helper()
 	return f.do(t, f.request(t, http.MethodPost, path, "body"))
 }
 
-func served(w http.ResponseWriter, _ *http.Request) {
+func answersOK(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("X-Signed", "yes")
 	_, _ = io.WriteString(w, "served")
 }
 
-func notRun(w http.ResponseWriter, _ *http.Request) {
+func answersNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("X-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func failing(w http.ResponseWriter, _ *http.Request) {
+func answersError(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("X-Signed", "yes")
 	w.WriteHeader(http.StatusInternalServerError)
 	_, _ = io.WriteString(w, "own error")
@@ -187,13 +187,13 @@
 		w.WriteHeader(http.StatusCreated)
 		_, _ = io.WriteString(w, "made")
 	})
-	status, body, header, err := f.ask(t, "/order/a%20b/c?x=1&y=%2f")
+	status, body, header, err := f.post(t, "/order/a%20b/c?x=1&y=%2f")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusCreated, status)
 	require.Equal(t, "made", body)
 	require.Equal(t, "sig", header.Get("X-Signed"))
 	require.Equal(t, "kept", header.Get("X-More"))
-	got := f.reached[0]
+	got := f.requests[0]
 	require.Equal(t, "/order/a%20b/c?x=1&y=%2f", got.RequestURI)
 	require.Equal(t, "h", got.Host)
 	require.Equal(t, "body", f.bodies[0])
@@ -201,9 +201,9 @@
 	require.Empty(t, got.Header.Get("X-Key"))
 }
 
-func TestWhatIsNotForwarded(t *testing.T) {
+func TestUnroutedAndUnauthenticatedRequestsAreNotForwarded(t *testing.T) {
 	t.Parallel()
-	f := start(t, served)
+	f := start(t, answersOK)
 	cases := []struct {
 		path, key string
 		status    int
@@ -227,20 +227,20 @@
 	require.Equal(t, http.StatusOK, status)
 }
 
-// A router has just started and knows no configuration. It must not say that a
-// route or a key doesn't exist; the caller would not come back.
-func TestRouterWithoutConfigurationPromisesNothing(t *testing.T) {
+// A router that has just started has no configuration. If it said that a route or a key doesn't
+// exist, the caller would not retry.
+func TestRouterWithoutConfigurationIsUnavailable(t *testing.T) {
 	t.Parallel()
-	f := start(t, served)
-	f.handler.State = &state{}
-	status, _, header, err := f.ask(t, "/order/1")
+	f := start(t, answersOK)
+	f.handler.State = &fixedState{}
+	status, _, header, err := f.post(t, "/order/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
 }
 
-// What an upstream did with an order, and what its caller may be told. A status
-// that says "not run" while a team is on its way would send a second one.
+// Guards against an order that is run twice: it may be sent again, or reported as not run, only
+// when no upstream can have run it.
 func TestOrdersAreSentAgainOnlyWhenNotRun(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -249,10 +249,10 @@
 		status  int
 		reached int
 	}{
-		{"one says not run, the other serves", []http.HandlerFunc{notRun, served}, http.StatusOK, -1},
-		{"all say not run", []http.HandlerFunc{notRun, notRun}, http.StatusServiceUnavailable, 2},
+		{"one says not run, the other serves", []http.HandlerFunc{answersNotRun, answersOK}, http.StatusOK, -1},
+		{"all say not run", []http.HandlerFunc{answersNotRun, answersNotRun}, http.StatusServiceUnavailable, 2},
 		{"reset after it was read", []http.HandlerFunc{resets, resets}, http.StatusBadGateway, 1},
-		{"own error", []http.HandlerFunc{failing, failing}, http.StatusInternalServerError, 1},
+		{"own error", []http.HandlerFunc{answersError, answersError}, http.StatusInternalServerError, 1},
 		{"success without signature", []http.HandlerFunc{func(http.ResponseWriter, *http.Request) {}}, http.StatusBadGateway, 1},
 		{"busy without saying that it wasn't run", []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }}, http.StatusBadGateway, 1},
 	}
@@ -260,7 +260,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := start(t, c.fns...)
-			status, _, _, err := f.ask(t, "/order/1")
+			status, _, _, err := f.post(t, "/order/1")
 			require.NoError(t, err)
 			require.Equal(t, c.status, status)
 			if c.reached >= 0 {
@@ -270,8 +270,7 @@
 	}
 }
 
-// Nothing listens where the upstream was. Nothing was sent, so the order goes
-// elsewhere, or its caller hears truly that it wasn't run.
+// An upstream that refuses connections was sent nothing, so the order is reported as not run.
 func TestUnreachableUpstreamIsNotRun(t *testing.T) {
 	t.Parallel()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -279,23 +278,23 @@
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
 	f := (&fixture{upstreams: &upstreams{}}).serve(t, []registry.Upstream{{ID: "gone", Address: address, Slots: 8}})
-	status, _, _, err := f.ask(t, "/order/1")
+	status, _, _, err := f.post(t, "/order/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 }
 
-// An application answers a read with an error of its own. The read may be
-// repeated; if all answer so, the caller gets the upstream's own answer.
+// An idempotent request is retried after an upstream's error. If all upstreams fail, the caller
+// gets the error of the last one.
 func TestReadsAreRepeated(t *testing.T) {
 	t.Parallel()
 	for range 4 {
-		f := start(t, failing, served)
-		status, _, _, err := f.ask(t, "/read/1")
+		f := start(t, answersError, answersOK)
+		status, _, _, err := f.post(t, "/read/1")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 	}
-	f := start(t, failing, failing, failing)
-	status, body, header, err := f.ask(t, "/read/1")
+	f := start(t, answersError, answersError, answersError)
+	status, body, header, err := f.post(t, "/read/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusInternalServerError, status)
 	require.Equal(t, "own error", body)
@@ -303,8 +302,8 @@
 	require.Equal(t, 2, f.count())
 }
 
-// The time of a route is over while the upstream still works. The caller gets
-// the final answer then, and the upstream is told to stop.
+// When the route's timeout passes, the caller gets a final answer and the upstream's request is
+// cancelled.
 func TestRouteTimeoutEndsARequest(t *testing.T) {
 	t.Parallel()
 	stopped := make(chan struct{})
@@ -313,26 +312,25 @@
 		close(stopped)
 	})
 	begin := time.Now()
-	status, _, _, err := f.ask(t, "/short/1")
+	status, _, _, err := f.post(t, "/short/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, status)
 	require.Less(t, time.Since(begin), 600*time.Millisecond)
 	select {
 	case <-stopped:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the upstream was not told")
+		t.Fatal("the upstream's request was not cancelled")
 	}
-	left, err := time.ParseDuration(f.reached[0].Header.Get("X-Left"))
+	left, err := time.ParseDuration(f.requests[0].Header.Get("X-Left"))
 	require.NoError(t, err)
 	require.LessOrEqual(t, left, 200*time.Millisecond)
 }
 
-// Callers repeat at once, each time on a new connection, and leave the former
-// open. Beyond a bound each answer closes its connection, or the process runs out
-// of descriptors and accepts nobody.
+// Callers that retry on new connections and keep the old ones open can exhaust the process's file
+// descriptors. Above a bound each answer closes its connection.
 func TestCrowdedRouterClosesConnectionsAfterTheirAnswer(t *testing.T) {
 	t.Parallel()
-	f := start(t, served)
+	f := start(t, answersOK)
 	for _, crowded := range []bool{false, true} {
 		f.handler.Crowded = func() bool { return crowded }
 		answer, err := http.DefaultClient.Do(f.request(t, http.MethodPost, "/read/1", "body"))
@@ -343,52 +341,52 @@
 	}
 }
 
-// A router has no processor time for a request. Its caller hears so at once, with when
-// to come back, and nothing reaches an upstream. Those that share out the engines' work
-// are told, or the account would seem to get all that it asks for.
+// A request for which the router has no processor time is refused at once, with a Retry-After, and
+// reaches no upstream. Shed must be called, or the account would seem to get everything that it
+// asks for.
 func TestRequestWithoutProcessorTimeIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
-	f := start(t, served)
+	f := start(t, answersOK)
 	f.handler.Takes = func(time.Time, fleet.AccountID) bool { return false }
-	told := 0.0
-	f.handler.Shed = func(_ fleet.ServiceID, _ fleet.AccountID, tokens float64) { told += tokens }
+	shed := 0.0
+	f.handler.Shed = func(_ fleet.ServiceID, _ fleet.AccountID, tokens float64) { shed += tokens }
 	answer, err := http.DefaultClient.Do(f.request(t, http.MethodPost, "/order/1", "body"))
 	require.NoError(t, err)
 	require.NoError(t, answer.Body.Close())
 	require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
 	require.Equal(t, "0.200", answer.Header.Get("Retry-After"))
-	require.Empty(t, f.reached)
-	require.InDelta(t, 1, told, 0, "a request without a prompt counts as one token")
+	require.Empty(t, f.requests)
+	require.InDelta(t, 1, shed, 0, "a request without a prompt counts as one token")
 }
 
-// A router stops. Answers ask their callers to connect elsewhere, requests in
-// hand end, and what comes then is refused as not run.
+// While a router stops, answers close their connection, requests in flight complete, and new ones
+// are refused as not run.
 func TestStopping(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
-		served(w, r)
+		answersOK(w, r)
 	})
 	type outcome struct {
 		status int
 		err    error
 	}
-	inHand := make(chan outcome, 1)
+	inFlight := make(chan outcome, 1)
 	first := f.request(t, http.MethodPost, "/order/1", "body")
 	go func() {
 		status, _, _, err := f.do(t, first)
-		inHand <- outcome{status, err}
+		inFlight <- outcome{status, err}
 	}()
 	require.Eventually(t, func() bool { return f.count() == 1 }, 5*time.Second, time.Millisecond)
 	f.handler.Leave()
 	f.handler.Refuse()
-	status, _, header, err := f.ask(t, "/order/2")
+	status, _, header, err := f.post(t, "/order/2")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
 	close(release)
-	require.Equal(t, outcome{http.StatusOK, nil}, <-inHand)
+	require.Equal(t, outcome{http.StatusOK, nil}, <-inFlight)
 	require.NoError(t, f.handler.Wait(t.Context()))
 	require.Equal(t, 1, f.count())
 }
--- a/forward/held.go
+++ b/forward/held.go
@@ -5,86 +5,86 @@
 	"sync"
 )
 
-// held counts the requests in hand, and knows how far a shutdown has come.
-type held struct {
-	mu       sync.Mutex
-	count    int
-	leaving  bool
-	refusing bool
-	idle     chan struct{}
+// shutdownState counts the requests in flight and holds the state of a graceful shutdown.
+type shutdownState struct {
+	mu                 sync.Mutex
+	inFlight           int
+	closingConnections bool
+	refusing           bool
+	idle               chan struct{}
 }
 
-func (h *held) enter() {
+func (h *shutdownState) begin() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.count++
+	h.inFlight++
 }
 
-func (h *held) leave() {
+func (h *shutdownState) end() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.count--
-	if h.count == 0 && h.idle != nil {
+	h.inFlight--
+	if h.inFlight == 0 && h.idle != nil {
 		close(h.idle)
 		h.idle = nil
 	}
 }
 
-func (h *held) isLeaving() bool {
+func (h *shutdownState) isClosingConnections() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.leaving
+	return h.closingConnections
 }
 
-func (h *held) isRefusing() bool {
+func (h *shutdownState) isRefusing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.refusing
 }
 
-// whenIdle returns a channel that is closed once no request is in hand.
-func (h *held) whenIdle() <-chan struct{} {
+// whenIdle returns a channel that is closed once no request is in flight.
+func (h *shutdownState) whenIdle() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.idle == nil {
 		h.idle = make(chan struct{})
 	}
 	idle := h.idle
-	if h.count == 0 {
+	if h.inFlight == 0 {
 		close(h.idle)
 		h.idle = nil
 	}
 	return idle
 }
 
-// Leave makes each answer ask its caller to connect elsewhere. Requests are
-// still served: the balancer sends new connections here until it has noticed.
+// Leave makes each answer close its connection, so that callers reconnect to another router.
+// Requests are still served, because the balancer sends new connections here until it notices.
 func (h *Handler) Leave() {
-	h.held.mu.Lock()
-	defer h.held.mu.Unlock()
-	h.held.leaving = true
+	h.shutdown.mu.Lock()
+	defer h.shutdown.mu.Unlock()
+	h.shutdown.closingConnections = true
 }
 
 // Refuse makes the handler refuse new requests as not run.
 func (h *Handler) Refuse() {
-	h.held.mu.Lock()
-	defer h.held.mu.Unlock()
-	h.held.refusing = true
+	h.shutdown.mu.Lock()
+	defer h.shutdown.mu.Unlock()
+	h.shutdown.refusing = true
 }
 
-// Wait returns once no request is in hand, or with the error of ctx.
+// Wait returns nil once no request is in flight, or the error of ctx.
 func (h *Handler) Wait(ctx context.Context) error {
 	select {
-	case <-h.held.whenIdle():
+	case <-h.shutdown.whenIdle():
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// InHand returns the number of requests in hand.
+// InHand returns the number of requests in flight.
 func (h *Handler) InHand() int {
-	h.held.mu.Lock()
-	defer h.held.mu.Unlock()
-	return h.held.count
+	h.shutdown.mu.Lock()
+	defer h.shutdown.mu.Unlock()
+	return h.shutdown.inFlight
 }
--- a/forward/log_test.go
+++ b/forward/log_test.go
@@ -21,21 +21,21 @@
 	"nutmeglock.example/nutmeglock/logging"
 )
 
-// logLine is what the tests read of a line.
+// logLine holds the fields of a log line that the tests check.
 type logLine struct {
-	Message  string  `json:"msg"`
-	Request  string  `json:"request"`
-	Reason   string  `json:"reason"`
-	Upstream string  `json:"upstream"`
-	By       string  `json:"ended-by"`
-	Decision string  `json:"decision"`
-	Cause    string  `json:"cause"`
-	Took     float64 `json:"attempt-ms"`
-	Silent   float64 `json:"silent-ms"`
-	Limit    float64 `json:"silence-limit-ms"`
-	Latency  float64 `json:"latency-ms"`
-	Count    int     `json:"count"`
-	Route    string  `json:"route"`
+	Message        string  `json:"msg"`
+	Request        string  `json:"request"`
+	Reason         string  `json:"reason"`
+	Upstream       string  `json:"upstream"`
+	EndedBy        string  `json:"ended-by"`
+	Decision       string  `json:"decision"`
+	Cause          string  `json:"cause"`
+	AttemptMs      float64 `json:"attempt-ms"`
+	SilentMs       float64 `json:"silent-ms"`
+	SilenceLimitMs float64 `json:"silence-limit-ms"`
+	LatencyMs      float64 `json:"latency-ms"`
+	Count          int     `json:"count"`
+	Route          string  `json:"route"`
 }
 
 func readLog(t *testing.T, log []byte) []logLine {
@@ -50,8 +50,9 @@
 	return lines
 }
 
-// withLog wires a handler to a log as a router does. It returns what the log has in the end.
-func (f *fixture) withLog() (end func() []byte) {
+// captureLog sets up the handler's logs as a router does. The returned function closes the log and
+// returns its content.
+func (f *fixture) captureLog() (end func() []byte) {
 	var out bytes.Buffer
 	w := logging.New(&out)
 	log := w.Log(slog.LevelInfo)
@@ -64,7 +65,7 @@
 	}
 }
 
-// flood makes the handler refuse so many requests a second until ctx ends.
+// flood makes the handler refuse requests at a rate per second until ctx ends.
 func (f *fixture) flood(ctx context.Context, perSecond int) {
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
@@ -85,25 +86,25 @@
 	}
 }
 
-// breaking answers by the way in which the stream of a path is to break off.
-func breaking(w http.ResponseWriter, r *http.Request) {
-	way := strings.Split(r.URL.Path, "/")[2]
-	if way == "reset" {
+// breakOffByPath breaks a stream off in the way that its path names.
+func breakOffByPath(w http.ResponseWriter, r *http.Request) {
+	kind := strings.Split(r.URL.Path, "/")[2]
+	if kind == "reset" {
 		resets(w, r)
 		return
 	}
-	if way == "part" {
+	if kind == "part" {
 		events(1, 3, false)(w, r)
 		return
 	}
 	w.Header().Set("X-Signed", "yes")
 	_, _ = io.WriteString(w, "id: 1\ndata: 1\n\n")
 	_ = http.NewResponseController(w).Flush()
-	<-r.Context().Done() // the way is that of the router or the caller
+	<-r.Context().Done() // the router or the caller ends the stream
 }
 
-// brokenWays are the ways in which streams break off, with what the log has to say.
-var brokenWays = []struct {
+// breakCases are the ways in which streams break off, with the expected fields of the log line.
+var breakCases = []struct {
 	path          string
 	by, decision  string
 	cause, reason string
@@ -115,13 +116,13 @@
 	{path: "/once/left", by: "caller", reason: "stream-broken", cause: "context canceled"},
 }
 
-// Guards against a flood of refusals after which nobody can tell why streams broke off.
+// Guards against a flood of refusals that crowds the causes of broken streams out of the log.
 func TestBrokenStreamsAreExplainedUnderAFlood(t *testing.T) {
 	t.Parallel()
-	f := start(t, slices.Repeat([]http.HandlerFunc{breaking}, 8)...) // with a slot for each stream
-	end := f.withLog()
+	f := start(t, slices.Repeat([]http.HandlerFunc{breakOffByPath}, 8)...) // enough slots for all streams
+	end := f.captureLog()
 	f.handler.Latency = func() time.Duration { return 7 * time.Millisecond }
-	f.flooded(t)
+	f.breakOffUnderFlood(t)
 	lines := readLog(t, end())
 	summed := 0
 	for _, l := range lines {
@@ -132,24 +133,24 @@
 		}
 	}
 	for i := range 10 {
-		for _, way := range brokenWays {
-			requireExplained(t, lines, fmt.Sprintf("%s-%d", way.path, i), way.by, way.decision, way.reason, way.cause)
+		for _, c := range breakCases {
+			requireExplained(t, lines, fmt.Sprintf("%s-%d", c.path, i), c.by, c.decision, c.reason, c.cause)
 		}
 	}
 	require.Greater(t, summed, 1000)
 	require.LessOrEqual(t, len(lines), 4*400, "the bound on lines of a second holds")
 }
 
-func (f *fixture) flooded(t *testing.T) {
+func (f *fixture) breakOffUnderFlood(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var flood, streams sync.WaitGroup
 	flood.Go(func() { f.flood(ctx, 2000) })
-	time.Sleep(100 * time.Millisecond) // the bounds of this second are used up
+	time.Sleep(100 * time.Millisecond) // the flood uses up this second's bounds on log lines
 	for i := range 10 {
-		for _, way := range brokenWays {
-			streams.Go(func() { f.breakOff(t, way.path, fmt.Sprintf("%s-%d", way.path, i)) })
-			time.Sleep(5 * time.Millisecond) // a line of the account that fills at once would refuse some
+		for _, c := range breakCases {
+			streams.Go(func() { f.breakOff(t, c.path, fmt.Sprintf("%s-%d", c.path, i)) })
+			time.Sleep(5 * time.Millisecond) // all at once would overfill the account's queue
 		}
 	}
 	streams.Wait()
@@ -157,7 +158,7 @@
 	flood.Wait()
 }
 
-// breakOff asks for a stream, and leaves it if that is the way in which it breaks off.
+// breakOff requests a stream that breaks off in the way that its path names.
 func (f *fixture) breakOff(t *testing.T, path, id string) {
 	t.Helper()
 	r := f.request(t, http.MethodPost, path, "")
@@ -173,29 +174,30 @@
 	if path == "/once/left" {
 		time.AfterFunc(400*time.Millisecond, cancel)
 	}
-	_, _, _, _ = f.do(t, r.WithContext(ctx)) // what the caller gets is the matter of other tests
+	_, _, _, _ = f.do(t, r.WithContext(ctx)) // the answer is checked by other tests
 }
 
-// requireExplained checks that a line of a request tells what was tried and who ended it.
+// requireExplained checks that a request's "attempt failed" line names the upstream, who ended the
+// attempt and why.
 func requireExplained(t *testing.T, lines []logLine, id, by, decision, reason, cause string) {
 	t.Helper()
 	for _, l := range lines {
 		if l.Request != id || l.Message != "attempt failed" {
 			continue
 		}
-		require.Equal(t, by, l.By, id)
+		require.Equal(t, by, l.EndedBy, id)
 		require.Equal(t, decision, l.Decision, id)
 		require.Equal(t, reason, l.Reason, id)
 		require.Contains(t, l.Cause, cause, id)
 		require.NotEmpty(t, l.Upstream, id)
-		require.Positive(t, l.Took, id)
-		require.InDelta(t, 7, l.Latency, 0.1, id)
+		require.Positive(t, l.AttemptMs, id)
+		require.InDelta(t, 7, l.LatencyMs, 0.1, id)
 		if decision == "silence" {
-			require.GreaterOrEqual(t, l.Silent, l.Limit, id)
-			require.Positive(t, l.Limit, id)
+			require.GreaterOrEqual(t, l.SilentMs, l.SilenceLimitMs, id)
+			require.Positive(t, l.SilenceLimitMs, id)
 		}
 		return
 	}
-	others := slices.DeleteFunc(slices.Clone(lines), func(l logLine) bool { return l.Request != id })
-	require.Fail(t, "no line", "%s has %+v", id, others)
+	found := slices.DeleteFunc(slices.Clone(lines), func(l logLine) bool { return l.Request != id })
+	require.Fail(t, "no line", "%s has %+v", id, found)
 }
--- a/forward/panic.go
+++ b/forward/panic.go
@@ -8,11 +8,12 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// requestOf is the id of a job's request, which is read once it is logged.
-type requestOf struct{ job *job }
+// requestIDValue is a slog.LogValuer of a job's request id, which isn't known yet when the job
+// starts.
+type requestIDValue struct{ job *job }
 
 // LogValue returns the id.
-func (r requestOf) LogValue() slog.Value { return slog.StringValue(string(r.job.intake.ID)) }
+func (r requestIDValue) LogValue() slog.Value { return slog.StringValue(string(r.job.intake.ID)) }
 
 // handle admits the request and serves it.
 func (j *job) handle() error {
@@ -24,8 +25,8 @@
 	return nil
 }
 
-// panicked ends a request whose handling has panicked. Its place at the upstream is free again,
-// and its caller is told as much as is known for sure.
+// panicked ends a request whose handling has panicked: it frees the slot at the upstream and
+// refuses the request, as not run only if it was never sent.
 func (j *job) panicked(cause error) {
 	if j.ticket != nil {
 		j.ticket.End(time.Now(), turn.Left)
--- a/forward/refused_test.go
+++ b/forward/refused_test.go
@@ -22,33 +22,32 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// refusedAccounts is how many accounts take turns so that none of them asks so
-// often that its line is full.
-const refusedAccounts = 20_000
+// accountCount is how many accounts send in turn, so that none of them fills its queue.
+const accountCount = 20_000
 
-// A flood is refused, each request on a connection of its own with a long prompt.
-// What that costs is how much of a flood a small router bears: before the body is
-// read when the account's line is full, or after a turn was asked for.
+// Measures the cost of refusing a request that arrives on its own connection with a long prompt,
+// which limits the flood that a small router withstands. "line" is a refusal before the body is
+// read, because the account's queue is full; "turn" is one after asking for a turn.
 func BenchmarkRefused(b *testing.B) {
 	b.Run("line", func(b *testing.B) {
-		f := newFlood(b, occupied(b))
-		f.fillLine(b, "key-0")
+		f := startFlood(b, occupied(b))
+		f.fillQueue(b, "key-0")
 		for b.Loop() {
-			f.expect(b, "key-0", "HTTP/1.1 429")
+			f.expectStatus(b, "key-0", "HTTP/1.1 429")
 		}
 	})
 	b.Run("turn", func(b *testing.B) {
-		f := newFlood(b, &turn.Pool{})
+		f := startFlood(b, &turn.Pool{})
 		b.ReportAllocs()
 		sent := 0
 		for b.Loop() {
-			f.expect(b, fmt.Sprintf("key-%d", sent%refusedAccounts), "HTTP/1.1 503")
+			f.expectStatus(b, fmt.Sprintf("key-%d", sent%accountCount), "HTTP/1.1 503")
 			sent++
 		}
 	})
 }
 
-// occupied returns a pool whose only upstream takes no more.
+// occupied returns a pool whose only upstream has no free slot.
 func occupied(b *testing.B) *turn.Pool {
 	b.Helper()
 	pool := &turn.Pool{Placement: turn.LeastLoaded{}}
@@ -66,21 +65,21 @@
 	}
 }
 
-// flood sends requests to a router.
+// flood sends many requests to a router.
 type flood struct{ address string }
 
-func newFlood(b *testing.B, pool *turn.Pool) *flood {
+func startFlood(b *testing.B, pool *turn.Pool) *flood {
 	b.Helper()
 	shares := []route.Share{{Service: "s", Weight: 1}}
 	configuration := route.Configuration{Version: 1, Routes: []route.Route{
 		{Host: "h", Prefix: "/stream/", Kind: route.Streaming, Shares: shares, Timeout: time.Hour, Target: time.Hour, Attempts: 1},
 	}}
-	for i := range refusedAccounts {
+	for i := range accountCount {
 		account := route.Account{ID: fleet.AccountID(fmt.Sprintf("account-%d", i)), Keys: []string{fmt.Sprintf("key-%d", i)}}
 		configuration.Accounts = append(configuration.Accounts, account)
 	}
 	handler := &forward.Handler{
-		Dialect: dialect{}, State: &state{table: route.NewTable(configuration), pool: pool}, Client: &upstream.Client{},
+		Dialect: dialect{}, State: &fixedState{table: route.NewTable(configuration), pool: pool}, Client: &upstream.Client{},
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	front := httptest.NewUnstartedServer(handler)
@@ -90,10 +89,10 @@
 	return &flood{front.Listener.Addr().String()}
 }
 
-// fillLine lets requests wait until the account's line is full. Each that waits stays: one that
-// was given up would count for a moment more, the line would seem full, and the next
-// request would wait in it for ever.
-func (f *flood) fillLine(b *testing.B, key string) {
+// fillQueue sends requests until the account's queue is full. Each connection stays open: a request
+// that was given up counts for a moment longer, so the queue would seem full and the next request
+// would wait in it for ever.
+func (f *flood) fillQueue(b *testing.B, key string) {
 	b.Helper()
 	require.Eventually(b, func() bool {
 		conn := f.open(b, key)
@@ -103,7 +102,7 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// open sends one request with an account's key on a connection of its own.
+// open sends one request with an account's key on a new connection.
 func (f *flood) open(b *testing.B, key string) net.Conn {
 	b.Helper()
 	conn, err := net.Dial("tcp", f.address)
@@ -118,7 +117,7 @@
 	return conn
 }
 
-// readStatus returns the first bytes of an answer, empty when none comes.
+// readStatus returns the beginning of the status line, empty when there is no answer.
 func readStatus(conn net.Conn) string {
 	status := make([]byte, len("HTTP/1.1 503"))
 	if _, err := io.ReadFull(conn, status); err != nil {
@@ -127,15 +126,15 @@
 	return string(status)
 }
 
-// answerBound is the time after which a refusal that is due at once isn't waited for any
-// more, so that the benchmark fails and doesn't hang.
-const answerBound = 30 * time.Second
+// answerTimeout bounds the wait for a refusal that is due at once, so that the benchmark fails
+// instead of hanging.
+const answerTimeout = 30 * time.Second
 
-func (f *flood) expect(b *testing.B, key, status string) {
+func (f *flood) expectStatus(b *testing.B, key, status string) {
 	b.Helper()
 	conn := f.open(b, key)
 	defer conn.Close()
-	_ = conn.SetReadDeadline(time.Now().Add(answerBound))
+	_ = conn.SetReadDeadline(time.Now().Add(answerTimeout))
 	if got := readStatus(conn); got != status {
 		b.Fatalf("answer %q, expected %q", got, status)
 	}
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// events writes the events from..to and ends the answer, or breaks it off in
-// the middle of the next event.
+// events streams the events from..to, beginning after Last-Event-Id if it is set. Unless whole is
+// true it breaks off in the middle of a further event.
 func events(from, to int, whole bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Signed", "yes")
@@ -36,7 +36,7 @@
 	}
 }
 
-func expect(to int) string {
+func expectedEvents(to int) string {
 	var b strings.Builder
 	for i := 1; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %d\n\n", i, i)
@@ -44,8 +44,8 @@
 	return b.String()
 }
 
-// An engine breaks off in the middle of an event. The stream goes on at another
-// engine after the last whole event, and the caller sees each event once.
+// A stream that breaks off within an event is resumed at another upstream after the last complete
+// event, and the caller gets each event once.
 func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
 	t.Parallel()
 	var once sync.Once
@@ -55,15 +55,15 @@
 		fn(w, r)
 	}
 	f := start(t, first, first)
-	status, body, _, err := f.ask(t, "/stream/1")
+	status, body, _, err := f.post(t, "/stream/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
-	require.Equal(t, expect(6), body)
-	require.Equal(t, "3", f.reached[1].Header.Get("Last-Event-Id"))
+	require.Equal(t, expectedEvents(6), body)
+	require.Equal(t, "3", f.requests[1].Header.Get("Last-Event-Id"))
 }
 
-// An engine goes on with a gap, or from the beginning. Events that the caller
-// has are left out; a gap ends the answer visibly, since it can't be filled.
+// An upstream may resume a stream from its beginning or with a gap. Events that the caller has are
+// skipped; a gap can't be filled, so it visibly breaks off the answer.
 func TestResumedStreamsAreJoinedExactly(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -90,30 +90,30 @@
 				chosen(w, r)
 			}
 			f := start(t, fn, fn)
-			_, body, _, err := f.ask(t, "/stream/1")
+			_, body, _, err := f.post(t, "/stream/1")
 			if c.whole {
 				require.NoError(t, err)
-				require.Equal(t, expect(5), body)
+				require.Equal(t, expectedEvents(5), body)
 				return
 			}
 			require.Error(t, err)
-			require.Equal(t, expect(2), body)
+			require.Equal(t, expectedEvents(2), body)
 		})
 	}
 }
 
-// A stream that must not run twice breaks off. Its caller sees the break.
+// A stream that isn't resumable is not sent again, and its caller sees that it broke off.
 func TestStreamThatMayNotGoOnBreaksOffVisibly(t *testing.T) {
 	t.Parallel()
 	f := start(t, events(1, 3, false), events(1, 3, false))
-	_, body, _, err := f.ask(t, "/once/1")
+	_, body, _, err := f.post(t, "/once/1")
 	require.Error(t, err)
-	require.Equal(t, expect(3), body)
+	require.Equal(t, expectedEvents(3), body)
 	require.Equal(t, 1, f.count())
 }
 
-// An engine accepts a request and is silent. A stream that may go on elsewhere
-// does so while its caller still waits.
+// When an upstream accepts a request and stays silent, a resumable stream moves to another one
+// while its caller still waits.
 func TestSilentEngineIsLeft(t *testing.T) {
 	t.Parallel()
 	var once sync.Once
@@ -128,14 +128,13 @@
 	}
 	f := start(t, silent, silent)
 	begin := time.Now()
-	_, body, _, err := f.ask(t, "/stream/1")
+	_, body, _, err := f.post(t, "/stream/1")
 	require.NoError(t, err)
-	require.Equal(t, expect(2), body)
+	require.Equal(t, expectedEvents(2), body)
 	require.Less(t, time.Since(begin), 4*time.Second)
 }
 
-// A caller leaves in the middle of its stream. The engine hears of it at once
-// and stops generating for nobody.
+// When a caller disconnects in the middle of a stream, the upstream's request is cancelled at once.
 func TestCallerThatLeavesStopsItsEngine(t *testing.T) {
 	t.Parallel()
 	stopped := make(chan time.Time, 1)
@@ -160,6 +159,6 @@
 	case at := <-stopped:
 		require.Less(t, at.Sub(left), 500*time.Millisecond)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the engine was not told")
+		t.Fatal("the upstream's request was not cancelled")
 	}
 }
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -13,53 +13,54 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// finder returns a turn at another upstream, nil when there is none.
-type finder func(ctx context.Context) home.Ticket
+// ticketFinder returns a turn at another upstream, nil when there is none.
+type ticketFinder func(ctx context.Context) home.Ticket
 
-// watch looks for another upstream while that of an attempt is silent. It ends the attempt
-// only once the other one takes the request, because a silent upstream may still answer.
-type watch struct {
+// silenceWatch looks for another upstream while that of an attempt is silent. It ends the attempt
+// only once another upstream has a turn for the request, because the silent one may still answer.
+type silenceWatch struct {
 	ctx    context.Context //nolint:containedctx // of the attempt, which the watch doesn't outlive
 	cancel context.CancelCauseFunc
-	find   finder
+	find   ticketFinder
 	probe  upstream.Probe
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// limit is how long the upstream may be silent, zero for ever.
+	// limit is how long the upstream may be silent; zero means no limit.
 	limit time.Duration
-	// progress counts what the upstream has sent.
-	progress int
-	// since is when the upstream was last heard, or the request sent.
-	since time.Time
-	// passing is true while the caller is written to, which may take long.
-	passing bool
-	settled bool
-	next    home.Ticket
-	silence silence
+	// receivedCount counts how often the upstream has sent something.
+	receivedCount int
+	// silentSince is when the upstream last sent something, or when the attempt began.
+	silentSince time.Time
+	// writing is true while data is written to the caller, which may take long.
+	writing    bool
+	ended      bool
+	nextTicket home.Ticket
+	silence    silence
 }
 
-// silence is how long an upstream was silent, of what limit, when its attempt ended.
+// silence describes the silence at the end of an attempt: how long it had lasted and the limit.
 type silence struct {
 	lasted time.Duration
 	limit  time.Duration
 }
 
-// newWatch returns the watch of an attempt, which is ended by cancel with errSilent.
-func newWatch(ctx context.Context, cancel context.CancelCauseFunc, limit time.Duration, find finder, guard *recovery.Guard) *watch {
-	w := &watch{ctx: ctx, cancel: cancel, limit: limit, find: find, since: time.Now()}
+// newSilenceWatch returns the watch of an attempt. It ends the attempt by calling cancel with
+// errUpstreamSilent.
+func newSilenceWatch(ctx context.Context, cancel context.CancelCauseFunc, limit time.Duration, find ticketFinder, guard *recovery.Guard) *silenceWatch {
+	w := &silenceWatch{ctx: ctx, cancel: cancel, limit: limit, find: find, silentSince: time.Now()}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if limit > 0 {
-		w.timer = time.AfterFunc(limit, func() { guard.Run(recovery.Request, w.silent) })
+		w.timer = time.AfterFunc(limit, func() { guard.Run(recovery.Request, w.onSilence) })
 	}
 	return w
 }
 
-// silent looks for another upstream, and again after another limit if there is none. It doesn't
-// if bytes have arrived that weren't read: this router is late then, and not the upstream.
-func (w *watch) silent() {
-	progress, waiting := w.state()
+// onSilence looks for another upstream, and tries again after the limit if there is none. It
+// doesn't look if unread bytes have arrived: then this router is late, not the upstream.
+func (w *silenceWatch) onSilence() {
+	received, waiting := w.snapshot()
 	if !waiting {
 		return
 	}
@@ -67,97 +68,98 @@
 	if !w.probe.Arrived() {
 		ticket = w.find(w.ctx)
 	}
-	if !w.moveTo(ticket, progress) && ticket != nil {
+	if !w.switchTo(ticket, received) && ticket != nil {
 		ticket.End(time.Now(), turn.Unsent)
 	}
 }
 
-// state returns the progress so far, and whether the upstream is waited for.
-func (w *watch) state() (progress int, waiting bool) {
+// snapshot returns receivedCount, and whether the upstream is being waited for.
+func (w *silenceWatch) snapshot() (received int, waiting bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.progress, !w.settled && !w.passing
+	return w.receivedCount, !w.ended && !w.writing
 }
 
-// moveTo ends the attempt in favour of a turn at another upstream. It returns false if there is
-// no turn, if the attempt has ended, or if its upstream has sent something meanwhile.
-func (w *watch) moveTo(ticket home.Ticket, progress int) bool {
+// switchTo ends the attempt in favour of a turn at another upstream. It returns false if there is
+// no turn, if the watch has ended, or if the upstream has sent something since receivedCount was
+// read.
+func (w *silenceWatch) switchTo(ticket home.Ticket, received int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case w.settled || w.progress != progress:
+	case w.ended || w.receivedCount != received:
 		return false
 	case ticket == nil:
 		w.timer.Reset(w.limit)
 		return false
 	}
-	w.next = ticket
-	w.settle()
-	w.cancel(errSilent)
+	w.nextTicket = ticket
+	w.end()
+	w.cancel(errUpstreamSilent)
 	return true
 }
 
-// heard suspends the wait: the upstream has sent something, which is passed on now.
-func (w *watch) heard() {
+// suspend stops the wait when the upstream has sent something, until that is written to the caller.
+func (w *silenceWatch) suspend() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress++
-	w.since = time.Now()
-	w.passing = true
+	w.receivedCount++
+	w.silentSince = time.Now()
+	w.writing = true
 }
 
-// passed begins the wait anew, with another limit.
-func (w *watch) passed(limit time.Duration) {
+// resume starts the wait again, with a new limit.
+func (w *silenceWatch) resume(limit time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.passing = false
-	if w.timer == nil || w.settled {
+	w.writing = false
+	if w.timer == nil || w.ended {
 		return
 	}
 	w.limit = limit
 	w.timer.Reset(limit)
 }
 
-// settle notes how long the upstream has been silent when its attempt ends.
-func (w *watch) settle() {
-	if w.settled {
+// end records how long the upstream was silent when the watch ends.
+func (w *silenceWatch) end() {
+	if w.ended {
 		return
 	}
-	w.settled = true
-	w.silence = silence{lasted: time.Since(w.since), limit: w.limit}
+	w.ended = true
+	w.silence = silence{lasted: time.Since(w.silentSince), limit: w.limit}
 }
 
-// keep ends the watch. It returns false if the attempt has ended in favour of another one.
-func (w *watch) keep() bool {
+// keepUpstream ends the watch. It returns false if the attempt was already ended in favour of
+// another upstream.
+func (w *silenceWatch) keepUpstream() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.end()
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	return w.next == nil
+	return w.nextTicket == nil
 }
 
-// stop ends the watch. It returns the turn in whose favour the attempt has ended, if any, and
-// how long the upstream was silent.
-func (w *watch) stop() (home.Ticket, silence) {
-	w.keep()
-	return w.next, w.silence
+// stop ends the watch. It returns the turn in whose favour the attempt was ended, if any, and the
+// silence at the end.
+func (w *silenceWatch) stop() (home.Ticket, silence) {
+	w.keepUpstream()
+	return w.nextTicket, w.silence
 }
 
-// findOther returns how an attempt of this request finds another upstream.
-//
-// The finder runs beside the attempt, so what it needs is copied.
-func (j *job) findOther() finder {
+// otherUpstreamFinder returns the finder of an attempt's watch. It runs concurrently with the
+// attempt, so the demand is copied.
+func (j *job) otherUpstreamFinder() ticketFinder {
 	demand := j.demand()
-	demand.Patience = resumePatience
+	demand.Patience = resumeMaxWait
 	return func(ctx context.Context) home.Ticket {
-		ticket, err := j.wait(ctx, demand)
+		ticket, err := j.waitInQueue(ctx, demand)
 		if err != nil {
-			j.logKept(ctx, err)
+			j.logSilentKept(ctx, err)
 			return nil
 		}
-		if j.allowMove(ctx) {
+		if j.allowSwitch(ctx) {
 			return ticket
 		}
 		ticket.End(time.Now(), turn.Unsent)
@@ -165,21 +167,21 @@
 	}
 }
 
-// allowMove takes a retry from the budget for a request that leaves a silent upstream.
-func (j *job) allowMove(ctx context.Context) bool {
+// allowSwitch takes a retry from the budget for leaving a silent upstream.
+func (j *job) allowSwitch(ctx context.Context) bool {
 	allowed := j.handler.retries(j).Allow(time.Now(), retry.Attempt{
 		Count: 1, Outcome: refusal.Unknown, Idempotent: true, Deadline: j.deadline,
 	})
 	if !allowed {
-		j.logKept(ctx, errNoRetries)
+		j.logSilentKept(ctx, errRetryBudget)
 		return false
 	}
-	j.count(retry.UpstreamSilent)
+	j.countRetry(retry.UpstreamSilent)
 	return true
 }
 
-// logKept notes that the request stays at a silent upstream, unless its attempt has ended.
-func (j *job) logKept(ctx context.Context, reason error) {
+// logSilentKept logs that the request stays at a silent upstream, unless its attempt has ended.
+func (j *job) logSilentKept(ctx context.Context, reason error) {
 	if ctx.Err() != nil {
 		return
 	}
