--- a/upstream/client.go
+++ b/upstream/client.go
@@ -1,12 +1,11 @@
-// Package upstream exchanges requests and answers with upstreams over HTTP/1.1,
-// one exchange at a time on a connection, and keeps idle connections.
+// Package upstream exchanges requests and answers with upstreams over HTTP/1.1, without pipelining,
+// and pools idle connections.
 //
-// It answers upstreams that misbehave on the wire. Each exchange tells whether
-// a byte of the request may have left, so that "not run" is only said when it
-// is true; nothing is ever sent twice. An answer to another request, left over
-// on a kept connection, is passed over instead of given to the wrong caller. A
-// connection is used again only if its last exchange ended whole in both
-// directions and nothing has arrived on it since.
+// It defends against upstreams that violate the protocol. Each exchange reports whether a byte of
+// the request may have been sent, so that "not run" is said only when it is true; nothing is ever
+// sent twice. An answer to another request, left over on a pooled connection, is skipped instead of
+// given to the wrong caller. A connection is reused only if its last exchange was complete in both
+// directions and nothing has arrived since.
 package upstream
 
 import (
@@ -25,38 +24,38 @@
 )
 
 const (
-	// connectTimeout bounds the opening of a connection. Data centres are some
-	// milliseconds apart, and a first packet that is lost is sent again only
-	// after a second; another upstream is asked sooner than that.
+	// connectTimeout bounds the opening of a connection. Data centres are some milliseconds apart,
+	// and TCP resends a lost first packet only after a second; another upstream is tried before
+	// that.
 	connectTimeout = 400 * time.Millisecond
-	// maxSilence bounds how long bytes stay unacknowledged. TCP sends a lost
-	// packet again after 200 ms and then after twice as long each time, so that
-	// three losses in a row pass.
-	maxSilence = 1800 * time.Millisecond
-	// A connection on which nothing moves is probed every probeInterval, and is
-	// given up after probeCount probes without an answer. Waiting for an answer
-	// sends nothing, so without probes a dead machine looks like a slow one.
+	// maxUnacknowledged bounds how long sent bytes may stay unacknowledged. TCP resends a lost
+	// packet after 200 ms and doubles the delay each time, so three losses in a row are tolerated.
+	maxUnacknowledged = 1800 * time.Millisecond
+	// A connection without traffic is probed every probeInterval, and closed after probeCount unanswered
+	// probes. Waiting for an answer sends nothing, so without probes a dead machine would look like
+	// a slow one.
 	probeInterval = time.Second
 	probeCount    = 2
-	// maxIdle is the most idle connections that are kept for one upstream.
+	// maxIdle is the maximum number of idle connections per upstream.
 	maxIdle = 64
-	// defaultIdleTime is how long a connection is kept whose upstream did not
-	// say how long it keeps it.
+	// defaultIdleTime is how long a connection is kept whose upstream didn't announce a keep-alive
+	// timeout.
 	defaultIdleTime = 4 * time.Second
-	// idleMargin is the part of the announced time that is used. A request must
-	// not cross the upstream's close.
-	idleMargin = 0.75
-	// checkedIdleTime is how long a connection is kept that was only opened to check its upstream.
-	checkedIdleTime = time.Second
-	// readerSize holds the header of an answer, and several events of a stream.
-	readerSize = 4 << 10
+	// idleFraction is the part of the announced keep-alive timeout that is used, so that a request
+	// doesn't cross the upstream's close.
+	idleFraction = 0.75
+	// checkIdleTime is how long a connection is kept that was only opened by Check.
+	checkIdleTime = time.Second
+	// readBufferSize, in bytes, is enough for the header of an answer and several events of a
+	// stream.
+	readBufferSize = 4 << 10
 )
 
-// Client exchanges requests with upstreams. Its zero value works. It is safe
-// for concurrent use.
+// Client exchanges requests with upstreams. Its zero value is ready to use. It is safe for
+// concurrent use.
 type Client struct {
-	// Echoed returns the id of the request that an answer is for, empty when
-	// the answer has none. Nil takes each answer for the right one.
+	// Echoed returns the id of the request that an answer belongs to, empty when the answer has
+	// none. If nil, every answer is assumed to belong to its request.
 	Echoed func(http.Header) fleet.RequestID
 	// Opened is called with each new connection, unless it is nil.
 	Opened func()
@@ -65,54 +64,53 @@
 	idle map[string][]*conn
 }
 
-// conn is one connection.
+// conn is a connection to an upstream.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
 	reader *bufio.Reader
-	// until is when an idle connection isn't used any more.
-	until time.Time
-	fresh bool
+	// idleUntil is when an idle connection is no longer used.
+	idleUntil time.Time
+	isNew     bool
 }
 
-// Do sends a request to the upstream at address and returns its answer as soon
-// as the header has arrived. It fails with *Error. ctx bounds the exchange and
-// the reading of the body.
+// Do sends a request to the upstream at address and returns its answer as soon as the header has
+// arrived. Errors are of type *Error. ctx applies to the exchange and to reading the body.
 func (c *Client) Do(ctx context.Context, address string, request Request) (*Answer, error) {
-	connection, err := c.get(ctx, address)
+	connection, err := c.connect(ctx, address)
 	if err != nil {
-		return nil, &Error{Address: address, Cause: causeOf(ctx, err)}
+		return nil, &Error{Address: address, Cause: errorCause(ctx, err)}
 	}
 	request.Probe.watch(connection)
-	x := &exchange{client: c, conn: connection, address: address, written: make(chan struct{})}
-	x.release = context.AfterFunc(ctx, x.abort)
+	x := &exchange{client: c, conn: connection, address: address, writeDone: make(chan struct{})}
+	x.stopAbort = context.AfterFunc(ctx, x.abort)
 	x.send(request)
 	response, err := x.receive(request) //nolint:bodyclose // the answer closes it
 	if err != nil {
 		x.abort()
-		<-x.written
-		return nil, &Error{Address: address, Sent: x.sent, Cause: causeOf(ctx, err)}
+		<-x.writeDone
+		return nil, &Error{Address: address, Sent: x.sent, Cause: errorCause(ctx, err)}
 	}
 	return newAnswer(x, response), nil
 }
 
-// causeOf returns why an exchange failed: what ended its context, if that has,
-// since the connection's error only shows that it was closed then.
-func causeOf(ctx context.Context, err error) error {
+// errorCause returns why an exchange failed. If its context has ended, that is the context's cause,
+// because the connection's error then only shows that it was closed.
+func errorCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	return err
 }
 
-// get returns an idle connection, or a new one.
-func (c *Client) get(ctx context.Context, address string) (*conn, error) {
-	if kept := c.take(address); kept != nil {
-		return kept, nil
+// connect returns an idle connection or opens a new one.
+func (c *Client) connect(ctx context.Context, address string) (*conn, error) {
+	if idle := c.takeIdle(address); idle != nil {
+		return idle, nil
 	}
 	dialer := net.Dialer{
 		Timeout: connectTimeout,
-		Control: func(_, _ string, raw syscall.RawConn) error { return socket.BoundSilence(raw, maxSilence) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return socket.BoundSilence(raw, maxUnacknowledged) },
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
 		},
@@ -134,22 +132,22 @@
 	if c.Opened != nil {
 		c.Opened()
 	}
-	return &conn{Conn: opened, raw: raw, reader: bufio.NewReaderSize(opened, readerSize), fresh: true}, nil
+	return &conn{Conn: opened, raw: raw, reader: bufio.NewReaderSize(opened, readBufferSize), isNew: true}, nil
 }
 
-// Check returns an error if no connection to an upstream can be had. Nothing is sent.
+// Check returns an error if no connection to an upstream can be opened. It sends no request.
 func (c *Client) Check(ctx context.Context, address string) error {
-	connection, err := c.get(ctx, address)
+	connection, err := c.connect(ctx, address)
 	if err != nil {
-		return &Error{Address: address, Cause: causeOf(ctx, err)}
+		return &Error{Address: address, Cause: errorCause(ctx, err)}
 	}
-	c.put(address, connection, checkedIdleTime)
+	c.putIdle(address, connection, checkIdleTime)
 	return nil
 }
 
-// take returns the idle connection that was used last, closing those that may
-// not be used any more.
-func (c *Client) take(address string) *conn {
+// takeIdle returns the most recently used idle connection, nil if there is none. It closes those
+// that can't be used any more.
+func (c *Client) takeIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -157,7 +155,7 @@
 	for len(list) > 0 {
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
-		if now.Before(last.until) && !socket.Pending(last.raw) {
+		if now.Before(last.idleUntil) && !socket.Pending(last.raw) {
 			c.idle[address] = list
 			return last
 		}
@@ -167,10 +165,10 @@
 	return nil
 }
 
-// put keeps a connection for the next exchange.
-func (c *Client) put(address string, connection *conn, idleTime time.Duration) {
-	connection.fresh = false
-	connection.until = time.Now().Add(idleTime)
+// putIdle keeps a connection for the next exchange, or closes it if there are too many.
+func (c *Client) putIdle(address string, connection *conn, idleTime time.Duration) {
+	connection.isNew = false
+	connection.idleUntil = time.Now().Add(idleTime)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
@@ -183,15 +181,15 @@
 	c.idle[address] = append(c.idle[address], connection)
 }
 
-// Sweep closes the idle connections whose time is over, and all to addresses
-// that keep refuses. Each holds a descriptor here and a place at its upstream.
+// Sweep closes the idle connections that have expired, and all to addresses for which keep returns
+// false. Each holds a file descriptor here and a connection at its upstream.
 func (c *Client) Sweep(now time.Time, keep func(address string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, list := range c.idle {
 		kept := list[:0]
 		for _, connection := range list {
-			if keep(address) && now.Before(connection.until) {
+			if keep(address) && now.Before(connection.idleUntil) {
 				kept = append(kept, connection)
 				continue
 			}
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -15,10 +15,9 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// An upstream dies while it answers. Wherever its answer is cut, the caller must
-// not get a part as if it were the whole, and the request must not be said not to
-// have run.
-func TestAnswerCutAnywhereIsNotWhole(t *testing.T) {
+// Guards against an upstream's crash in the middle of an answer: wherever the answer is cut, it
+// must not look complete, and the request must not be reported as not run.
+func TestTruncatedAnswerIsNotComplete(t *testing.T) {
 	t.Parallel()
 	for name, whole := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\n" + idField + ": a\r\nContent-Length: 5\r\n\r\nhello",
@@ -27,14 +26,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var cut atomic.Int64
-			s := play(t, func(conn net.Conn, in *bufio.Reader) {
-				if _, _, ok := next(in); ok {
+			s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
+				if _, _, ok := readRequest(in); ok {
 					_, _ = io.WriteString(conn, whole[:cut.Load()])
 				}
 			})
 			for at := range len(whole) + 1 {
 				cut.Store(int64(at))
-				got, err := ask(t, newClient(t), s.address, "a")
+				got, err := exchangeBody(t, newClient(t), s.address, "a")
 				if at == len(whole) {
 					require.NoError(t, err)
 					require.Equal(t, "hello", got)
@@ -50,8 +49,8 @@
 	}
 }
 
-// FuzzAnswer lets an upstream say anything. What is passed on as a whole answer has
-// the request's id, and a body as long as the answer says; nothing hangs or panics.
+// FuzzAnswer sends arbitrary answers. One that is relayed as complete has the request's id and a
+// body of the stated length; nothing hangs or panics.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 5\r\n\r\nhello"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok"))
@@ -59,15 +58,15 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nhel\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\nX-Id: a\r\n\r\n"))
 	f.Add([]byte("\x00\x01garbage\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, said []byte) {
-		s := play(t, func(conn net.Conn, in *bufio.Reader) {
-			if _, _, ok := next(in); ok {
-				_, _ = conn.Write(said)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
+			if _, _, ok := readRequest(in); ok {
+				_, _ = conn.Write(data)
 			}
 		})
 		client := newClient(t)
 		begin := time.Now()
-		answer, err := client.Do(t.Context(), s.address, request("a", nil))
+		answer, err := client.Do(t.Context(), s.address, newRequest("a", nil))
 		if err == nil {
 			var body []byte
 			body, err = io.ReadAll(answer.Body)
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -13,21 +13,20 @@
 )
 
 const (
-	// inlineRequest is the largest request that is written before the answer is
-	// read. A larger one may not fit into the buffers on the way, and an
-	// upstream that answers before it has read all would never be heard.
-	inlineRequest = 16 << 10
-	// writeGrace is how long the rest of a request may take after the answer
-	// has ended. The upstream may read on; a connection of which the rest was
-	// never sent can't be used again.
-	writeGrace = 300 * time.Millisecond
-	// maxStray bounds the answers to other requests that are passed over.
-	maxStray = 2
-	// maxStrayBody bounds the body of one of them, in bytes.
+	// maxInlineRequest is the size in bytes up to which a request is written before the answer is
+	// read. A larger one may not fit into the buffers on the way, and an answer that the upstream
+	// sends before it has read everything would go unread.
+	maxInlineRequest = 16 << 10
+	// writeTimeout bounds how long the rest of a request may take after the answer has ended. The
+	// upstream may still be reading; a connection on which the rest was never sent can't be reused.
+	writeTimeout = 300 * time.Millisecond
+	// maxStrayAnswers is how many answers to other requests are skipped.
+	maxStrayAnswers = 2
+	// maxStrayBody is the maximum body size of a skipped answer, in bytes.
 	maxStrayBody = 64 << 10
 )
 
-// Request is what is sent. URI and Host stand as the caller wrote them.
+// Request is a request to an upstream. URI and Host are sent as the caller wrote them.
 type Request struct {
 	ID     fleet.RequestID
 	Method string
@@ -35,12 +34,12 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Probe, unless it is nil, tells from now on what has arrived of the answer.
+	// Probe, unless nil, is attached to the request's connection.
 	Probe *Probe
 }
 
-// encode returns the bytes of a request. Its body has a length, whatever way
-// the caller sent it.
+// encode returns the request in wire format. The body always has a Content-Length, even if the
+// caller sent it in chunks.
 func (r Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + 1024)
@@ -73,19 +72,20 @@
 	client  *Client
 	conn    *conn
 	address string
-	// written is closed once sending has ended. sent and failed are set before.
-	written chan struct{}
-	sent    bool
-	failed  error
-	release func() bool
+	// writeDone is closed once the request was written, or that has failed. sent and writeErr are
+	// set before.
+	writeDone chan struct{}
+	sent      bool
+	writeErr  error
+	stopAbort func() bool
 }
 
-// abort closes the connection, which also ends what waits on it.
+// abort closes the connection, which also unblocks pending reads and writes.
 func (x *exchange) abort() { _ = x.conn.Close() }
 
 func (x *exchange) send(request Request) {
 	data := request.encode()
-	if len(data) <= inlineRequest {
+	if len(data) <= maxInlineRequest {
 		x.write(data)
 		return
 	}
@@ -93,34 +93,33 @@
 	go x.write(data)
 }
 
-// write notes whether a byte may have left. A write that failed may still be
-// followed by an answer: an upstream that refuses early closes its reading side.
+// write writes the request and records whether a byte may have been sent. An answer may follow even
+// if it fails: an upstream that refuses early closes its receiving side.
 func (x *exchange) write(data []byte) {
 	n, err := x.conn.Write(data)
 	if n > 0 {
 		x.sent = true
 	}
-	x.failed = err
-	close(x.written)
+	x.writeErr = err
+	close(x.writeDone)
 }
 
-// receive reads the header of the answer to this request, passing over
-// answers to others.
-func (x *exchange) receive(sent Request) (*http.Response, error) {
-	request := &http.Request{Method: sent.Method}
+// receive reads the header of the answer to this request, skipping answers to others.
+func (x *exchange) receive(request Request) (*http.Response, error) {
+	httpRequest := &http.Request{Method: request.Method}
 	for stray := 0; ; {
-		response, err := http.ReadResponse(x.conn.reader, request)
+		response, err := http.ReadResponse(x.conn.reader, httpRequest)
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if x.isFor(sent.ID, response.Header) {
+		if x.answersRequest(request.ID, response.Header) {
 			return response, nil
 		}
 		stray++
-		if stray > maxStray || response.ContentLength < 0 || response.ContentLength > maxStrayBody {
+		if stray > maxStrayAnswers || response.ContentLength < 0 || response.ContentLength > maxStrayBody {
 			return nil, &StrayAnswersError{Count: stray}
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -129,64 +128,64 @@
 	}
 }
 
-// isFor reports whether an answer is for a request. Only on a new connection,
-// where no other answer can be left over, may the id be missing.
-func (x *exchange) isFor(id fleet.RequestID, header http.Header) bool {
+// answersRequest reports whether an answer belongs to a request. The id may be missing only on a
+// new connection, where no other answer can be left over.
+func (x *exchange) answersRequest(id fleet.RequestID, header http.Header) bool {
 	if x.client.Echoed == nil {
 		return true
 	}
 	echoed := x.client.Echoed(header)
-	return echoed == id || (echoed == "" && x.conn.fresh)
+	return echoed == id || (echoed == "" && x.conn.isNew)
 }
 
-// end gives the connection back when both directions ended whole.
-func (x *exchange) end(whole bool, idleTime time.Duration) {
-	if !x.release() || !whole || !x.hasWritten() || x.conn.reader.Buffered() > 0 {
+// finish returns the connection to the pool if both directions are complete, and else closes it.
+func (x *exchange) finish(complete bool, idleTime time.Duration) {
+	if !x.stopAbort() || !complete || !x.awaitWritten() || x.conn.reader.Buffered() > 0 {
 		x.abort()
 		return
 	}
-	x.client.put(x.address, x.conn, idleTime)
+	x.client.putIdle(x.address, x.conn, idleTime)
 }
 
-// hasWritten reports whether the whole request was sent, waiting a little.
-func (x *exchange) hasWritten() bool {
+// awaitWritten reports whether the whole request was sent. It waits up to writeTimeout.
+func (x *exchange) awaitWritten() bool {
 	select {
-	case <-x.written:
-		return x.failed == nil
+	case <-x.writeDone:
+		return x.writeErr == nil
 	default:
 	}
-	t := time.NewTimer(writeGrace)
+	t := time.NewTimer(writeTimeout)
 	defer t.Stop()
 	select {
-	case <-x.written:
-		return x.failed == nil
+	case <-x.writeDone:
+		return x.writeErr == nil
 	case <-t.C:
 		return false
 	}
 }
 
-// Answer is an answer whose header has arrived. Its body has to be closed.
+// Answer is an answer whose header has arrived. Its body must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body in bytes, -1 when the header doesn't tell.
+	// Length is the length of the body in bytes, -1 if the header doesn't state it.
 	Length int64
 	Body   io.ReadCloser
-	// Closing is true when the upstream closes the connection after the answer.
+	// Closing is true when the upstream closes the connection after this answer.
 	Closing bool
 }
 
 func newAnswer(x *exchange, response *http.Response) *Answer {
-	idle := idleTime(response.Header.Get("Keep-Alive"))
+	idle := parseKeepAlive(response.Header.Get("Keep-Alive"))
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
-		Body:    &body{inner: response.Body, exchange: x, idleTime: idle, isLast: response.Close || idle <= 0},
+		Body:    &body{inner: response.Body, exchange: x, idleTime: idle, closesConnection: response.Close || idle <= 0},
 		Closing: response.Close,
 	}
 }
 
-// idleTime returns how long a connection may be kept by a Keep-Alive field.
-func idleTime(field string) time.Duration {
+// parseKeepAlive returns how long an idle connection may be kept according to a Keep-Alive field.
+func parseKeepAlive(field string) time.Duration {
 	for parameter := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -196,46 +195,45 @@
 		if err != nil || seconds < 0 {
 			return defaultIdleTime
 		}
-		return time.Duration(float64(seconds) * idleMargin * float64(time.Second))
+		return time.Duration(float64(seconds) * idleFraction * float64(time.Second))
 	}
 	return defaultIdleTime
 }
 
-// body is the body of an Answer. It gives the connection back at its end.
+// body is the body of an Answer. At its end it returns the connection to the pool.
 type body struct {
-	inner    io.ReadCloser
-	exchange *exchange
-	idleTime time.Duration
-	isLast   bool
-	ended    bool
+	inner            io.ReadCloser
+	exchange         *exchange
+	idleTime         time.Duration
+	closesConnection bool
+	ended            bool
 }
 
-// Read reads from the body. It returns io.EOF only after a whole body, and
-// *Error when it broke off.
+// Read returns io.EOF only after a complete body, and *Error if the body broke off.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.inner.Read(p)
 	if err == nil {
 		return n, nil
 	}
 	if err == io.EOF {
-		b.finish(true)
+		b.endExchange(true)
 		return n, err
 	}
-	b.finish(false)
+	b.endExchange(false)
 	return n, &Error{Address: b.exchange.address, Sent: true, Answered: true, Cause: err}
 }
 
-// Close ends the exchange. A body that wasn't read to its end takes its
-// connection with it, which tells the upstream to stop.
+// Close ends the exchange. If the body wasn't read to its end, the connection is closed, which
+// tells the upstream to stop.
 func (b *body) Close() error {
-	b.finish(false)
+	b.endExchange(false)
 	return nil
 }
 
-func (b *body) finish(whole bool) {
+func (b *body) endExchange(complete bool) {
 	if b.ended {
 		return
 	}
 	b.ended = true
-	b.exchange.end(whole && !b.isLast, b.idleTime)
+	b.exchange.finish(complete && !b.closesConnection, b.idleTime)
 }
--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -6,12 +6,12 @@
 	"nutmeglock.example/nutmeglock/socket"
 )
 
-// Probe tells whether something has arrived from an upstream that wasn't read yet. A caller
-// that is short of processor time can so tell its own delay from the upstream's. Its zero
-// value knows no connection. It is safe for concurrent use.
+// Probe reports whether unread data has arrived from an upstream. A router short of processor time
+// uses it to tell its own delay from the upstream's. The zero value is attached to no connection.
+// It is safe for concurrent use.
 type Probe struct{ conn atomic.Pointer[conn] }
 
-// Arrived reports whether bytes, the end or a reset of the connection wait to be read.
+// Arrived reports whether data, the end or a reset of the connection is waiting to be read.
 func (p *Probe) Arrived() bool {
 	connection := p.conn.Load()
 	return connection != nil && socket.Arrived(connection.raw)
--- a/upstream/probe_test.go
+++ b/upstream/probe_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against a router that takes its own delay for an upstream's silence.
-func TestProbeTellsOfBytesThatWereNotRead(t *testing.T) {
+func TestProbeReportsUnreadBytes(t *testing.T) {
 	t.Parallel()
 	send := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -21,18 +21,18 @@
 
 const idField = "X-Id"
 
-// script is an upstream that handles each connection by a function.
-type script struct {
+// scriptedUpstream is an upstream that handles each connection with a function.
+type scriptedUpstream struct {
 	address     string
 	connections atomic.Int64
 }
 
-func play(t *testing.T, handle func(conn net.Conn, in *bufio.Reader)) *script {
+func startScripted(t *testing.T, handle func(conn net.Conn, in *bufio.Reader)) *scriptedUpstream {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &script{address: listener.Addr().String()}
+	s := &scriptedUpstream{address: listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -49,8 +49,8 @@
 	return s
 }
 
-// next reads one request and returns its id and body, or false at the end.
-func next(in *bufio.Reader) (id string, body []byte, ok bool) {
+// readRequest reads one request and returns its id and body. ok is false at the end.
+func readRequest(in *bufio.Reader) (id string, body []byte, ok bool) {
 	request, err := http.ReadRequest(in)
 	if err != nil {
 		return "", nil, false
@@ -59,7 +59,7 @@
 	return request.Header.Get(idField), body, err == nil
 }
 
-func answer(conn net.Conn, id, body string) {
+func writeAnswer(conn net.Conn, id, body string) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+idField+": "+id+"\r\nContent-Length: "+
 		strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
@@ -71,16 +71,16 @@
 	return c
 }
 
-func request(id string, body []byte) upstream.Request {
+func newRequest(id string, body []byte) upstream.Request {
 	return upstream.Request{
 		ID: fleet.RequestID(id), Method: http.MethodPost, URI: "/a?b=c", Host: "orders.example",
 		Header: http.Header{idField: {id}}, Body: body,
 	}
 }
 
-func ask(t *testing.T, c *upstream.Client, address, id string) (string, error) {
+func exchangeBody(t *testing.T, c *upstream.Client, address, id string) (string, error) {
 	t.Helper()
-	got, err := c.Do(t.Context(), address, request(id, []byte("body of "+id)))
+	got, err := c.Do(t.Context(), address, newRequest(id, []byte("body of "+id)))
 	if err != nil {
 		return "", err
 	}
@@ -89,105 +89,101 @@
 	return string(body), err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	t.Parallel()
-	s := play(t, func(conn net.Conn, in *bufio.Reader) {
+	s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
 		for {
-			id, body, ok := next(in)
+			id, body, ok := readRequest(in)
 			if !ok {
 				return
 			}
-			answer(conn, id, "re: "+string(body))
+			writeAnswer(conn, id, "re: "+string(body))
 		}
 	})
 	c := newClient(t)
 	for _, id := range []string{"1", "2", "3"} {
-		got, err := ask(t, c, s.address, id)
+		got, err := exchangeBody(t, c, s.address, id)
 		require.NoError(t, err)
 		require.Equal(t, "re: body of "+id, got)
 	}
 	require.Equal(t, int64(1), s.connections.Load())
 }
 
-// An upstream sends a second answer to a request after the connection was
-// already kept, so it lies where the answer to the next request is expected.
-// Taken for that one, a caller would be given another caller's order.
-func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
+// Guards against giving a caller another caller's answer: an upstream answers a request a second
+// time on a pooled connection, where the next request's answer is expected.
+func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	t.Parallel()
-	s := play(t, func(conn net.Conn, in *bufio.Reader) {
-		first, _, _ := next(in)
-		answer(conn, first, "first")
-		second, _, ok := next(in)
+	s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
+		first, _, _ := readRequest(in)
+		writeAnswer(conn, first, "first")
+		second, _, ok := readRequest(in)
 		if !ok {
 			return
 		}
-		answer(conn, first, "first again")
-		answer(conn, second, "second")
+		writeAnswer(conn, first, "first again")
+		writeAnswer(conn, second, "second")
 	})
 	c := newClient(t)
-	got, err := ask(t, c, s.address, "1")
+	got, err := exchangeBody(t, c, s.address, "1")
 	require.NoError(t, err)
 	require.Equal(t, "first", got)
-	got, err = ask(t, c, s.address, "2")
+	got, err = exchangeBody(t, c, s.address, "2")
 	require.NoError(t, err)
 	require.Equal(t, "second", got)
 }
 
-// The second answer has already arrived when the connection would be used
-// again. It is given up, and the next request goes on a new connection.
+// A connection on which a second answer has already arrived is closed, and the next request uses a
+// new one.
 func TestConnectionWithLeftOverBytesIsNotUsed(t *testing.T) {
 	t.Parallel()
-	s := play(t, func(conn net.Conn, in *bufio.Reader) {
-		id, _, _ := next(in)
-		answer(conn, id, "one")
-		answer(conn, id, "two")
-		_, _, _ = next(in)
+	s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
+		id, _, _ := readRequest(in)
+		writeAnswer(conn, id, "one")
+		writeAnswer(conn, id, "two")
+		_, _, _ = readRequest(in)
 	})
 	c := newClient(t)
-	_, err := ask(t, c, s.address, "1")
+	_, err := exchangeBody(t, c, s.address, "1")
 	require.NoError(t, err)
 	time.Sleep(20 * time.Millisecond)
-	got, err := ask(t, c, s.address, "2")
+	got, err := exchangeBody(t, c, s.address, "2")
 	require.NoError(t, err)
 	require.Equal(t, "one", got)
 	require.Equal(t, int64(2), s.connections.Load())
 }
 
-// An upstream closes an idle connection. A request that is sent on it is lost,
-// and if it must not run twice its caller can't be helped; so the close is
-// noticed before anything is sent.
+// Guards against sending a request on an idle connection that the upstream has closed. It would be
+// lost, and couldn't be retried if it must not run twice.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	t.Parallel()
-	s := play(t, func(conn net.Conn, in *bufio.Reader) {
-		id, _, _ := next(in)
-		answer(conn, id, "ok")
+	s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
+		id, _, _ := readRequest(in)
+		writeAnswer(conn, id, "ok")
 	})
 	c := newClient(t)
 	for _, id := range []string{"1", "2"} {
-		_, err := ask(t, c, s.address, id)
+		_, err := exchangeBody(t, c, s.address, id)
 		require.NoError(t, err)
 		time.Sleep(20 * time.Millisecond)
 	}
 	require.Equal(t, int64(2), s.connections.Load())
 }
 
-// Nothing listens at the address. No byte has left, so the caller may be told
-// that its request wasn't run.
+// When nothing listens at the address, no byte was sent and the request is known not to have run.
 func TestRefusedConnectionHasSentNothing(t *testing.T) {
 	t.Parallel()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	_, err = ask(t, newClient(t), address, "1")
+	_, err = exchangeBody(t, newClient(t), address, "1")
 	var failed *upstream.Error
 	require.ErrorAs(t, err, &failed)
 	require.False(t, failed.Sent)
 }
 
-// An upstream reads a request and resets the connection, or answers with bytes
-// that are no answer, or only with a part of one. It may have run the request.
-func TestBrokenAnswersMayHaveRun(t *testing.T) {
+// After a broken, invalid or incomplete answer the upstream may have run the request.
+func TestBrokenAnswerCountsAsSent(t *testing.T) {
 	t.Parallel()
 	cases := map[string]string{
 		"nothing":         "",
@@ -200,11 +196,11 @@
 	for name, bytes := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := play(t, func(conn net.Conn, in *bufio.Reader) {
-				_, _, _ = next(in)
+			s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
+				_, _, _ = readRequest(in)
 				_, _ = io.WriteString(conn, bytes)
 			})
-			_, err := ask(t, newClient(t), s.address, "1")
+			_, err := exchangeBody(t, newClient(t), s.address, "1")
 			var failed *upstream.Error
 			require.ErrorAs(t, err, &failed)
 			require.True(t, failed.Sent)
@@ -212,20 +208,20 @@
 	}
 }
 
-// An answer without a length ends with its connection. One whose connection is
-// reset on the way isn't whole, and must not look so.
-func TestAnswerWithoutLengthIsWholeOnlyAfterACleanEnd(t *testing.T) {
+// An answer without a length ends with its connection. If the connection was reset instead of
+// closed, the answer must not look complete.
+func TestAnswerWithoutLengthIsCompleteOnlyAfterACleanEnd(t *testing.T) {
 	t.Parallel()
 	for _, clean := range []bool{true, false} {
-		s := play(t, func(conn net.Conn, in *bufio.Reader) {
-			_, _, _ = next(in)
+		s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
+			_, _, _ = readRequest(in)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nhalf")
 			if !clean {
 				time.Sleep(20 * time.Millisecond)
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
 		})
-		got, err := ask(t, newClient(t), s.address, "1")
+		got, err := exchangeBody(t, newClient(t), s.address, "1")
 		if clean {
 			require.NoError(t, err)
 			require.Equal(t, "half", got)
@@ -235,44 +231,45 @@
 	}
 }
 
-// An upstream answers a long request before it has read all of it, keeps the
-// connection and reads on. The rest of the body has to come, not the next request.
+// An upstream may answer a long request before it has read all of it, and read on. The rest of the
+// body must follow before the next request.
 func TestEarlyAnswerIsFollowedByTheRestOfTheBody(t *testing.T) {
 	t.Parallel()
 	long := bytes.Repeat([]byte("x"), 3<<20)
 	bodies := make(chan int, 2)
-	s := play(t, func(conn net.Conn, in *bufio.Reader) {
+	s := startScripted(t, func(conn net.Conn, in *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
 			id := request.Header.Get(idField)
-			answer(conn, id, "early")
+			writeAnswer(conn, id, "early")
 			time.Sleep(50 * time.Millisecond)
 			body, _ := io.ReadAll(request.Body)
 			bodies <- len(body)
 		}
 	})
 	c := newClient(t)
-	got, err := c.Do(t.Context(), s.address, request("1", long))
+	got, err := c.Do(t.Context(), s.address, newRequest("1", long))
 	require.NoError(t, err)
 	body, err := io.ReadAll(got.Body)
 	require.NoError(t, err)
 	require.Equal(t, "early", string(body))
 	require.Equal(t, len(long), <-bodies)
-	got, err = c.Do(t.Context(), s.address, request("2", []byte("short")))
+	got, err = c.Do(t.Context(), s.address, newRequest("2", []byte("short")))
 	require.NoError(t, err)
 	defer got.Body.Close()
 	require.Equal(t, 5, <-bodies)
 }
 
-// A caller leaves. The upstream sees its connection close at once, and stops.
+// When a caller disconnects, its connection to the upstream is closed at once, so that the upstream
+// stops.
 func TestCancelClosesTheConnection(t *testing.T) {
 	t.Parallel()
 	read, closed := make(chan struct{}), make(chan struct{})
-	s := play(t, func(_ net.Conn, in *bufio.Reader) {
-		_, _, _ = next(in)
+	s := startScripted(t, func(_ net.Conn, in *bufio.Reader) {
+		_, _, _ = readRequest(in)
 		close(read)
 		_, _ = in.ReadByte()
 		close(closed)
@@ -283,24 +280,24 @@
 		<-read
 		cancel(left)
 	}()
-	_, err := newClient(t).Do(ctx, s.address, request("1", nil))
+	_, err := newClient(t).Do(ctx, s.address, newRequest("1", nil))
 	require.ErrorIs(t, err, left)
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the upstream was not told")
+		t.Fatal("the upstream's connection was not closed")
 	}
 }
 
-// A caller leaves while the connection to its upstream is being opened. The cause
-// is the caller's leaving and not a connection that failed, or the upstream would
-// be held to be dead; and nothing was sent.
-func TestCancelWhileConnectingTellsTheCause(t *testing.T) {
+// When a caller disconnects while the upstream connection is being opened, the error's cause is the
+// disconnect and not a failed connection, or the upstream would be taken for dead. Nothing was
+// sent.
+func TestCancelWhileConnectingReturnsTheCause(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancelCause(t.Context())
 	left := errors.New("left")
 	cancel(left)
-	_, err := newClient(t).Do(ctx, "127.0.0.1:1", request("1", nil))
+	_, err := newClient(t).Do(ctx, "127.0.0.1:1", newRequest("1", nil))
 	require.ErrorIs(t, err, left)
 	var failed *upstream.Error
 	require.ErrorAs(t, err, &failed)
