--- a/stream/event.go
+++ b/stream/event.go
@@ -1,10 +1,9 @@
-// Package stream reads a model engine's streamed answer event by event and
-// joins it again where a connection broke off.
+// Package stream reads a model engine's server-sent events and resumes a stream after its
+// connection broke off.
 //
-// An event is passed on only when it has arrived whole, ids rise by one, and
-// what is read from a second connection has to name the same stream and begin
-// with the very next id. So nothing is lost, doubled or taken from another
-// stream; where that can't be had, Relay fails instead of guessing.
+// Only complete events are passed on, ids rise by one, and a further connection must name the same
+// stream and begin with the next id. So no event is lost, duplicated or taken from another stream;
+// where that can't be ensured, Relay fails.
 package stream
 
 import (
@@ -18,81 +17,80 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxEvent bounds one event, in bytes. A token is a few bytes, its JSON a few
-// hundred; an engine that sends more is at fault.
+// MaxEvent is the maximum size of an event in bytes. A token is a few bytes and its JSON a few
+// hundred; a larger event is an engine's fault.
 const MaxEvent = 256 << 10
 
-// EventID orders the events of one stream, from 1 upward.
+// EventID is the number of an event in its stream, from 1.
 type EventID uint64
 
 // Event is one server-sent event.
 type Event struct {
 	// ID is zero for a comment or an event without an id.
 	ID EventID
-	// Raw is the event as it arrived, with the blank line that ends it. It is
-	// valid until the next read.
+	// Raw is the event as it arrived, including the blank line that ends it. It is valid until the
+	// next call of Next.
 	Raw []byte
-	// Data is the value of its data field, the lines joined by newlines.
+	// Data is the value of the data fields, joined by newlines.
 	Data []byte
 }
 
-// Last reports whether the event ends a chat completion.
+// Last reports whether the event is the end marker of a chat completion.
 func (e Event) Last() bool { return bytes.Equal(e.Data, []byte("[DONE]")) }
 
-// Reader reads events.
+// Reader parses a stream of server-sent events.
 type Reader struct {
-	in  *bufio.Reader
-	raw []byte
+	in    *bufio.Reader
+	event []byte
 }
 
-// NewReader returns a Reader of an answer's body.
+// NewReader returns a Reader of the body of an answer.
 func NewReader(body io.Reader) *Reader { return &Reader{in: bufio.NewReader(body)} }
 
-// ErrPartial is the error of a stream that ended within an event.
+// ErrPartial is the error of a stream that ends within an event.
 var ErrPartial = eris.New("stream ended within an event")
 
-// TooLargeError is the error of an event over MaxEvent.
+// TooLargeError is the error of an event larger than MaxEvent.
 type TooLargeError struct{ Size int }
 
-// Error names the size.
+// Error states the maximum size.
 func (e *TooLargeError) Error() string { return fmt.Sprintf("event of more than %d bytes", e.Size) }
 
-// Next returns the next whole event. It fails with io.EOF at the end between
-// events, ErrPartial at an end within one, *TooLargeError, or the error of the
-// body. The bytes of an event that is not whole are never returned.
+// Next returns the next complete event. Its error is io.EOF at an end between events, ErrPartial at
+// an end within one, *TooLargeError, *IDError or the error of the body. The bytes of an incomplete
+// event are never returned.
 func (r *Reader) Next() (Event, error) {
-	r.raw = r.raw[:0]
+	r.event = r.event[:0]
 	for {
-		start := len(r.raw)
-		if err := r.line(); err != nil {
+		start := len(r.event)
+		if err := r.readLine(); err != nil {
 			return Event{}, err
 		}
-		blank := len(bytes.TrimRight(r.raw[start:], "\r\n")) == 0
+		blank := len(bytes.TrimRight(r.event[start:], "\r\n")) == 0
 		if blank && start > 0 {
-			return parse(r.raw)
+			return parse(r.event)
 		}
 	}
 }
 
-// More reports whether another whole event is in the buffer, so that what is
-// written need not be flushed yet.
+// More reports whether another complete event is buffered, so that output needn't be flushed yet.
 func (r *Reader) More() bool {
 	waiting, err := r.in.Peek(r.in.Buffered())
 	return err == nil && (bytes.Contains(waiting, []byte("\n\n")) || bytes.Contains(waiting, []byte("\n\r\n")))
 }
 
-// line appends the next line with its end to raw.
-func (r *Reader) line() error {
+// readLine appends the next line, including its end, to the event.
+func (r *Reader) readLine() error {
 	for {
 		part, err := r.in.ReadSlice('\n')
-		r.raw = append(r.raw, part...)
+		r.event = append(r.event, part...)
 		switch {
-		case len(r.raw) > MaxEvent:
+		case len(r.event) > MaxEvent:
 			return &TooLargeError{Size: MaxEvent}
 		case err == nil:
 			return nil
 		case errors.Is(err, bufio.ErrBufferFull):
-		case errors.Is(err, io.EOF) && len(r.raw) > 0:
+		case errors.Is(err, io.EOF) && len(r.event) > 0:
 			return ErrPartial
 		default:
 			return err
@@ -114,14 +112,14 @@
 			}
 			event.ID = EventID(id)
 		case "data":
-			event.Data = join(event.Data, value)
+			event.Data = appendLine(event.Data, value)
 		}
 	}
 	return event, nil
 }
 
-// join keeps the usual event of one data line free of a copy.
-func join(data, value []byte) []byte {
+// appendLine adds a line of data to an event. The usual single line is not copied.
+func appendLine(data, value []byte) []byte {
 	if data == nil {
 		return value
 	}
@@ -129,18 +127,18 @@
 	return append(joined, value...)
 }
 
-// IDError is the error of an event whose id is no number from 1 upward.
+// IDError is the error of an event whose id is not a positive integer.
 type IDError struct{ Found string }
 
 // Error quotes the id.
 func (e *IDError) Error() string {
-	return fmt.Sprintf("event id %q is no number from 1 upward", e.Found)
+	return fmt.Sprintf("event id %q is not a positive integer", e.Found)
 }
 
-// OrderError is the error of an event that does not follow the one before.
+// OrderError is the error of an event whose id doesn't follow the previous one.
 type OrderError struct{ Expected, Found EventID }
 
-// Error names both ids.
+// Error states both ids.
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("event %d arrived where %d was due", e.Found, e.Expected)
+	return fmt.Sprintf("event %d arrived where %d was expected", e.Found, e.Expected)
 }
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -10,34 +10,33 @@
 
 // Connection is an open answer of an engine.
 type Connection struct {
-	// Stream is the stream's id as the engine names it in its answer.
+	// Stream is the stream id that the engine states in its answer.
 	Stream string
 	Body   io.ReadCloser
 }
 
-// Source opens a stream again after the event with id after. It fails with
-// *GoneError when the engine no longer has the stream, and with another error
-// when another try may help.
+// Source reopens a stream after the event with id after. The error is *GoneError when the engine no
+// longer has the stream; after any other error a retry may help.
 type Source interface {
 	Resume(ctx context.Context, after EventID) (*Connection, error)
 }
 
-// Sink takes whole events, in order. More is true when another event is at
-// hand, so that a flush may wait for it. An error ends the relay.
+// Sink receives complete events in order. If more is true, another event follows at once and a
+// flush can wait for it. An error ends the relay.
 type Sink interface {
 	Event(event Event, more bool) error
 }
 
-// Relay passes one stream on, over as many connections as it takes.
+// Relay passes one stream on, over as many connections as needed.
 type Relay struct {
-	// Stream is the id that each connection has to name.
+	// Stream is the id that each connection must state.
 	Stream string
 	// After is the id of the last event that the caller has.
 	After EventID
-	// Source opens further connections; nil when a broken stream is final.
+	// Source opens further connections; nil if the stream can't be resumed.
 	Source Source
-	// Again decides whether another connection is tried after a break, and
-	// waits as long as that should take.
+	// Again decides whether to reconnect after an error. It waits for as long as the retry should
+	// be delayed.
 	Again func(ctx context.Context, cause error) bool
 
 	finished bool
@@ -49,33 +48,31 @@
 // Error names the stream.
 func (e *GoneError) Error() string { return "the engine has no stream " + e.Stream }
 
-// SpliceError is the error of a connection that carries another stream than
-// the one asked for.
+// SpliceError is the error of a connection that carries another stream than the requested one.
 type SpliceError struct{ Expected, Found string }
 
 // Error names both streams.
 func (e *SpliceError) Error() string {
-	return "asked for stream " + e.Expected + ", was given " + e.Found
+	return "requested stream " + e.Expected + ", received " + e.Found
 }
 
-// SinkError is the error of a caller that takes no more events.
+// SinkError is the error of a caller that accepts no more events.
 type SinkError struct{ Cause error }
 
-// Error gives the cause.
+// Error returns the cause's text.
 func (e *SinkError) Error() string { return "caller: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *SinkError) Unwrap() error { return e.Cause }
 
-// Run passes events from connection to sink until the event that ends the
-// answer, and resumes after each break for as long as Again says so. It
-// returns nil after the last event, *SinkError, *OrderError, *SpliceError,
-// *IDError, *TooLargeError or *GoneError, which a further try can't mend, or
-// the error of the last break. It closes every connection.
+// Run passes events from connection to sink until the last one, and resumes after each break while
+// Again returns true. It returns nil after the last event; *SinkError, *OrderError, *SpliceError,
+// *IDError, *TooLargeError or *GoneError, after which a retry can't help; or the error of the last
+// break. It closes every connection.
 func (r *Relay) Run(ctx context.Context, connection *Connection, sink Sink) error {
 	for {
-		err := r.pass(connection, sink)
-		if err == nil || final(err) {
+		err := r.relayConnection(connection, sink)
+		if err == nil || isFinal(err) {
 			return err
 		}
 		if connection, err = r.reconnect(ctx, err); err != nil {
@@ -84,10 +81,10 @@
 	}
 }
 
-// Open resumes the stream without a first connection.
+// Open resumes the stream without an initial connection.
 func (r *Relay) Open(ctx context.Context, sink Sink) error {
 	connection, err := r.Source.Resume(ctx, r.After)
-	if err != nil && !final(err) {
+	if err != nil && !isFinal(err) {
 		connection, err = r.reconnect(ctx, err)
 	}
 	if err != nil {
@@ -102,7 +99,7 @@
 		if err == nil {
 			return connection, nil
 		}
-		if final(err) {
+		if isFinal(err) {
 			return nil, err
 		}
 		cause = err
@@ -110,9 +107,9 @@
 	return nil, cause
 }
 
-// pass reads one connection to its end. It returns nil only after the event
-// that ends the answer.
-func (r *Relay) pass(connection *Connection, sink Sink) error {
+// relayConnection passes on the events of one connection. It returns nil only after the last event
+// of the stream.
+func (r *Relay) relayConnection(connection *Connection, sink Sink) error {
 	defer connection.Body.Close()
 	if connection.Stream != r.Stream {
 		return &SpliceError{Expected: r.Stream, Found: connection.Stream}
@@ -126,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.deliver(event, reader.More(), sink); err != nil {
+		if err := r.sendEvent(event, reader.More(), sink); err != nil {
 			return err
 		}
 		if r.finished {
@@ -135,32 +132,32 @@
 	}
 }
 
-// deliver checks the order before the event goes out. An engine that loses or
-// repeats an event over a resumption would otherwise leave the caller with a
-// sentence that lacks or doubles a word, and nothing to notice it by.
-func (r *Relay) deliver(event Event, more bool, sink Sink) error {
+// sendEvent checks the order of an event before it is passed on. Otherwise an engine that loses or
+// repeats an event when it resumes would leave the caller with missing or duplicated words that it
+// can't detect.
+func (r *Relay) sendEvent(event Event, more bool, sink Sink) error {
 	if event.ID == 0 && event.Data == nil {
-		return wrapSink(sink.Event(event, more))
+		return sinkError(sink.Event(event, more))
 	}
 	if event.ID != r.After+1 {
 		return &OrderError{Expected: r.After + 1, Found: event.ID}
 	}
 	if err := sink.Event(event, more); err != nil {
-		return wrapSink(err)
+		return sinkError(err)
 	}
 	r.After = event.ID
 	r.finished = event.Last()
 	return nil
 }
 
-func wrapSink(err error) error {
+func sinkError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return &SinkError{Cause: err}
 }
 
-func final(err error) bool {
+func isFinal(err error) bool {
 	var (
 		sink     *SinkError
 		order    *OrderError
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -16,55 +16,56 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// The same cases come in each run; -rapid.seed tries others.
+// A fixed seed makes the cases the same in each run; -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "7") }
 
-var errCut = errors.New("cut")
+var errBroken = errors.New("cut")
 
-// engine is a stream that is cut after so many bytes of each connection.
-type engine struct {
-	events []string
-	cuts   []int
-	// gone is true when the engine has forgotten the stream.
+// fakeEngine is a Source that cuts each connection after a number of bytes.
+type fakeEngine struct {
+	events     []string
+	cutOffsets []int
+	// gone is true when the engine no longer has the stream.
 	gone bool
 	name string
+	// skip shifts the event at which a resumed connection begins.
 	skip int
 }
 
-func (e *engine) open(after int) *stream.Connection {
+func (e *fakeEngine) open(after int) *stream.Connection {
 	text := strings.Join(e.events[min(after, len(e.events)):], "")
 	var body io.Reader = strings.NewReader(text)
-	if len(e.cuts) > 0 {
-		body = io.MultiReader(strings.NewReader(text[:min(e.cuts[0], len(text))]), iotest.ErrReader(errCut))
-		e.cuts = e.cuts[1:]
+	if len(e.cutOffsets) > 0 {
+		body = io.MultiReader(strings.NewReader(text[:min(e.cutOffsets[0], len(text))]), iotest.ErrReader(errBroken))
+		e.cutOffsets = e.cutOffsets[1:]
 	}
 	return &stream.Connection{Stream: e.name, Body: io.NopCloser(iotest.HalfReader(body))}
 }
 
-func (e *engine) Resume(_ context.Context, after stream.EventID) (*stream.Connection, error) {
+func (e *fakeEngine) Resume(_ context.Context, after stream.EventID) (*stream.Connection, error) {
 	if e.gone {
 		return nil, &stream.GoneError{Stream: "s"}
 	}
 	return e.open(int(after) + e.skip), nil
 }
 
-// caller takes events until it goes away after limit of them; zero is no limit.
-type caller struct {
+// recordingSink records events and fails after limit of them; zero means no limit.
+type recordingSink struct {
 	text  strings.Builder
 	count int
 	limit int
 }
 
-func (c *caller) Event(event stream.Event, _ bool) error {
-	if c.limit > 0 && c.count == c.limit {
-		return errCut
+func (s *recordingSink) Event(event stream.Event, _ bool) error {
+	if s.limit > 0 && s.count == s.limit {
+		return errBroken
 	}
-	c.count++
-	c.text.Write(event.Raw)
+	s.count++
+	s.text.Write(event.Raw)
 	return nil
 }
 
-func events(n int) []string {
+func eventTexts(n int) []string {
 	out := make([]string, 0, n)
 	for id := 1; id < n; id++ {
 		out = append(out, fmt.Sprintf("id: %d\ndata: {\"t\":\"%s\"}\n\n", id, strings.Repeat("x", id%5)))
@@ -72,63 +73,62 @@
 	return append(out, fmt.Sprintf("id: %d\ndata: [DONE]\n\n", n))
 }
 
-func relay(e *engine) *stream.Relay {
+func newRelay(e *fakeEngine) *stream.Relay {
 	return &stream.Relay{Stream: "s", Source: e, Again: func(context.Context, error) bool { return true }}
 }
 
-// An engine's connection breaks at any byte, again and again. The caller has
-// to get each event once, in order, byte for byte as if nothing had happened.
+// Wherever the connection breaks, and however often, the caller gets each event once, in order and
+// byte for byte.
 func TestRelayLosesAndDoublesNothing(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		all := events(rapid.IntRange(1, 20).Draw(t, "events"))
-		e := &engine{events: all, name: "s", cuts: rapid.SliceOfN(rapid.IntRange(0, 200), 0, 8).Draw(t, "cuts")}
-		got := &caller{}
+		all := eventTexts(rapid.IntRange(1, 20).Draw(t, "events"))
+		e := &fakeEngine{events: all, name: "s", cutOffsets: rapid.SliceOfN(rapid.IntRange(0, 200), 0, 8).Draw(t, "cuts")}
+		got := &recordingSink{}
 
-		require.NoError(t, relay(e).Run(context.Background(), e.open(0), got))
+		require.NoError(t, newRelay(e).Run(context.Background(), e.open(0), got))
 
 		require.Equal(t, strings.Join(all, ""), got.text.String())
 	})
 }
 
-// What comes from a resumed connection may be another caller's stream, or
-// begin too late or too early. A caller would read a stranger's answer, or a
-// sentence with a hole. The relay has to end instead.
-func TestRelayRefusesToSplice(t *testing.T) {
+// Guards against a resumed connection that carries another caller's stream, or begins too late or
+// too early. The relay must fail, or the caller would read a stranger's answer or miss words.
+func TestRelayRejectsAnotherStreamAndWrongIDs(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		spoil func(e *engine)
+		spoil func(e *fakeEngine)
 		want  any
 	}{
-		"other stream": {func(e *engine) { e.name = "other" }, new(*stream.SpliceError)},
-		"unnamed":      {func(e *engine) { e.name = "" }, new(*stream.SpliceError)},
-		"hole":         {func(e *engine) { e.skip = 1 }, new(*stream.OrderError)},
-		"repeat":       {func(e *engine) { e.skip = -1 }, new(*stream.OrderError)},
-		"gone":         {func(e *engine) { e.gone = true }, new(*stream.GoneError)},
+		"other stream": {func(e *fakeEngine) { e.name = "other" }, new(*stream.SpliceError)},
+		"unnamed":      {func(e *fakeEngine) { e.name = "" }, new(*stream.SpliceError)},
+		"hole":         {func(e *fakeEngine) { e.skip = 1 }, new(*stream.OrderError)},
+		"repeat":       {func(e *fakeEngine) { e.skip = -1 }, new(*stream.OrderError)},
+		"gone":         {func(e *fakeEngine) { e.gone = true }, new(*stream.GoneError)},
 	} {
-		e := &engine{events: events(9), name: "s", cuts: []int{60}}
+		e := &fakeEngine{events: eventTexts(9), name: "s", cutOffsets: []int{60}}
 		first := e.open(0)
 		c.spoil(e)
-		got := &caller{}
+		got := &recordingSink{}
 
-		err := relay(e).Run(t.Context(), first, got)
+		err := newRelay(e).Run(t.Context(), first, got)
 
 		require.ErrorAs(t, err, c.want, name)
-		require.Equal(t, strings.Join(events(9)[:got.count], ""), got.text.String(), name)
+		require.Equal(t, strings.Join(eventTexts(9)[:got.count], ""), got.text.String(), name)
 		require.Positive(t, got.count, name)
 	}
 }
 
 func TestRelayEndsWhenTheCallerIsGone(t *testing.T) {
 	t.Parallel()
-	e := &engine{events: events(9), name: "s"}
-	r := relay(e)
+	e := &fakeEngine{events: eventTexts(9), name: "s"}
+	r := newRelay(e)
 	var gone *stream.SinkError
-	require.ErrorAs(t, r.Run(t.Context(), e.open(0), &caller{limit: 3}), &gone)
+	require.ErrorAs(t, r.Run(t.Context(), e.open(0), &recordingSink{limit: 3}), &gone)
 	require.Equal(t, stream.EventID(3), r.After)
 }
 
-func TestReaderReadsTheFormsOfEvents(t *testing.T) {
+func TestReaderParsesEvents(t *testing.T) {
 	t.Parallel()
 	in := ": hello\n\nid:1\r\ndata: a\r\ndata: b\r\n\r\nid: 2\nevent: x\ndata: [DONE]\n\nid: 3\ndata: cut"
 	reader := stream.NewReader(strings.NewReader(in))
--- a/stream/usage.go
+++ b/stream/usage.go
@@ -5,18 +5,18 @@
 	"encoding/json"
 )
 
-// Usage is what an engine says that an answer took.
+// Usage is the token usage that an engine reports for an answer.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 }
 
-var usageField = []byte(`"usage"`)
+var usageKey = []byte(`"usage"`)
 
-// ReadUsage returns the usage in a chat completion or in a chunk of one, and
-// false when it holds none. It parses only what mentions a usage.
+// ReadUsage returns the usage in a chat completion or a chunk of one. It returns false when there
+// is none. Data that doesn't contain the key is not parsed.
 func ReadUsage(data []byte) (Usage, bool) {
-	if !bytes.Contains(data, usageField) {
+	if !bytes.Contains(data, usageKey) {
 		return Usage{}, false
 	}
 	var holder struct {
