--- a/socket/arrived_linux.go
+++ b/socket/arrived_linux.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Arrived reports whether the next read on a connection would return at once: with bytes,
-// the other side's end, or a reset. Unlike Pending it may be called beside a read.
+// Arrived reports whether the next read on a connection would return at once, with data, the end of
+// the connection or a reset. Unlike Pending it may be called during a read.
 func Arrived(raw syscall.RawConn) bool {
 	arrived := false
 	err := raw.Control(func(fd uintptr) {
--- a/socket/arrived_other.go
+++ b/socket/arrived_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Arrived reports false: it isn't known on this system.
+// Arrived always returns false: this system has no check without reading.
 func Arrived(syscall.RawConn) bool { return false }
--- a/socket/ended_linux.go
+++ b/socket/ended_linux.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Ended reports whether the other side has closed a connection and all that it sent was
-// read, or has reset it. It reads nothing, doesn't wait, and may be called beside a read.
+// Ended reports whether the peer has closed a connection and everything that it sent was read, or
+// has reset it. It doesn't read or block, and may be called during a read.
 func Ended(raw syscall.RawConn) bool {
 	ended := false
 	err := raw.Control(func(fd uintptr) {
--- a/socket/ended_other.go
+++ b/socket/ended_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Ended reports false where it can't be told without reading.
+// Ended always returns false: this system has no check without reading.
 func Ended(syscall.RawConn) bool { return false }
--- a/socket/pending_linux.go
+++ b/socket/pending_linux.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Pending reports whether something has arrived on an idle connection: bytes,
-// the other side's end or a reset. It reads nothing and doesn't wait.
+// Pending reports whether anything has arrived on an idle connection: data, its end or a reset. It
+// doesn't read or block.
 func Pending(raw syscall.RawConn) bool {
 	pending := true
 	err := raw.Read(func(fd uintptr) bool {
@@ -17,8 +17,8 @@
 	return err != nil || pending
 }
 
-// peek looks for the next byte without reading it. It returns how many there are, zero
-// once the other side has ended, and EAGAIN while nothing has arrived.
+// peek checks for the next byte without reading it. It returns 1 if there is one, 0 if the peer has
+// closed the connection, and EAGAIN if nothing has arrived.
 func peek(fd uintptr) (int, error) {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/socket/pending_other.go
+++ b/socket/pending_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Pending reports false where it can't be told without reading.
+// Pending always returns false: this system has no check without reading.
 func Pending(syscall.RawConn) bool { return false }
--- a/socket/silence_linux.go
+++ b/socket/silence_linux.go
@@ -1,5 +1,4 @@
-// Package socket sets the options of connections that the standard library has no
-// method for.
+// Package socket sets socket options and queries socket states that package net doesn't offer.
 package socket
 
 import (
@@ -10,10 +9,10 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7).
 const tcpUserTimeout = 0x12
 
-// BoundSilence makes the system give a connection up when what was sent on it
-// is not acknowledged for so long. Without it a request that a partition
-// swallows is sent again by TCP for a quarter of an hour, and its caller waits
-// until the deadline; keep-alive probes don't help while bytes are on the way.
+// BoundSilence makes the system close a connection whose sent data stays unacknowledged for this
+// long. Without it TCP resends a request that is lost in a network partition for a quarter of an
+// hour, while its caller waits until the deadline; keep-alive probes aren't sent while data is
+// unacknowledged.
 func BoundSilence(raw syscall.RawConn, silence time.Duration) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
--- a/socket/silence_other.go
+++ b/socket/silence_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// BoundSilence leaves the system's own bound where there is no such option.
+// BoundSilence does nothing: this system has no such option and keeps its own limit.
 func BoundSilence(syscall.RawConn, time.Duration) error { return nil }
--- a/socket/waiting_linux.go
+++ b/socket/waiting_linux.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Waiting reports whether a connection waits to be accepted by a listener.
+// Waiting reports whether a listener has a connection to accept.
 func Waiting(raw syscall.RawConn) bool {
 	waiting := false
 	err := raw.Control(func(fd uintptr) {
--- a/socket/waiting_other.go
+++ b/socket/waiting_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Waiting reports false: it isn't known on this system.
+// Waiting always returns false: this system has no check.
 func Waiting(syscall.RawConn) bool { return false }
