--- a/timer/fake.go
+++ b/timer/fake.go
@@ -5,82 +5,81 @@
 	"time"
 )
 
-// Fake is a Service whose time moves only by Advance. Its zero value starts
-// at the zero time.
+// Fake is a Service whose time is moved only by Advance. Its zero value starts at the zero time.
 type Fake struct {
-	mu   sync.Mutex
-	now  time.Time
-	subs []*fakeSubscription
+	mu            sync.Mutex
+	now           time.Time
+	subscriptions []*fakeSubscription
 }
 
-// NewFake returns a Fake whose time is start.
+// NewFake returns a Fake that starts at a time.
 func NewFake(start time.Time) *Fake { return &Fake{now: start} }
 
 type fakeSubscription struct {
-	owner    *Fake
-	next     time.Time
-	interval time.Duration
-	fn       func(now time.Time)
-	dead     bool
+	fake      *Fake
+	due       time.Time
+	interval  time.Duration
+	fn        func(now time.Time)
+	cancelled bool
 }
 
-// Now returns the time that Advance has reached.
+// Now returns the time set by Advance.
 func (f *Fake) Now() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now
 }
 
-// Every subscribes fn. Advance calls it on the caller's goroutine.
+// Every subscribes fn to repeated calls, which Advance makes on its caller's goroutine.
 func (f *Fake) Every(interval time.Duration, fn func(now time.Time)) Subscription {
-	return f.add(interval, interval, fn)
+	return f.subscribe(interval, interval, fn)
 }
 
-// After subscribes fn for one call. Advance makes it on the caller's goroutine.
+// After subscribes fn to a single call, which Advance makes on its caller's goroutine.
 func (f *Fake) After(delay time.Duration, fn func(now time.Time)) Subscription {
-	return f.add(delay, 0, fn)
+	return f.subscribe(delay, 0, fn)
 }
 
-func (f *Fake) add(delay, interval time.Duration, fn func(now time.Time)) Subscription {
+func (f *Fake) subscribe(delay, interval time.Duration, fn func(now time.Time)) Subscription {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := &fakeSubscription{owner: f, next: f.now.Add(delay), interval: interval, fn: fn}
-	f.subs = append(f.subs, s)
+	s := &fakeSubscription{fake: f, due: f.now.Add(delay), interval: interval, fn: fn}
+	f.subscriptions = append(f.subscriptions, s)
 	return s
 }
 
 func (s *fakeSubscription) Cancel() {
-	s.owner.mu.Lock()
-	defer s.owner.mu.Unlock()
-	s.dead = true
+	s.fake.mu.Lock()
+	defer s.fake.mu.Unlock()
+	s.cancelled = true
 }
 
-// Advance moves the time forward by d and calls each subscriber that falls due
-// on the way, in the order of time and then of subscription.
+// Advance moves the time forward by d and calls the subscribers that become due, in order of time
+// and then of subscription.
 func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	end := f.now.Add(d)
 	f.mu.Unlock()
-	for f.step(end) {
+	for f.callNext(end) {
 	}
 	f.mu.Lock()
 	f.now = end
 	f.mu.Unlock()
 }
 
-// step calls the next subscriber that is due by end and reports whether there was one.
-func (f *Fake) step(end time.Time) bool {
+// callNext calls the next subscriber that is due by end. It returns false if there is none.
+func (f *Fake) callNext(end time.Time) bool {
 	f.mu.Lock()
-	due := f.earliest(end)
+	due := f.nextDue(end)
 	if due == nil {
 		f.mu.Unlock()
 		return false
 	}
-	f.now = due.next
+	f.now = due.due
 	if due.interval > 0 {
-		due.next = due.next.Add(due.interval)
+		due.due = due.due.Add(due.interval)
 	} else {
-		due.dead = true
+		due.cancelled = true
 	}
 	now, fn := f.now, due.fn
 	f.mu.Unlock()
@@ -88,21 +87,21 @@
 	return true
 }
 
-func (f *Fake) earliest(end time.Time) *fakeSubscription {
+func (f *Fake) nextDue(end time.Time) *fakeSubscription {
 	var due *fakeSubscription
-	alive := f.subs[:0]
-	for _, s := range f.subs {
-		if s.dead {
+	alive := f.subscriptions[:0]
+	for _, s := range f.subscriptions {
+		if s.cancelled {
 			continue
 		}
 		alive = append(alive, s)
-		if s.next.After(end) {
+		if s.due.After(end) {
 			continue
 		}
-		if due == nil || s.next.Before(due.next) {
+		if due == nil || s.due.Before(due.due) {
 			due = s
 		}
 	}
-	f.subs = alive
+	f.subscriptions = alive
 	return due
 }
--- a/timer/fake_test.go
+++ b/timer/fake_test.go
@@ -9,7 +9,7 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-func TestFakeCallsInOrderOfTime(t *testing.T) {
+func TestFakeCallsSubscribersInOrderOfTime(t *testing.T) {
 	t.Parallel()
 	var calls []string
 	fake := timer.NewFake(time.Unix(0, 0))
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,5 +1,4 @@
-// Package timer gives the parts of a router one source of time that they
-// subscribe to, so that a test can move time by hand.
+// Package timer is the clock of a router's parts. Tests replace it by one that they move by hand.
 package timer
 
 import (
@@ -7,42 +6,40 @@
 	"time"
 )
 
-// Service tells the time and calls its subscribers.
+// Service tells the time and calls functions at set times.
 type Service interface {
 	// Now returns the current time.
 	Now() time.Time
-	// Every calls fn each time that interval has passed, until the returned
-	// subscription is cancelled. Calls of one subscription never overlap.
+	// Every calls fn each time that interval has passed, until the returned subscription is
+	// cancelled. Calls of one subscription never overlap.
 	Every(interval time.Duration, fn func(now time.Time)) Subscription
-	// After calls fn once when delay has passed, unless the returned
-	// subscription is cancelled before.
+	// After calls fn once after delay, unless the returned subscription is cancelled before.
 	After(delay time.Duration, fn func(now time.Time)) Subscription
 }
 
-// Subscription ends a subscription to a Service.
+// Subscription stops the calls of a Service.
 type Subscription interface {
-	// Cancel ends the subscription. It returns without waiting for a call
-	// that is under way, and may be called more than once.
+	// Cancel ends the subscription. It doesn't wait for a call that is running, and may be called
+	// more than once.
 	Cancel()
 }
 
-// System is the Service of the machine's clock. Its zero value works.
+// System is a Service that uses the system clock. Its zero value is ready to use.
 type System struct{}
 
-// Now returns the machine's time.
+// Now returns the system time.
 func (System) Now() time.Time { return time.Now() }
 
-// Every calls fn on a goroutine of its own, once per interval. A tick that
-// comes while fn still runs is dropped.
+// Every calls fn on a new goroutine, once per interval. A tick is dropped if fn is still running.
 func (System) Every(interval time.Duration, fn func(now time.Time)) Subscription {
 	s := &systemSubscription{done: make(chan struct{})}
 	go s.loop(interval, fn)
 	return s
 }
 
-// After calls fn on a goroutine of its own.
+// After calls fn on a new goroutine.
 func (System) After(delay time.Duration, fn func(now time.Time)) Subscription {
-	return stopper{time.AfterFunc(delay, func() { fn(time.Now()) })}
+	return timerSubscription{time.AfterFunc(delay, func() { fn(time.Now()) })}
 }
 
 type systemSubscription struct {
@@ -65,6 +62,6 @@
 
 func (s *systemSubscription) Cancel() { s.once.Do(func() { close(s.done) }) }
 
-type stopper struct{ timer *time.Timer }
+type timerSubscription struct{ timer *time.Timer }
 
-func (s stopper) Cancel() { s.timer.Stop() }
+func (s timerSubscription) Cancel() { s.timer.Stop() }
