--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,51 +1,51 @@
-// Package fleet holds the named types that the other packages share: ids,
-// numbers and units. It imports nothing of the project.
+// Package fleet defines the named types that the other packages share: ids, numbers and units. It
+// imports no other package of the project.
 package fleet
 
 import "time"
 
-// AccountID names a client account.
+// AccountID identifies a client account.
 type AccountID string
 
-// ServiceID names a model or a plain application.
+// ServiceID identifies a model or a plain application.
 type ServiceID string
 
-// Kind tells models from plain services, as release notes spell it.
+// Kind is the kind of a service, spelt as in release notes.
 type Kind string
 
 // The kinds of services.
 const (
-	// Model is a model that is called by chat completions.
+	// Model is a model that is called with chat completions.
 	Model Kind = "model"
-	// Plain is a plain application that HTTP calls are passed on to.
+	// Plain is an application that plain HTTP requests are forwarded to.
 	Plain Kind = "plain"
 )
 
-// UpstreamID names a back end of one service.
+// UpstreamID identifies a back end of a service.
 type UpstreamID string
 
-// RouterID names a router of the fleet.
+// RouterID identifies a router of the fleet.
 type RouterID string
 
-// DataCenterID names a data centre.
+// DataCenterID identifies a data centre.
 type DataCenterID string
 
-// RequestID names one caller's request. Every answer carries it.
+// RequestID identifies a caller's request. Every answer carries it.
 type RequestID string
 
-// Number stands for an account, a service or an upstream in control
-// messages. A release note assigns it once and it is never reused.
+// Number identifies an account, a service or an upstream in control messages. A release note
+// assigns it, and it is never reused.
 type Number uint32
 
-// Version counts accepted release notes. Zero means that none is held.
+// Version is the number of a release note, counted in the order of acceptance. Zero means none.
 type Version uint64
 
-// Tokens is an amount of service in weighted tokens: a thousandth-weighted sum
-// of input and output tokens, or the declared cost of a plain call.
+// Tokens is an amount of service in weighted tokens: a sum of input and output tokens with weights
+// in thousandths, or the declared cost of a plain call.
 type Tokens int64
 
-// Incarnation orders the starts of one router. It is the wall clock at the
-// start, in milliseconds since 1970.
+// Incarnation orders the starts of one router. It is the wall-clock time of the start in
+// milliseconds since 1970.
 type Incarnation int64
 
 // IncarnationAt returns the incarnation of a router that starts at t.
