--- a/timer/fake.go
+++ b/timer/fake.go
@@ -70,25 +70,25 @@
 // callNext calls the next subscriber that is due by end. It returns false if there is none.
 func (f *Fake) callNext(end time.Time) bool {
 	f.mu.Lock()
-	due := f.nextDue(end)
-	if due == nil {
+	next := f.nextDue(end)
+	if next == nil {
 		f.mu.Unlock()
 		return false
 	}
-	f.now = due.due
-	if due.interval > 0 {
-		due.due = due.due.Add(due.interval)
+	f.now = next.due
+	if next.interval > 0 {
+		next.due = next.due.Add(next.interval)
 	} else {
-		due.cancelled = true
+		next.cancelled = true
 	}
-	now, fn := f.now, due.fn
+	now, fn := f.now, next.fn
 	f.mu.Unlock()
 	fn(now)
 	return true
 }
 
 func (f *Fake) nextDue(end time.Time) *fakeSubscription {
-	var due *fakeSubscription
+	var next *fakeSubscription
 	alive := f.subscriptions[:0]
 	for _, s := range f.subscriptions {
 		if s.cancelled {
@@ -98,10 +98,10 @@
 		if s.due.After(end) {
 			continue
 		}
-		if due == nil || s.due.Before(due.due) {
-			due = s
+		if next == nil || s.due.Before(next.due) {
+			next = s
 		}
 	}
 	f.subscriptions = alive
-	return due
+	return next
 }
