--- a/turn/account.go
+++ b/turn/account.go
@@ -7,44 +7,45 @@
 	"nutmeglock.example/nutmeglock/rate"
 )
 
-// serviceWindow is how long service counts against an account. The users compare
-// what accounts get second by second, so what one was served before the others
-// came is no reason to let it wait: an account that had been alone would get a
-// fraction of what the next one gets for as long as the window lasts.
+// serviceWindow is the time constant over which an account's past service decays. Users
+// compare accounts second by second. With a longer window, an account that was served alone
+// would get only a fraction of a newcomer's service for the rest of the window.
 const serviceWindow = time.Second
 
-// account is what is known of one account at one service.
+// account is the state of one account at one service.
 type account struct {
-	key Key
-	own rate.Recent
-	// denied is the tokens of its requests that were refused here.
-	denied rate.Recent
-	// shed is the tokens of those that a router refused before it asked.
+	key        Key
+	servedHere rate.Recent
+	// refused counts the tokens of its requests that this pool refused.
+	refused rate.Recent
+	// shed counts the tokens of its requests that a router refused before calling Ask.
 	shed rate.Recent
-	// elsewhere is how it stands at the other routers.
-	elsewhere Standing
-	queue     []*Ticket
-	// waiting is the tokens of what is in the queue.
-	waiting int
+	// remote is the account's usage at all other routers.
+	remote Standing
+	queue  []*Ticket
+	// waitingTokens is the number of prompt tokens in queue.
+	waitingTokens int
 }
 
 func (a *account) served(now time.Time) float64 {
-	return a.own.At(now, serviceWindow) + a.elsewhere.Served
+	return a.servedHere.At(now, serviceWindow) + a.remote.Served
 }
 
-// total returns how the account stands at all routers.
-func (a *account) total(now time.Time) Standing { return a.standing(now).add(a.elsewhere) }
+// totalUsage returns the account's usage at all routers.
+func (a *account) totalUsage(now time.Time) Standing { return a.localUsage(now).add(a.remote) }
 
-// standing returns how the account stands at this router.
-func (a *account) standing(now time.Time) Standing {
+// localUsage returns the account's usage at this router.
+func (a *account) localUsage(now time.Time) Standing {
 	return Standing{
-		Served: a.own.At(now, serviceWindow), Waiting: a.waiting,
-		Denied: a.denied.At(now, serviceWindow), Shed: a.shed.At(now, serviceWindow),
+		Served: a.servedHere.At(now, serviceWindow), Waiting: a.waitingTokens,
+		Denied: a.refused.At(now, serviceWindow), Shed: a.shed.At(now, serviceWindow),
 	}
 }
 
-// deny notes that a request of the account was refused here.
-func (a *account) deny(now time.Time, d *Demand) { a.denied.Add(now, serviceWindow, d.cost()) }
+// recordRefused records that this pool refused a request of the account.
+func (a *account) recordRefused(now time.Time, d *Demand) {
+	a.refused.Add(now, serviceWindow, d.cost())
+}
 
 func (p *Pool) account(id fleet.AccountID) *account {
 	a := p.accounts[id]
@@ -55,63 +56,63 @@
 		p.accounts = make(map[fleet.AccountID]*account)
 	}
 	a = &account{key: KeyOf(id)}
-	a.elsewhere = p.elsewhere[a.key]
-	if p.keys == nil {
-		p.keys = make(map[Key]bool)
+	a.remote = p.remoteUsage[a.key]
+	if p.localKeys == nil {
+		p.localKeys = make(map[Key]bool)
 	}
-	p.keys[a.key] = true
+	p.localKeys[a.key] = true
 	p.accounts[id] = a
 	return a
 }
 
 const (
-	// evenService is service that makes no difference between accounts, in
-	// tokens: that of a few requests, since one is given whole or not at all.
-	evenService = 50_000
-	// Of the work that an upstream may have unread, an account that was served
-	// its share while others lack something may use shareDepth, one that was served
-	// less up to mostDepth, and one that was served twice its share excessDepth less,
-	// down to leastDepth. With a larger shareDepth first events come later.
-	shareDepth  = 0.6
-	mostDepth   = 1.5
-	excessDepth = 3
-	leastDepth  = 0.1
-	// fullPressure is the part of what is asked that isn't served from which
-	// shareDepth holds. Below it, as on a quiet day on which a large account lacks
-	// something for a moment, there is less need to leave room.
+	// serviceTolerance is the difference in service, in tokens, that is too small to
+	// matter: a few requests, since a request is served either whole or not at all.
+	serviceTolerance = 50_000
+	// The backlog factor is backlogAtShare for an account that received its fair share
+	// while others have unmet demand, at most maxBacklogFactor for one that received less,
+	// backlogSlope lower for one that received twice its share, and never below
+	// minBacklogFactor. A larger backlogAtShare delays first events.
+	backlogAtShare   = 0.6
+	maxBacklogFactor = 1.5
+	backlogSlope     = 3
+	minBacklogFactor = 0.1
+	// fullPressure is the unserved part of the demand from which backlogAtShare applies in
+	// full. At lower pressure, for example when a large account briefly has unmet demand on
+	// a quiet day, less room has to be kept free.
 	fullPressure = 0.25
 )
 
-// depth returns the part of the usual unread work up to which an account's
+// backlogFactor returns the part of the usual prefill backlog up to which an account's
 // requests may start.
 //
-// It answers accounts whose requests arrive at different routers. Each router
-// sees room at an engine when one of its own prompts was read, and would give it
-// to its own next request, whoever waits elsewhere: an account whose router
-// holds the room keeps it. Those that were served more than their share stop
-// earlier, so that the room is there for the others when their routers look.
-func depth(served, share, pressure float64) float64 {
-	ratio := (served + evenService) / (share + evenService)
-	atShare := mostDepth - (mostDepth-shareDepth)*min(pressure/fullPressure, 1)
-	return min(max(atShare-excessDepth*(ratio-1), leastDepth), mostDepth)
+// It keeps service fair between accounts whose requests arrive at different routers. A
+// router learns of free room at an engine when one of its own prompts has been read, and
+// would give it to its own next request, so an account would keep the room that its router
+// found. Accounts above their fair share therefore stop earlier and leave the room to other
+// routers.
+func backlogFactor(served, fairShare, pressure float64) float64 {
+	ratio := (served + serviceTolerance) / (fairShare + serviceTolerance)
+	atShare := maxBacklogFactor - (maxBacklogFactor-backlogAtShare)*min(pressure/fullPressure, 1)
+	return min(max(atShare-backlogSlope*(ratio-1), minBacklogFactor), maxBacklogFactor)
 }
 
-// Of the patience that a demand has, an account that was served less than its
-// share may use up to mostPatience times as much, and one that was served more less,
-// down to leastPatience.
+// The patience of a demand is multiplied by up to maxPatienceFactor for an account that was
+// served less than its fair share, and by as little as minPatienceFactor for one served
+// more.
 const (
-	mostPatience  = 1.5
-	leastPatience = 0.67
-	// idlePatience lets a request outlast idleGrace: on a quiet day one of an
-	// account that was served more would be refused beside an idle engine.
-	idlePatience = 110 * time.Millisecond
+	maxPatienceFactor = 1.5
+	minPatienceFactor = 0.67
+	// minPatience is longer than idleGrace. Otherwise a request of an account above its
+	// share would be refused on a quiet day although an engine is idle.
+	minPatience = 110 * time.Millisecond
 )
 
-// patience returns how long a demand may wait. Accounts that were served less
-// wait longer before they are refused, so that their turn comes; what those that
-// were served more would wait for is given to others meanwhile.
-func patience(claims claims, standing Standing, d *Demand) time.Duration {
-	part := depth(standing.Served, claims.share(standing.lacks()), claims.pressure)
-	patience := time.Duration(min(max(part, leastPatience), mostPatience) * float64(d.Patience))
-	return max(patience, min(d.Patience, idlePatience))
+// patience returns how long a demand may wait. Accounts served less wait longer before they
+// are refused, so that they get a turn; the room that accounts served more would wait for
+// goes to others meanwhile.
+func patience(shares fairShares, usage Standing, d *Demand) time.Duration {
+	factor := backlogFactor(usage.Served, shares.fairShare(usage.hasUnmetDemand()), shares.pressure)
+	patience := time.Duration(min(max(factor, minPatienceFactor), maxPatienceFactor) * float64(d.Patience))
+	return max(patience, min(d.Patience, minPatience))
 }
--- a/turn/engine.go
+++ b/turn/engine.go
@@ -6,92 +6,93 @@
 	"nutmeglock.example/nutmeglock/registry"
 )
 
-// cacheMemory is how long a beginning counts as cached after a request with it
-// was sent. Engines drop what was not used for longest, and hold some minutes'
-// worth of distinct beginnings.
-const cacheMemory = time.Minute
+// cacheTTL is how long a prompt prefix counts as cached after a request with it was sent.
+// Engines evict the least recently used prefix and hold a few minutes' worth of distinct
+// prefixes.
+const cacheTTL = time.Minute
 
-// maxCached bounds the beginnings that are remembered for one upstream; at some
-// 40 bytes each that is 160 KB.
-const maxCached = 4096
+// maxCachedPrefixes bounds the prefixes remembered per upstream; at about 40 bytes each
+// they take 160 KB.
+const maxCachedPrefixes = 4096
 
-// maxNews bounds the beginnings in one report, and newsAge is when one that is
-// used again is told again.
+// maxReportedPrefixes bounds the prefixes in one report. A prefix in use is reported again
+// after prefixReportInterval.
 const (
-	maxNews = 64
-	newsAge = 5 * time.Second
+	maxReportedPrefixes  = 64
+	prefixReportInterval = 5 * time.Second
 )
 
-// engine is what is known of one upstream.
+// engine is this router's view of one upstream.
 type engine struct {
 	upstream registry.Upstream
 	instance Instance
 	key      Key
-	// group is the number of its group.
+	// group is the index of its group.
 	group int
-	// unread and inFlight are those of this router's requests, waiting the
-	// tokens of those that wait here for this upstream first of all.
-	unread   int
-	inFlight int
-	waiting  int
-	// busy is when it was last known to have something to read.
-	busy time.Time
-	// others is the sum of what the other routers told.
-	others Load
-	cached map[uint64]time.Time
-	// news are the shared beginnings that were sent since the last report.
-	news []uint64
+	// pendingPrefill (in tokens) and inFlight count requests that this router sent;
+	// waitingTokens counts requests queued here that prefer this upstream.
+	pendingPrefill int
+	inFlight       int
+	waitingTokens  int
+	// lastBusy is when it was last known to have prompts to read.
+	lastBusy time.Time
+	// remote is the sum of the other routers' reports.
+	remote   Load
+	cachedAt map[uint64]time.Time
+	// unreportedPrefixes are the shared prefixes sent since the last report.
+	unreportedPrefixes []uint64
 }
 
-// fleetUnread returns the prompt tokens that were sent and not yet read.
-func (e *engine) fleetUnread() int { return e.unread + e.others.Unread }
+// fleetPendingPrefill returns the prompt tokens that all routers sent and that are not yet
+// read.
+func (e *engine) fleetPendingPrefill() int { return e.pendingPrefill + e.remote.Unread }
 
-// fleetInFlight returns the requests in flight.
-func (e *engine) fleetInFlight() int { return e.inFlight + e.others.InFlight }
+// fleetInFlight returns the requests that all routers have in flight.
+func (e *engine) fleetInFlight() int { return e.inFlight + e.remote.InFlight }
 
-// held returns how many tokens of a prompt are probably cached.
-func (e *engine) held(now time.Time, d *Demand) int {
+// cachedTokens returns how many tokens of a prompt are probably cached.
+func (e *engine) cachedTokens(now time.Time, d *Demand) int {
 	for i := len(d.Beginnings) - 1; i >= 0; i-- {
-		at, known := e.cached[d.Beginnings[i].Hash]
-		if known && now.Sub(at) < cacheMemory {
+		at, known := e.cachedAt[d.Beginnings[i].Hash]
+		if known && now.Sub(at) < cacheTTL {
 			return d.Beginnings[i].Tokens
 		}
 	}
 	return 0
 }
 
-// remember notes that the upstream will have a prompt in its cache.
-func (e *engine) remember(now time.Time, d *Demand) {
+// recordPrompt records that the upstream will have a prompt in its cache.
+func (e *engine) recordPrompt(now time.Time, d *Demand) {
 	for i, b := range d.Beginnings {
 		isShared := i < len(d.Beginnings)-1 || i == 0
-		if isShared && len(e.news) < maxNews && now.Sub(e.cached[b.Hash]) > newsAge {
-			e.news = append(e.news, b.Hash)
+		if isShared && len(e.unreportedPrefixes) < maxReportedPrefixes && now.Sub(e.cachedAt[b.Hash]) > prefixReportInterval {
+			e.unreportedPrefixes = append(e.unreportedPrefixes, b.Hash)
 		}
-		e.learn(now, []uint64{b.Hash})
+		e.recordCached(now, []uint64{b.Hash})
 	}
 }
 
-// learn notes beginnings that the upstream has or will have in its cache.
-func (e *engine) learn(now time.Time, hashes []uint64) {
-	if len(hashes) > 0 && e.cached == nil {
-		e.cached = make(map[uint64]time.Time)
+// recordCached records prefixes that the upstream has, or will soon have, in its cache.
+func (e *engine) recordCached(now time.Time, hashes []uint64) {
+	if len(hashes) > 0 && e.cachedAt == nil {
+		e.cachedAt = make(map[uint64]time.Time)
 	}
-	if len(e.cached) >= maxCached {
-		e.forgetOldest(now)
+	if len(e.cachedAt) >= maxCachedPrefixes {
+		e.evictOldest(now)
 	}
 	for _, hash := range hashes {
-		e.cached[hash] = now
+		e.cachedAt[hash] = now
 	}
 }
 
-// forgetOldest drops the older half of what is remembered.
-func (e *engine) forgetOldest(now time.Time) {
-	age := cacheMemory
-	for len(e.cached) > maxCached/2 {
+// evictOldest drops at least the older half of the remembered prefixes.
+func (e *engine) evictOldest(now time.Time) {
+	age := cacheTTL
+	for len(e.cachedAt) > maxCachedPrefixes/2 {
 		age /= 2
-		for hash, at := range e.cached {
+		for hash, at := range e.cachedAt {
 			if now.Sub(at) >= age {
-				delete(e.cached, hash)
+				delete(e.cachedAt, hash)
 			}
 		}
 	}
--- a/turn/fair_test.go
+++ b/turn/fair_test.go
@@ -10,33 +10,33 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// sixRouters is a load of twice what twelve engines can read: one account floods at
-// all routers, three at one router each, and small ones ask now and then.
-func sixRouters(seed uint64) modelLoad {
-	load := modelLoad{
-		routers: 6, engines: 12, speed: 157, target: 500 * time.Millisecond, length: 14 * time.Second,
-		reports: 50 * time.Millisecond, shared: 400, seed: seed,
+// sixRouterConfig is twice the load that twelve engines can read: one account floods all
+// six routers, three flood one router each, and small ones send a few requests.
+func sixRouterConfig(seed uint64) simConfig {
+	config := simConfig{
+		routers: 6, engines: 12, prefillSpeed: 157, target: 500 * time.Millisecond, duration: 14 * time.Second,
+		reportInterval: 50 * time.Millisecond, prefixes: 400, seed: seed,
 	}
-	all := []int{0, 1, 2, 3, 4, 5}
-	load.accounts = append(load.accounts, modelAccount{id: "everywhere", rate: 900, routers: all})
+	allRouters := []int{0, 1, 2, 3, 4, 5}
+	config.accounts = append(config.accounts, simAccount{id: "everywhere", rate: 900, routers: allRouters})
 	for i := range 3 {
-		load.accounts = append(load.accounts, modelAccount{id: fleet.AccountID(fmt.Sprintf("single-%d", i)), rate: 150, routers: []int{i}})
+		config.accounts = append(config.accounts, simAccount{id: fleet.AccountID(fmt.Sprintf("single-%d", i)), rate: 150, routers: []int{i}})
 	}
 	for i := range 10 {
-		load.accounts = append(load.accounts, modelAccount{id: fleet.AccountID(fmt.Sprintf("small-%d", i)), rate: 12, routers: all})
+		config.accounts = append(config.accounts, simAccount{id: fleet.AccountID(fmt.Sprintf("small-%d", i)), rate: 12, routers: allRouters})
 	}
-	return load
+	return config
 }
 
-// Several accounts ask for more than they can get. One of them asks at all
-// routers, the others at one router each, and small accounts are refused now and
-// then. An account that sits at one router is told that it gets its share of what
-// the engines do; it must not get a third of what the one at all routers gets.
+// Several accounts ask for more than they can get: one at all routers, the others at one
+// router each, while small accounts are refused now and then. Guards against an account at
+// one router that gets a third of what the account at all routers gets, although it is
+// entitled to the same service.
 func TestAccountAtOneRouterGetsItsShare(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
-		m := play(sixRouters(seed))
-		part, who, when := m.least()
-		require.Greater(t, part, 0.75, "%s from second %d, seed %d", who, when, seed)
+		sim := simulate(sixRouterConfig(seed))
+		share, account, second := sim.lowestShare()
+		require.Greater(t, share, 0.75, "%s from second %d, seed %d", account, second, seed)
 	}
 }
--- a/turn/group.go
+++ b/turn/group.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// enginesPerGroup is how many engines at least a group has on the mean. A
-// beginning has two owners in one group, and with six few groups have but one
-// engine; with more in a group, fewer routers share the work of giving turns.
-const enginesPerGroup = 6
+// minEnginesPerGroup is the minimum mean number of engines per group. A prefix has two
+// owners in one group; with a mean of six, few groups have only one engine. Larger groups
+// would leave fewer routers to share the work of scheduling.
+const minEnginesPerGroup = 6
 
-// SetGrouped says whether the engines are parted into groups, and a request goes
-// to one group only, so that for each group another router can give the turns.
+// SetGrouped sets whether engines are divided into groups. Each request then belongs to one
+// group only, so that a different router can schedule each group.
 func (p *Pool) SetGrouped(now time.Time, grouped bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -17,41 +17,40 @@
 	}
 	p.grouped = grouped
 	p.generation++
-	p.orders = nil
-	// Routers report no more once others give the turns. What they had told last
-	// would count for ever.
-	p.heard = nil
-	p.sumOthers(now)
+	p.orderCache = nil
+	// Routers stop reporting once homes schedule for them, so their last reports would
+	// never be replaced.
+	p.reports = nil
+	p.sumReports(now)
 	p.reassign(now)
 }
 
-// Group returns the number of the group that a demand belongs to. It is false
-// when demands of the service belong to all upstreams alike.
+// Group returns the index of the group that a demand belongs to, and false when the
+// service's demands may go to any upstream.
 func (p *Pool) Group(d *Demand) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.placement().Choices() == 0 {
 		return 0, false
 	}
-	order := p.ordered(d)
+	order := p.preferenceOrder(d)
 	if len(order) == 0 {
 		return 0, false
 	}
 	return order[0].group, true
 }
 
-// Groups returns how many groups of engines requests belong to, zero when they belong to
-// all upstreams alike.
+// Groups returns the number of engine groups, or zero when requests may go to any upstream.
 func (p *Pool) Groups() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.grouped || p.placement().Choices() == 0 {
 		return 0
 	}
-	return p.groups
+	return p.groupCount
 }
 
-// Has reports whether a life of an upstream takes requests.
+// Has reports whether the pool contains this instance of an upstream.
 func (p *Pool) Has(instance Instance) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,14 +62,14 @@
 	return false
 }
 
-// setGroups parts the engines into groups. The number of groups is a power of two, so
-// that it changes seldom and then parts groups in two.
-func (p *Pool) setGroups() {
-	p.groups = 1
-	for p.groups*2*enginesPerGroup <= len(p.engines) {
-		p.groups *= 2
+// assignGroups divides the engines into groups. The number of groups is a power of two, so
+// that it rarely changes and each change splits or merges pairs of groups.
+func (p *Pool) assignGroups() {
+	p.groupCount = 1
+	for p.groupCount*2*minEnginesPerGroup <= len(p.engines) {
+		p.groupCount *= 2
 	}
 	for _, e := range p.engines {
-		e.group = int(e.key) % p.groups
+		e.group = int(e.key) % p.groupCount
 	}
 }
--- a/turn/hold.go
+++ b/turn/hold.go
@@ -9,84 +9,87 @@
 )
 
 const (
-	// mostRatio is how many times the service of an account that its router holds back
-	// another one may get. The users let nobody who waits get less than half of what
-	// another one gets.
-	mostRatio = 1.7
-	// keptRight is the part of its own share of the engines that an account may get whoever
-	// is held back: a router that does next to nothing must not stop a fleet.
-	keptRight = 0.25
-	// peakMemory is how long the engines are taken to be able to do what they did. Shares
-	// of what they do at the moment would fall with each request that is refused for the
-	// sake of another account, and make room for the next refusal.
+	// maxServiceRatio is how many times the service of an account throttled by its router
+	// another account may get. Users require that no waiting account gets less than half of
+	// what another one gets.
+	maxServiceRatio = 1.7
+	// guaranteedFraction is the part of its fair share that an account may always get, so
+	// that a router that serves next to nothing can't stop the fleet.
+	guaranteedFraction = 0.25
+	// peakMemory is the time constant over which the observed peak service decays. Shares
+	// of the current service would shrink with each request refused for another account's
+	// sake, which would cause further refusals.
 	peakMemory = 30 * time.Second
 )
 
-// Shed takes note of an account's requests that a router refused before it asked for
-// their turns, in tokens, since it has too much to do.
+// Shed records the tokens of an account's requests that an overloaded router refused before
+// it asked for their turns.
 //
-// The pattern is one account whose requests all come to one small router. What is passed on is
-// served, so that the account seems to lack nothing, and the others are given the rest:
-// its callers are refused while another account gets several times as much.
+// It covers an account whose requests all arrive at one small router. Whatever that router
+// passes on is served, so the account would seem to have no unmet demand, and the rest
+// would go to other accounts: its callers are refused while another account gets several
+// times as much.
 func (p *Pool) Shed(now time.Time, id fleet.AccountID, tokens float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.placement().Choices() == 0 {
-		return // only service by tokens is compared
+		return // service is compared only where it is measured in tokens
 	}
 	p.account(id).shed.Add(now, serviceWindow, tokens)
 }
 
-// wanted is what the account asked for, what its router refused by itself included.
-func (c claimant) wanted() float64 { return c.asked + c.shed }
+// offered returns the account's demand including what its router shed.
+func (d accountDemand) offered() float64 { return d.requested + d.shed }
 
-// isHeldBack reports whether its router refuses so much of what the account asks for that
-// others may get too much beside it.
-func (c claimant) isHeldBack() bool { return c.shed >= 1 && c.served+c.shed > mostRatio*c.served }
+// isThrottled reports whether the account's router sheds so many of its requests that other
+// accounts could get too much in comparison.
+func (d accountDemand) isThrottled() bool {
+	return d.shed >= 1 && d.served+d.shed > maxServiceRatio*d.served
+}
 
-// rightOf returns the level up to which all could be served by an amount if no router held
-// an account back.
-func rightOf(claimants []claimant, amount float64) float64 {
-	claimed := make([]float64, 0, len(claimants))
-	for _, c := range claimants {
-		claimed = append(claimed, c.wanted())
+// peakFairLevel returns the max-min fair level at which amount would be shared if no router
+// shed requests.
+func peakFairLevel(demands []accountDemand, amount float64) float64 {
+	claims := make([]float64, 0, len(demands))
+	for _, d := range demands {
+		claims = append(claims, d.offered())
 	}
-	return share.Level(claimed, amount)
+	return share.Level(claims, amount)
 }
 
-// bound returns the service up to which an account may get turns, infinite while no
-// account is held back that wants as much as it may get in any case.
-func (c claims) bound(of claimant) float64 {
-	kept := max(keptRight*min(c.right, of.wanted()), evenService)
-	bound := math.Inf(1)
-	for _, other := range c.heldBack {
-		if other.wanted() > kept {
-			bound = min(bound, max(mostRatio*other.served, kept))
+// serviceCap returns the service at which an account stops being served, infinite while no
+// throttled account offers more than the guaranteed service.
+func (s fairShares) serviceCap(demand accountDemand) float64 {
+	guaranteed := max(guaranteedFraction*min(s.peakLevel, demand.offered()), serviceTolerance)
+	limit := math.Inf(1)
+	for _, other := range s.throttled {
+		if other.offered() > guaranteed {
+			limit = min(limit, max(maxServiceRatio*other.served, guaranteed))
 		}
 	}
-	return bound
+	return limit
 }
 
-// isEnough reports whether an account got all that it may get beside those that are held
-// back.
-func (c claims) isEnough(now time.Time, a *account) bool {
-	if len(c.heldBack) == 0 {
+// isCapped reports whether an account has reached its service cap.
+func (s fairShares) isCapped(now time.Time, a *account) bool {
+	if len(s.throttled) == 0 {
 		return false
 	}
-	claimant := a.total(now).claimant()
-	return claimant.served >= c.bound(claimant)
+	demand := a.totalUsage(now).demand()
+	return demand.served >= s.serviceCap(demand)
 }
 
-// isBegun reports whether the request was sent before: its caller has a part of the answer,
-// or has waited for it, which would be lost if it didn't go on.
-func (d *Demand) isBegun() bool { return len(d.Tried) > 0 }
+// wasSent reports whether the request was sent before. Refusing it now would lose the part
+// of the answer that its caller has, or the time it has waited.
+func (d *Demand) wasSent() bool { return len(d.Tried) > 0 }
 
-// hold refuses a demand whose account got enough beside one that is held back. What is
-// refused beside an idle engine counts as done, on the mean of the peak's memory: without it
-// a fleet that starts beside a router that passes nothing on would stay at next to nothing.
-func (p *Pool) hold(now time.Time, d *Demand, best *engine) error {
-	if best.fleetUnread() == 0 {
-		p.most.Add(now, peakMemory, d.cost()*float64(serviceWindow)/float64(peakMemory))
+// refuseCapped refuses a demand of an account that has reached its service cap. A refusal
+// while the engine is idle raises the peak by the request's cost, averaged over peakMemory.
+// Without this, a fleet that starts next to a router that sheds everything would stay at
+// next to no service.
+func (p *Pool) refuseCapped(now time.Time, d *Demand, best *engine) error {
+	if best.fleetPendingPrefill() == 0 {
+		p.peakServed.Add(now, peakMemory, d.cost()*float64(serviceWindow)/float64(peakMemory))
 	}
-	return &RefusedError{Held: true, RetryAfter: leastRetryAfter}
+	return &RefusedError{Held: true, RetryAfter: minRetryAfter}
 }
--- a/turn/hold_test.go
+++ b/turn/hold_test.go
@@ -9,40 +9,40 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// servedBeside plays ten seconds in which an account asks for a request of some 20,000
-// tokens each 10 ms. In the second half another account gets some tokens a second, and its
-// router tells how many it refused. It returns how many requests the first one got in the
-// last two seconds.
-func servedBeside(got, refused float64) int {
+// servedNextToThrottled simulates ten seconds in which an account sends a request of about
+// 20,000 tokens every 10 ms. In the second half another account is served servedPerSecond
+// tokens, and its router sheds shedPerSecond. It returns how many requests of the first
+// account were served in the last two seconds.
+func servedNextToThrottled(servedPerSecond, shedPerSecond float64) int {
 	const step = 10 * time.Millisecond
-	p := pool(60)
+	p := newPool(60)
 	now := start
-	due, served := 0.0, 0
+	dueTokens, served := 0.0, 0
 	for i := range 1000 {
 		now = now.Add(step)
 		if i >= 500 {
-			p.Shed(now, "held-back", refused*step.Seconds())
-			due += got * step.Seconds()
+			p.Shed(now, "held-back", shedPerSecond*step.Seconds())
+			dueTokens += servedPerSecond * step.Seconds()
 		}
 		own := prompt("held-back", uint64(i%40), uint64(i)|1<<40, 10_000)
-		for size := turn.Cost(own.Input, own.Output); due >= size; due -= size {
-			run(p, now, own)
+		for size := turn.Cost(own.Input, own.Output); dueTokens >= size; dueTokens -= size {
+			runToEnd(p, now, own)
 		}
-		if run(p, now, prompt("asking", uint64(i%40), uint64(i)|1<<41, 10_000)) && i >= 800 {
+		if runToEnd(p, now, prompt("asking", uint64(i%40), uint64(i)|1<<41, 10_000)) && i >= 800 {
 			served++
 		}
 	}
 	return served
 }
 
-// run asks for a turn and ends it at once. It reports whether the turn was given.
-func run(p *turn.Pool, now time.Time, d turn.Demand) bool {
+// runToEnd asks for a turn and ends it at once. It reports whether the turn was granted.
+func runToEnd(p *turn.Pool, now time.Time, d turn.Demand) bool {
 	ticket, err := p.Ask(now, d)
 	if err != nil {
 		return false
 	}
-	if !started(ticket) {
-		_ = ticket.GiveUp(now) // it is refused either way
+	if !isGranted(ticket) {
+		_ = ticket.GiveUp(now) // the refusal doesn't matter here
 		return false
 	}
 	ticket.First(now)
@@ -50,9 +50,9 @@
 	return true
 }
 
-// Idle engines serve whoever asks, but nobody more than some 1.7 times what an account gets
-// that its router refuses most of the time.
-func TestServiceBesideAnAccountThatItsRouterHoldsBack(t *testing.T) {
+// Idle engines serve any account, but not more than about 1.7 times the service of an
+// account whose router refuses most of its requests.
+func TestServiceIsCappedNextToThrottledAccount(t *testing.T) {
 	t.Parallel()
 	const all = 200
 	for _, c := range []struct {
@@ -63,26 +63,27 @@
 		{"its router refuses nothing", 600_000, 0, all, all},
 		{"its router refuses a small part", 600_000, 200_000, all, all},
 		{"its router refuses most", 600_000, 4_000_000, 80, 120},
-		// A router that passes nothing on leaves the others a quarter of their share, here of
-		// two accounts that each ask for all that the engines did.
+		// A router that sheds everything leaves the others a quarter of their share; here
+		// two accounts each ask for the whole peak service.
 		{"its router refuses all", 0, 4_000_000, 20, 40},
-		// What it asked for is less than what others get in any case.
+		// It asks for less than the others get in any case.
 		{"it asks for little, and its router refuses all", 0, 30_000, all, all},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			served := servedBeside(c.got, c.refused)
+			served := servedNextToThrottled(c.got, c.refused)
 			require.GreaterOrEqual(t, served, c.least)
 			require.LessOrEqual(t, served, c.most)
 		})
 	}
 }
 
-// A stream broke off at its engine while its account had got enough beside one that is held
-// back. Its caller has a part of the answer, so it goes on elsewhere at once.
-func TestStreamThatBrokeOffGoesOnThoughItsAccountGotEnough(t *testing.T) {
+// Guards against a lost answer: a stream breaks off at its engine after its account has
+// reached its service cap. Its caller has a part of the answer, so the request must
+// continue elsewhere at once.
+func TestBrokenStreamContinuesAboveServiceCap(t *testing.T) {
 	t.Parallel()
-	p := pool(60)
+	p := newPool(60)
 	now := start
 	p.Shed(now, "held-back", 4_000_000)
 	var refused *turn.RefusedError
@@ -98,5 +99,5 @@
 	again.Tried = []turn.Instance{{ID: "e0", Life: 1}}
 	ticket, err := p.Ask(now, again)
 	require.NoError(t, err)
-	require.True(t, started(ticket))
+	require.True(t, isGranted(ticket))
 }
--- a/turn/load.go
+++ b/turn/load.go
@@ -8,21 +8,21 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// loadAge is how long another router's report counts. Routers report several
-// times a second while they have work; one that is silent for longer is cut off
-// or gone, and its requests end.
-const loadAge = 1500 * time.Millisecond
+// reportTTL is how long another router's report counts. Routers with work report several
+// times a second; one that is silent for longer is disconnected or gone, and its requests
+// end.
+const reportTTL = 1500 * time.Millisecond
 
-// Load is what one router has at one upstream.
+// Load is the load that one router puts on one upstream.
 type Load struct {
 	// Unread is the prompt tokens that were sent and not yet read.
 	Unread int
-	// InFlight is the requests in flight.
+	// InFlight is the number of requests in flight.
 	InFlight int
-	// Waiting is the tokens that wait at the router for a turn at this upstream.
+	// Waiting is the tokens queued at the router that prefer this upstream.
 	Waiting int
-	// Read are the beginnings that the router had the upstream read since its
-	// last report.
+	// Read lists the hashes of shared prefixes that the router sent to the upstream since
+	// its last report.
 	Read []uint64
 }
 
@@ -34,27 +34,27 @@
 	return Load{Unread: l.Unread + other.Unread, InFlight: l.InFlight + other.InFlight, Waiting: l.Waiting + other.Waiting}
 }
 
-// Key stands for the id of an upstream or an account in reports.
+// Key is a hash that stands for the ID of an upstream or an account in reports.
 type Key uint32
 
-// KeyOf returns the key of an id.
+// KeyOf returns the key of an ID.
 func KeyOf[K ~string](id K) Key { return Key(xxhash.Sum64String(string(id))) }
 
-// Standing is what one router tells of an account.
+// Standing is one account's usage at one router.
 type Standing struct {
-	// Served is its service at the router of late, in tokens.
+	// Served is the account's recent service, in tokens.
 	Served float64
-	// Waiting is the tokens of its requests that wait there.
+	// Waiting is the tokens of its queued requests.
 	Waiting int
-	// Denied is the tokens of its requests that were refused there of late.
+	// Denied is the tokens of its recently refused requests.
 	Denied float64
-	// Shed is the tokens of those that were refused there before they asked for a turn,
-	// since the router has too much to do.
+	// Shed is the tokens of requests that the overloaded router recently refused before it
+	// asked for their turns.
 	Shed float64
 }
 
-// lacks reports whether the account has work that isn't served.
-func (s Standing) lacks() bool { return s.Waiting > 0 || s.Denied >= 1 }
+// hasUnmetDemand reports whether some of the account's requests wait or were refused.
+func (s Standing) hasUnmetDemand() bool { return s.Waiting > 0 || s.Denied >= 1 }
 
 func (s Standing) add(other Standing) Standing {
 	return Standing{
@@ -63,19 +63,19 @@
 	}
 }
 
-// Report is what one router tells the others of a service.
+// Report is one router's state of a service, sent to the other routers.
 type Report struct {
 	Upstreams map[Key]Load
 	Accounts  map[Key]Standing
 }
 
-// heard is a Report with the time at which it came.
-type heard struct {
-	report Report
-	at     time.Time
+// receivedReport is a Report and the time of its arrival.
+type receivedReport struct {
+	report     Report
+	receivedAt time.Time
 }
 
-// Report returns what this router tells the others.
+// Report returns this router's report for the other routers.
 func (p *Pool) Report(now time.Time) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,71 +84,72 @@
 		Accounts:  make(map[Key]Standing, len(p.accounts)),
 	}
 	for _, e := range p.engines {
-		own := Load{Unread: e.unread, InFlight: e.inFlight, Waiting: e.waiting, Read: e.news}
-		e.news = nil
-		if !own.isEmpty() {
-			r.Upstreams[e.key] = own
+		load := Load{Unread: e.pendingPrefill, InFlight: e.inFlight, Waiting: e.waitingTokens, Read: e.unreportedPrefixes}
+		e.unreportedPrefixes = nil
+		if !load.isEmpty() {
+			r.Upstreams[e.key] = load
 		}
 	}
 	for _, a := range p.accounts {
-		own := a.standing(now)
-		if own.Served >= 1 || own.Shed >= 1 || own.lacks() {
-			r.Accounts[a.key] = own
+		usage := a.localUsage(now)
+		if usage.Served >= 1 || usage.Shed >= 1 || usage.hasUnmetDemand() {
+			r.Accounts[a.key] = usage
 		}
 	}
 	return r
 }
 
-// Observe takes another router's report, and starts what can be started now.
+// Observe applies another router's report and starts the waiting requests that now have
+// room.
 func (p *Pool) Observe(now time.Time, from fleet.RouterID, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.heard == nil {
-		p.heard = make(map[fleet.RouterID]heard)
+	if p.reports == nil {
+		p.reports = make(map[fleet.RouterID]receivedReport)
 	}
-	p.heard[from] = heard{report: r, at: now}
+	p.reports[from] = receivedReport{report: r, receivedAt: now}
 	for _, e := range p.engines {
-		e.learn(now, r.Upstreams[e.key].Read)
+		e.recordCached(now, r.Upstreams[e.key].Read)
 	}
-	p.sumOthers(now)
-	p.pump(now)
+	p.sumReports(now)
+	p.startWaiting(now)
 }
 
-// forgetOld drops reports that don't count any more. It is asked at each demand:
-// when all other routers are gone, no report comes that would displace theirs, and
-// what they had in flight would block the engines for ever.
-func (p *Pool) forgetOld(now time.Time) {
-	if len(p.heard) > 0 && now.Sub(p.oldest) >= loadAge {
-		p.sumOthers(now)
+// expireReports drops reports older than reportTTL. It runs for each demand: when all other
+// routers are gone, no new report replaces theirs, and the load in them would block the
+// engines for ever.
+func (p *Pool) expireReports(now time.Time) {
+	if len(p.reports) > 0 && now.Sub(p.oldestReport) >= reportTTL {
+		p.sumReports(now)
 	}
 }
 
-// sumOthers adds up the reports that are recent enough.
-func (p *Pool) sumOthers(now time.Time) {
-	p.oldest = now
+// sumReports drops expired reports and adds up the others.
+func (p *Pool) sumReports(now time.Time) {
+	p.oldestReport = now
 	for _, e := range p.engines {
-		e.others = Load{}
+		e.remote = Load{}
 	}
-	p.elsewhere = make(map[Key]Standing)
-	for from, h := range p.heard {
-		if now.Sub(h.at) >= loadAge {
-			delete(p.heard, from)
+	p.remoteUsage = make(map[Key]Standing)
+	for from, received := range p.reports {
+		if now.Sub(received.receivedAt) >= reportTTL {
+			delete(p.reports, from)
 			continue
 		}
-		if h.at.Before(p.oldest) {
-			p.oldest = h.at
+		if received.receivedAt.Before(p.oldestReport) {
+			p.oldestReport = received.receivedAt
 		}
 		for _, e := range p.engines {
-			e.others = e.others.add(h.report.Upstreams[e.key])
-			if e.others.Unread > 0 {
-				e.busy = now
+			e.remote = e.remote.add(received.report.Upstreams[e.key])
+			if e.remote.Unread > 0 {
+				e.lastBusy = now
 			}
 		}
-		for key, there := range h.report.Accounts {
-			p.elsewhere[key] = p.elsewhere[key].add(there)
+		for key, usage := range received.report.Accounts {
+			p.remoteUsage[key] = p.remoteUsage[key].add(usage)
 		}
 	}
 	for _, a := range p.accounts {
-		a.elsewhere = p.elsewhere[a.key]
+		a.remote = p.remoteUsage[a.key]
 	}
 }
--- a/turn/machine_test.go
+++ b/turn/machine_test.go
@@ -13,67 +13,67 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// machine is a pool whose upstreams all leave and return, change their lives, data centres and
-// slots, while tickets wait, move, are given up and end.
-type machine struct {
-	pool    turn.Pool
-	now     time.Time
-	list    []registry.Upstream
-	lives   [6]registry.Life
-	tickets []*tracked
-	own     uint64
+// poolMachine is a state machine of a pool whose upstreams are removed, added and changed
+// (instance, data centre, slots) while tickets wait, are reassigned, given up and ended.
+type poolMachine struct {
+	pool         turn.Pool
+	now          time.Time
+	upstreams    []registry.Upstream
+	incarnations [6]registry.Life
+	tickets      []*trackedTicket
+	lastPrompt   uint64
 }
 
-// tracked is a ticket with its demand.
-type tracked struct {
+// trackedTicket is a ticket and its demand.
+type trackedTicket struct {
 	*turn.Ticket
 	demand turn.Demand
-	// over is true once the ticket was given up, refused or ended.
-	over bool
+	// ended is true once the ticket was given up, refused or ended.
+	ended bool
 }
 
-func (k *tracked) isWaiting() bool { return !k.over && !started(k.Ticket) }
+func (t *trackedTicket) isWaiting() bool { return !t.ended && !isGranted(t.Ticket) }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *poolMachine) advance(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 }
 
-// set replaces the list by any part of the upstreams, none included.
-func (m *machine) set(t *rapid.T) {
-	m.pass(t)
-	present := rapid.IntRange(0, 1<<len(m.lives)-1).Draw(t, "present")
+// set replaces the list by any subset of the upstreams, including none.
+func (m *poolMachine) set(t *rapid.T) {
+	m.advance(t)
+	present := rapid.IntRange(0, 1<<len(m.incarnations)-1).Draw(t, "present")
 	if rapid.IntRange(0, 3).Draw(t, "empty") == 0 {
 		present = 0
 	}
-	m.list = nil
-	for i := range m.lives {
+	m.upstreams = nil
+	for i := range m.incarnations {
 		if rapid.IntRange(0, 9).Draw(t, "new life") == 0 {
-			m.lives[i]++
+			m.incarnations[i]++
 		}
 		if present&(1<<i) == 0 {
 			continue
 		}
-		m.list = append(m.list, registry.Upstream{
-			ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), Life: m.lives[i],
+		m.upstreams = append(m.upstreams, registry.Upstream{
+			ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), Life: m.incarnations[i],
 			Slots: rapid.IntRange(0, 3).Draw(t, "slots"), DataCenter: rapid.SampledFrom([]fleet.DataCenterID{"", "a", "b"}).Draw(t, "data centre"),
 		})
 	}
-	m.pool.Set(m.now, m.list, rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "target"))
+	m.pool.Set(m.now, m.upstreams, rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "target"))
 }
 
-func (m *machine) group(t *rapid.T) {
+func (m *poolMachine) setGrouped(t *rapid.T) {
 	m.pool.SetGrouped(m.now, rapid.Bool().Draw(t, "grouped"))
 }
 
-func (m *machine) ask(t *rapid.T) {
-	m.pass(t)
-	m.own++
-	d := prompt(rapid.SampledFrom([]fleet.AccountID{"a", "b", "c"}).Draw(t, "account"), rapid.Uint64Range(1, 4).Draw(t, "shared"), 100+m.own,
+func (m *poolMachine) ask(t *rapid.T) {
+	m.advance(t)
+	m.lastPrompt++
+	d := prompt(rapid.SampledFrom([]fleet.AccountID{"a", "b", "c"}).Draw(t, "account"), rapid.Uint64Range(1, 4).Draw(t, "shared"), 100+m.lastPrompt,
 		rapid.SampledFrom([]int{-10_000, 1_000, 200_000}).Draw(t, "tokens"))
 	d.Patience = rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "patience")
-	for i := range m.lives {
+	for i := range m.incarnations {
 		if rapid.IntRange(0, 5).Draw(t, "tried") == 0 {
-			d.Tried = append(d.Tried, turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Life: m.lives[i]})
+			d.Tried = append(d.Tried, turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Life: m.incarnations[i]})
 		}
 	}
 	ticket, err := m.pool.Ask(m.now, d)
@@ -83,47 +83,47 @@
 		require.Positive(t, refused.RetryAfter)
 		return
 	}
-	m.tickets = append(m.tickets, &tracked{Ticket: ticket, demand: d})
+	m.tickets = append(m.tickets, &trackedTicket{Ticket: ticket, demand: d})
 }
 
-// any returns one of the tickets, skipping the step if there are none.
-func (m *machine) any(t *rapid.T) *tracked {
+// drawTicket returns one of the tickets, or skips the step if there are none.
+func (m *poolMachine) drawTicket(t *rapid.T) *trackedTicket {
 	if len(m.tickets) == 0 {
 		t.Skip("no ticket")
 	}
 	return m.tickets[rapid.IntRange(0, len(m.tickets)-1).Draw(t, "ticket")]
 }
 
-// giveUp ends the wait of a ticket, also of one that has ended.
-func (m *machine) giveUp(t *rapid.T) {
-	m.pass(t)
-	ticket := m.any(t)
-	if started(ticket.Ticket) {
+// giveUp ends the wait of a ticket, including one that has already ended.
+func (m *poolMachine) giveUp(t *rapid.T) {
+	m.advance(t)
+	ticket := m.drawTicket(t)
+	if isGranted(ticket.Ticket) {
 		require.Nil(t, ticket.GiveUp(m.now))
 		return
 	}
 	refused := ticket.GiveUp(m.now)
 	require.NotNil(t, refused)
 	require.Positive(t, refused.RetryAfter)
-	ticket.over = true
+	ticket.ended = true
 }
 
-func (m *machine) first(t *rapid.T) {
-	m.pass(t)
-	m.any(t).First(m.now)
+func (m *poolMachine) first(t *rapid.T) {
+	m.advance(t)
+	m.drawTicket(t).First(m.now)
 }
 
-func (m *machine) end(t *rapid.T) {
-	m.pass(t)
-	ticket := m.any(t)
-	isGranted := started(ticket.Ticket)
+func (m *poolMachine) end(t *rapid.T) {
+	m.advance(t)
+	ticket := m.drawTicket(t)
+	granted := isGranted(ticket.Ticket)
 	ticket.End(m.now, turn.Outcome(rapid.IntRange(-1, 9).Draw(t, "outcome")))
-	ticket.over = ticket.over || isGranted
+	ticket.ended = ticket.ended || granted
 }
 
-// observe takes a report of another router, of any content.
-func (m *machine) observe(t *rapid.T) {
-	m.pass(t)
+// observe applies an arbitrary report of another router.
+func (m *poolMachine) observe(t *rapid.T) {
+	m.advance(t)
 	amount := rapid.SampledFrom([]int{0, 1, 5_000, 1 << 32, -5})
 	tokens := rapid.SampledFrom([]float64{0, 1, 1e6, 1e300, -1e300})
 	report := turn.Report{Upstreams: make(map[turn.Key]turn.Load), Accounts: make(map[turn.Key]turn.Standing)}
@@ -141,19 +141,20 @@
 	m.pool.Observe(m.now, rapid.SampledFrom([]fleet.RouterID{"r1", "r2"}).Draw(t, "router"), report)
 }
 
-func (m *machine) shed(t *rapid.T) {
+func (m *poolMachine) shed(t *rapid.T) {
 	m.pool.Shed(m.now, "a", rapid.SampledFrom([]float64{0, 1e4, 1e300}).Draw(t, "tokens"))
 }
 
-// check compares what the pool tells with the tickets, and that none waits for nothing.
-func (m *machine) check(t *rapid.T) {
+// check compares the pool's report with the tickets, and requires that each waiting ticket
+// has a usable upstream.
+func (m *poolMachine) check(t *rapid.T) {
 	waiting := 0
 	for _, ticket := range m.tickets {
 		select {
 		case refused := <-ticket.Refused():
 			require.True(t, refused.NoUpstream)
-			require.False(t, ticket.over, "refused after its end")
-			ticket.over = true
+			require.False(t, ticket.ended, "refused after its end")
+			ticket.ended = true
 		default:
 		}
 		if !ticket.isWaiting() {
@@ -167,15 +168,15 @@
 	for _, load := range report.Upstreams {
 		byUpstream += load.Waiting
 	}
-	for _, standing := range report.Accounts {
-		byAccount += standing.Waiting
+	for _, usage := range report.Accounts {
+		byAccount += usage.Waiting
 	}
 	require.Equal(t, waiting, byUpstream)
 	require.Equal(t, waiting, byAccount)
 }
 
-func (m *machine) hasUpstream(ticket *tracked) bool {
-	for _, u := range m.list {
+func (m *poolMachine) hasUpstream(ticket *trackedTicket) bool {
+	for _, u := range m.upstreams {
 		tried := false
 		for _, i := range ticket.demand.Tried {
 			tried = tried || i == turn.InstanceOf(u)
@@ -187,18 +188,18 @@
 	return false
 }
 
-// Guards against a process that ends, or a request that waits for nothing, because all
-// upstreams of a service leave, return and change while requests wait.
-func TestPoolOutlivesAnyChangeOfItsUpstreams(t *testing.T) {
+// Guards against a crash, or a request that waits without any upstream, when all upstreams
+// of a service are removed, added and changed while requests wait.
+func TestPoolSurvivesUpstreamChanges(t *testing.T) {
 	t.Parallel()
 	for name, placement := range map[string]turn.Placement{"by-cache": nil, "least-loaded": turn.LeastLoaded{}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rapid.Check(t, func(t *rapid.T) {
-				m := &machine{now: start}
+				m := &poolMachine{now: start}
 				m.pool.Placement = placement
 				t.Repeat(map[string]func(*rapid.T){
-					"set": m.set, "group": m.group, "ask": m.ask, "ask more": m.ask, "give up": m.giveUp, "first": m.first,
+					"set": m.set, "group": m.setGrouped, "ask": m.ask, "ask more": m.ask, "give up": m.giveUp, "first": m.first,
 					"end": m.end, "observe": m.observe, "shed": m.shed, "": m.check,
 				})
 			})
--- a/turn/order.go
+++ b/turn/order.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// maxOrders bounds the orders that are remembered. With 90 engines one takes some
+// maxCachedOrders bounds the cached preference orders. With 90 engines an order takes about
 // 800 bytes.
-const maxOrders = 2048
+const maxCachedOrders = 2048
 
-// ordered returns the engines in the order in which a demand belongs to them: all, or
-// those of its group. The result isn't to be changed.
+// preferenceOrder returns the engines that may serve a demand, in order of preference: all
+// of them, or those of its group. Callers must not modify the result.
 //
-// Beginnings are used again and again. Working an order out takes 23 us for 90
-// engines, as long as two events of a stream on their way through a router, and was
-// done for each request at its router and at its home.
-func (p *Pool) ordered(d *Demand) []*engine {
-	shared := d.shared()
-	if order, known := p.orders[shared]; known {
+// Orders are cached because prefixes recur: computing one takes 23 us for 90 engines, as
+// long as a router takes for two stream events, and both a request's router and its home
+// need it.
+func (p *Pool) preferenceOrder(d *Demand) []*engine {
+	shared := d.sharedPrefix()
+	if order, known := p.orderCache[shared]; known {
 		return order
 	}
-	order := p.workOutOrder(d)
-	if p.orders == nil || len(p.orders) >= maxOrders {
-		p.orders = make(map[uint64][]*engine)
+	order := p.computeOrder(d)
+	if p.orderCache == nil || len(p.orderCache) >= maxCachedOrders {
+		p.orderCache = make(map[uint64][]*engine)
 	}
-	p.orders[shared] = order
+	p.orderCache[shared] = order
 	return order
 }
 
-func (p *Pool) workOutOrder(d *Demand) []*engine {
+func (p *Pool) computeOrder(d *Demand) []*engine {
 	numbers := p.placement().Order(p.upstreams, d)
 	if numbers == nil {
 		return p.engines
--- a/turn/placement.go
+++ b/turn/placement.go
@@ -10,68 +10,67 @@
 	"nutmeglock.example/nutmeglock/rendezvous"
 )
 
-// Placement decides at which upstreams a request may start, and which of them
-// is best.
+// Placement decides which upstreams a request may be sent to and which of them is best.
 type Placement interface {
-	// Order returns the numbers of the upstreams in the order in which a request
-	// belongs to them, nil when it belongs to all alike. It depends on nothing
-	// that changes while the request waits.
+	// Order returns the indices of the upstreams in the request's order of preference, or
+	// nil when it has none. The result must not depend on anything that changes while the
+	// request waits.
 	Order(upstreams []registry.Upstream, d *Demand) []int
-	// Choices is how many of the first usable ones a request may go to, zero for all.
+	// Choices returns how many usable upstreams at the front of the order a request may go
+	// to, zero for all.
 	Choices() int
-	// IsOpen reports whether an upstream takes any request now. It is cheap, and
-	// asked for each request that waits.
+	// IsOpen reports whether an upstream accepts any request now. It must be cheap, as it
+	// runs for each waiting request.
 	IsOpen(v *View, e *engine) bool
-	// Score returns how good an upstream is for a request; the least is best. Place
-	// is its place among the request's choices, from 0.
+	// Score rates an upstream for a request; the lowest score is best. Place is the
+	// upstream's index among the request's choices.
 	Score(v *View, e *engine, d *Demand, place int) float64
 	// HasRoom reports whether a request may be sent to an open upstream now.
 	HasRoom(v *View, e *engine, d *Demand) bool
 }
 
-// View is what a Placement sees beside an upstream.
+// View is the state that a Placement sees besides the upstream itself.
 type View struct {
 	now   time.Time
-	speed *speed
-	// holder is the upstream that has most of the prompt, and most what it has.
-	holder *engine
-	most   int
-	// DataCenter is that of this router.
+	speed *prefillSpeed
+	// cacheHolder is the upstream with the most cached tokens of the prompt, holderTokens.
+	cacheHolder  *engine
+	holderTokens int
+	// DataCenter is this router's data centre.
 	DataCenter fleet.DataCenterID
-	// Target is the time to the first event that the strictest route aims at.
+	// Target is the time to the first event of the strictest route.
 	Target time.Duration
-	// Depth is the part of the usual unread work that the request's account may use.
-	Depth float64
+	// BacklogFactor is the part of the usual prefill backlog that the request's account may
+	// use.
+	BacklogFactor float64
 }
 
-// ByCache sends a request to one of the few upstreams that its shared beginning
-// belongs to: the one that will have read it first.
+// CacheAffinity sends a request to one of the few upstreams that own its shared prompt
+// prefix: the one that will have read the prompt first.
 //
-// It answers many beginnings that are each used often. Sent anywhere, each
-// engine reads each beginning once more, and reading is what engines lack. By
-// rendezvous hashing all routers agree on the owners without a word, and a
-// beginning is read once for each owner. With a single owner, a beginning that
-// is asked for often fills one engine while the next idles; with two, the
-// shorter queue takes it.
-type ByCache struct {
-	// Owners is how many upstreams a beginning belongs to; zero means 2.
+// It suits traffic with many prefixes that are each used often. Without affinity each
+// engine reads each prefix again, and engines are limited by prefill. All routers agree on
+// the owners by rendezvous hashing, without communication, and each owner reads a prefix
+// once. With a single owner, a popular prefix fills one engine while another is idle; with
+// two, the one with the shorter queue takes the request.
+type CacheAffinity struct {
+	// Owners is the number of upstreams that own a prefix; zero means 2.
 	Owners int
-	// Depth is the part of the target within which an upstream has to read what
-	// it was sent; zero means 0.35. The rest is for the way, the wait here and the
-	// batch's steps.
-	Depth float64
+	// BacklogFraction is the part of the target within which an upstream must read its
+	// pending prompts; zero means 0.35. The rest is left for the network, the wait here and
+	// the engine's batch steps.
+	BacklogFraction float64
 }
 
-// Defaults of ByCache.
+// Defaults of CacheAffinity.
 const (
-	defaultOwners = 2
-	defaultDepth  = 0.35
+	defaultOwners          = 2
+	defaultBacklogFraction = 0.35
 )
 
-// Order returns the upstreams by rendezvous hashing of the beginning that the
-// request shares with others.
-func (ByCache) Order(upstreams []registry.Upstream, d *Demand) []int {
-	key := rendezvous.KeyOfNumber("beginning", d.shared())
+// Order ranks the upstreams by rendezvous hashing of the request's shared prefix.
+func (CacheAffinity) Order(upstreams []registry.Upstream, d *Demand) []int {
+	key := rendezvous.KeyOfNumber("beginning", d.sharedPrefix())
 	order := make([]int, len(upstreams))
 	scores := make([]uint64, len(upstreams))
 	for i := range upstreams {
@@ -83,130 +82,126 @@
 }
 
 // Choices returns the number of owners.
-func (b ByCache) Choices() int {
+func (b CacheAffinity) Choices() int {
 	if b.Owners > 0 {
 		return b.Owners
 	}
 	return defaultOwners
 }
 
-// reluctance is the part of the target by which the second owner has to be
-// sooner. A beginning that goes to and fro is read or copied twice, and pushes
-// others out.
-const reluctance = 0.3
+// switchPenalty is the part of the target by which the second owner has to be faster to be
+// chosen. A prefix that alternates between owners is read or copied twice and evicts
+// others.
+const switchPenalty = 0.3
 
-// Score returns the tokens that are read before the request's first event, and
-// the reluctance to leave the first owner.
-func (b ByCache) Score(v *View, e *engine, d *Demand, place int) float64 {
-	away := float64(place) * reluctance * v.speed.value() * float64(v.Target.Milliseconds())
-	return float64(b.work(v, e, d)) + away
+// Score returns the tokens to be read before the request's first event, plus the penalty
+// for leaving the first owner.
+func (b CacheAffinity) Score(v *View, e *engine, d *Demand, place int) float64 {
+	penalty := float64(place) * switchPenalty * v.speed.value() * float64(v.Target.Milliseconds())
+	return float64(b.prefillWork(v, e, d)) + penalty
 }
 
-// work returns the tokens that are read before a request's first event.
-func (ByCache) work(v *View, e *engine, d *Demand) int {
-	reading, _ := v.reading(e, d)
-	return e.fleetUnread() + reading
+// prefillWork returns the tokens to be read before a request's first event.
+func (CacheAffinity) prefillWork(v *View, e *engine, d *Demand) int {
+	prefill, _ := v.prefillCost(e, d)
+	return e.fleetPendingPrefill() + prefill
 }
 
-// fetchShare is what a token that is fetched from another upstream's cache
-// counts, in tokens that are read: engines that can fetch get some 600 tokens in
-// a millisecond where they read 50 to 150.
-const fetchShare = 0.15
-
-// leastFetch is the least difference between two caches that is fetched, in
-// tokens; below it the set-up takes as long as reading.
-const leastFetch = 1500
-
-// reading returns the work of a request at an upstream, in tokens read, and
-// whether it includes fetching what another upstream's cache has.
-func (v *View) reading(e *engine, d *Demand) (tokens int, fetches bool) {
-	held := e.held(v.now, d)
-	missing := v.most - held
-	if v.holder == nil || missing < leastFetch {
-		return d.Input - held, false
+// fetchCost is the cost of fetching a token from another upstream's cache, relative to
+// reading it: engines that can fetch get about 600 tokens per millisecond and read 50 to
+// 150.
+const fetchCost = 0.15
+
+// minFetchTokens is the smallest number of tokens worth fetching; for fewer, the set-up
+// takes as long as reading them.
+const minFetchTokens = 1500
+
+// prefillCost returns the cost of a prompt at an upstream in tokens read, and whether part
+// of it is fetched from another upstream's cache.
+func (v *View) prefillCost(e *engine, d *Demand) (tokens int, fetches bool) {
+	cached := e.cachedTokens(v.now, d)
+	missing := v.holderTokens - cached
+	if v.cacheHolder == nil || missing < minFetchTokens {
+		return d.Input - cached, false
 	}
-	return d.Input - v.most + int(fetchShare*float64(missing)), true
+	return d.Input - v.holderTokens + int(fetchCost*float64(missing)), true
 }
 
-// evenDepth is the depth of an account that was served about as much as others.
-// An account that was served more takes an idle upstream only after idleGrace,
-// a report of the other routers and the way: they may have work for it of accounts
-// that were served less, and see later than this router that it is idle. Without it
-// each router starts a prompt at the moment at which an engine falls idle, and an
-// account that sits at five routers gets five times what one at a single router
-// gets.
+// evenBacklogFactor is the backlog factor of an account with about the same service as
+// others. An account with more service takes an idle upstream only after idleGrace, which
+// covers a report interval of the other routers and the network delay: those routers may
+// have requests of accounts with less service, and learn later than this router that the
+// upstream is idle. Without it each router would start a prompt as soon as an engine
+// becomes idle, and an account at five routers would get five times the service of one at a
+// single router.
 const (
-	evenDepth = 0.7
-	idleGrace = 70 * time.Millisecond
+	evenBacklogFactor = 0.7
+	idleGrace         = 70 * time.Millisecond
 )
 
-// IsOpen reports whether an upstream has a free slot and reads what it has in
-// time.
-func (b ByCache) IsOpen(v *View, e *engine) bool {
+// IsOpen reports whether an upstream has a free slot and a backlog within the limit.
+func (b CacheAffinity) IsOpen(v *View, e *engine) bool {
 	if e.upstream.Slots > 0 && e.fleetInFlight() >= e.upstream.Slots {
 		return false
 	}
-	return b.isIdle(v, e) || v.speed.time(e.fleetUnread()) <= b.depth(v)
+	return b.canTakeIdle(v, e) || v.speed.duration(e.fleetPendingPrefill()) <= b.maxBacklog(v)
 }
 
-// isIdle reports whether an upstream has nothing to read and the account may
-// take it.
-func (ByCache) isIdle(v *View, e *engine) bool {
-	return e.fleetUnread() == 0 && (v.Depth >= evenDepth || v.now.Sub(e.busy) >= idleGrace)
+// canTakeIdle reports whether an upstream has nothing to read and the account may use it.
+func (CacheAffinity) canTakeIdle(v *View, e *engine) bool {
+	return e.fleetPendingPrefill() == 0 && (v.BacklogFactor >= evenBacklogFactor || v.now.Sub(e.lastBusy) >= idleGrace)
 }
 
-// HasRoom reports whether an upstream reads what it has, and the request, in
-// time. One that has nothing to read takes any request, or the largest would
-// never start.
-func (b ByCache) HasRoom(v *View, e *engine, d *Demand) bool {
-	return b.isIdle(v, e) || v.speed.time(b.work(v, e, d)) <= b.depth(v)
+// HasRoom reports whether an upstream can read its backlog and the request's prompt in
+// time. An idle upstream accepts any request; otherwise the largest would never start.
+func (b CacheAffinity) HasRoom(v *View, e *engine, d *Demand) bool {
+	return b.canTakeIdle(v, e) || v.speed.duration(b.prefillWork(v, e, d)) <= b.maxBacklog(v)
 }
 
-// depth returns how much work an upstream may have, as time.
-func (b ByCache) depth(v *View) time.Duration {
-	depth := b.Depth
-	if depth <= 0 {
-		depth = defaultDepth
+// maxBacklog returns the limit of an upstream's prefill backlog, as time.
+func (b CacheAffinity) maxBacklog(v *View) time.Duration {
+	fraction := b.BacklogFraction
+	if fraction <= 0 {
+		fraction = defaultBacklogFraction
 	}
-	return time.Duration(depth * v.Depth * float64(v.Target))
+	return time.Duration(fraction * v.BacklogFactor * float64(v.Target))
 }
 
-// LeastLoaded sends a request to the upstream with the least in flight for its
-// slots, one in this router's data centre among equals.
+// LeastLoaded sends a request to the upstream with the fewest requests in flight per slot,
+// and prefers this router's data centre.
 //
-// It answers plain applications, which have few slots and whose requests are
-// alike. The number in flight is bounded by the slots and as many again that
-// wait there: a freed slot then never waits for a message to a router, and a
-// queue at one upstream is no longer than one request's work.
+// It suits plain applications with few slots and similar requests. Twice as many requests
+// as slots may be in flight: a freed slot then needn't wait for a message to a router, and
+// the queue at an upstream is no longer than the work of one request.
 type LeastLoaded struct{}
 
-// queuedPerSlot is how many requests may be in flight for each slot.
-const queuedPerSlot = 2
+// inFlightPerSlot is how many requests may be in flight for each slot.
+const inFlightPerSlot = 2
 
-// Order returns nil: requests belong to all alike.
+// Order returns nil: requests have no preference.
 func (LeastLoaded) Order([]registry.Upstream, *Demand) []int { return nil }
 
-// Choices returns zero, for all.
+// Choices returns zero: a request may go to any upstream.
 func (LeastLoaded) Choices() int { return 0 }
 
-// Score returns the part of the slots in use.
+// Score returns the part of the slots in use, less sameDataCenterBonus in this router's data centre.
 func (LeastLoaded) Score(v *View, e *engine, _ *Demand, _ int) float64 {
 	load := float64(e.fleetInFlight()) / float64(max(e.upstream.Slots, 1))
 	if e.upstream.DataCenter == v.DataCenter {
-		return load - nearBonus
+		return load - sameDataCenterBonus
 	}
 	return load
 }
 
-// nearBonus prefers the own data centre while its upstream has less than a
-// sixth of its slots more in use: the way costs bytes between data centres and
-// a millisecond, a queue costs a whole request's work.
-const nearBonus = 0.17
+// sameDataCenterBonus prefers an upstream in this router's data centre unless it has a sixth of its
+// slots more in use: another data centre costs traffic and a millisecond, a queue costs the
+// time of a whole request.
+const sameDataCenterBonus = 0.17
 
-// IsOpen reports whether fewer requests are in flight than the bound.
+// IsOpen reports whether fewer requests are in flight than allowed.
 func (LeastLoaded) IsOpen(_ *View, e *engine) bool {
-	return e.upstream.Slots <= 0 || e.fleetInFlight() < queuedPerSlot*e.upstream.Slots
+	return e.upstream.Slots <= 0 || e.fleetInFlight() < inFlightPerSlot*e.upstream.Slots
 }
 
-// HasRoom reports true: requests are alike.
+// HasRoom reports true: requests are similar, so any fits.
 func (LeastLoaded) HasRoom(*View, *engine, *Demand) bool { return true }
--- a/turn/pool.go
+++ b/turn/pool.go
@@ -12,153 +12,153 @@
 )
 
 const (
-	// leastRetryAfter is the shortest time after which a refused caller is asked
-	// back: a router's queue doesn't change in less.
-	leastRetryAfter = 100 * time.Millisecond
-	// noUpstreamRetryAfter is when a caller comes back to a service without
-	// upstreams; one that starts again takes about a second.
+	// minRetryAfter is the shortest delay after which a refused caller is asked to retry: a
+	// router's queue changes little in less.
+	minRetryAfter = 100 * time.Millisecond
+	// noUpstreamRetryAfter is the retry delay for a service without upstreams; an upstream
+	// takes about a second to restart.
 	noUpstreamRetryAfter = 700 * time.Millisecond
 )
 
-// Pool holds what waits for, and what is in flight at, the upstreams of one
-// service. Its zero value has no upstreams. It is safe for concurrent use.
+// Pool schedules the requests of one service over its upstreams. It holds the waiting
+// requests and the state of those in flight. Its zero value has no upstreams. It is safe
+// for concurrent use.
 type Pool struct {
-	// Placement is ByCache when nil.
+	// Placement is CacheAffinity when nil.
 	Placement  Placement
 	DataCenter fleet.DataCenterID
-	// OnOutlier is called, unless it is nil, when an upstream is taken out
-	// because its requests fail.
+	// OnOutlier, if set, is called when an upstream is ejected because its requests fail.
 	OnOutlier func(upstream registry.Upstream)
 
 	mu      sync.Mutex
 	target  time.Duration
 	engines []*engine
-	// upstreams are the entries of engines, in the same order, and generation
-	// counts the lists.
+	// upstreams are the entries of engines, in the same order. generation counts the
+	// changes of the list and of the grouping.
 	upstreams  []registry.Upstream
 	generation int
-	// orders are those of the engines by what demands share, as of this list.
-	orders map[uint64][]*engine
-	// grouped is true when a request goes to one group of engines only, of so many.
-	grouped  bool
-	groups   int
-	accounts map[fleet.AccountID]*account
-	heard    map[fleet.RouterID]heard
-	// oldest is when the oldest report that counts came.
-	oldest time.Time
-	// elsewhere is how each account stands at the other routers, keys those of
-	// accounts.
-	elsewhere map[Key]Standing
-	keys      map[Key]bool
-	// most is the most that was served of late, in tokens of one service window.
-	most     rate.Peak
-	speed    speed
-	detector outlier.Detector[Instance]
-	waiting  int
+	// orderCache holds preference orders of the current list by shared prefix.
+	orderCache map[uint64][]*engine
+	// grouped is true when each request belongs to one of groupCount groups of engines.
+	grouped    bool
+	groupCount int
+	accounts   map[fleet.AccountID]*account
+	reports    map[fleet.RouterID]receivedReport
+	// oldestReport is the arrival time of the oldest report that still counts.
+	oldestReport time.Time
+	// remoteUsage is the sum of each account's usage at the other routers. localKeys are
+	// the keys of accounts.
+	remoteUsage map[Key]Standing
+	localKeys   map[Key]bool
+	// peakServed is the recent peak of the service within one serviceWindow, in tokens.
+	peakServed   rate.Peak
+	speed        prefillSpeed
+	detector     outlier.Detector[Instance]
+	waitingCount int
 }
 
-// Set replaces the upstreams that take requests, and the time to the first
-// event that the strictest route aims at. What is known of those that stay is kept.
+// Set replaces the upstreams that accept requests, and the time to the first event that the
+// strictest route aims at. The state of the upstreams that stay is kept.
 func (p *Pool) Set(now time.Time, upstreams []registry.Upstream, target time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
-	before := make(map[Instance]*engine, len(p.engines))
+	previous := make(map[Instance]*engine, len(p.engines))
 	for _, e := range p.engines {
-		before[e.instance] = e
+		previous[e.instance] = e
 	}
 	p.engines = p.engines[:0:0]
 	p.upstreams = upstreams
 	p.generation++
-	p.orders = nil
+	p.orderCache = nil
 	keep := make(map[Instance]bool, len(upstreams))
 	for _, u := range upstreams {
 		instance := InstanceOf(u)
 		keep[instance] = true
-		e := before[instance]
+		e := previous[instance]
 		if e == nil {
 			e = &engine{instance: instance, key: KeyOf(u.ID)}
 		}
 		e.upstream = u
 		p.engines = append(p.engines, e)
 	}
-	p.setGroups()
+	p.assignGroups()
 	p.detector.Keep(keep)
-	p.sumOthers(now)
+	p.sumReports(now)
 	p.reassign(now)
-	p.pump(now)
+	p.startWaiting(now)
 }
 
-// Ask makes a demand. It returns a Ticket, which has its turn at once if there
-// is room, or *RefusedError when the turn can't come in time.
+// Ask queues a demand. It returns a Ticket, granted at once if there is room, or
+// *RefusedError when the demand couldn't be granted in time.
 func (p *Pool) Ask(now time.Time, d Demand) (*Ticket, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forgetOld(now)
-	t := &Ticket{pool: p, demand: d, asked: now, granted: make(chan struct{}), refused: make(chan *RefusedError, 1)}
+	p.expireReports(now)
+	t := &Ticket{pool: p, demand: d, arrivedAt: now, granted: make(chan struct{}), refused: make(chan *RefusedError, 1)}
 	view := p.view(now, 1)
-	best := p.best(view, t, p.candidates(now, t))
+	best := p.bestCandidate(view, t, p.candidates(now, t))
 	if best == nil {
 		return nil, &RefusedError{NoUpstream: true, RetryAfter: noUpstreamRetryAfter}
 	}
-	a, claims := p.account(d.Account), p.claims(now)
-	t.patience = patience(claims, a.total(now), &d)
-	if !d.isBegun() && claims.isEnough(now, a) {
-		a.deny(now, &d)
-		return nil, p.hold(now, &d, best)
+	a, shares := p.account(d.Account), p.fairShares(now)
+	t.patience = patience(shares, a.totalUsage(now), &d)
+	if !d.wasSent() && shares.isCapped(now, a) {
+		a.recordRefused(now, &d)
+		return nil, p.refuseCapped(now, &d, best)
 	}
-	if wait := p.expected(now, best, &d); wait > t.patience {
-		a.deny(now, &d)
-		return nil, &RefusedError{Wait: wait, RetryAfter: max(wait, leastRetryAfter)}
+	if wait := p.expectedWait(now, best, &d); wait > t.patience {
+		a.recordRefused(now, &d)
+		return nil, &RefusedError{Wait: wait, RetryAfter: max(wait, minRetryAfter)}
 	}
 	p.enqueue(t, best)
-	p.pump(now)
+	p.startWaiting(now)
 	return t, nil
 }
 
 func (p *Pool) enqueue(t *Ticket, preferred *engine) {
 	a := p.account(t.demand.Account)
 	a.queue = append(a.queue, t)
-	a.waiting += t.demand.Input
+	a.waitingTokens += t.demand.Input
 	t.preferred = preferred
-	preferred.waiting += t.demand.Input
-	p.waiting++
+	preferred.waitingTokens += t.demand.Input
+	p.waitingCount++
 }
 
-// dequeue removes a ticket that waits.
+// dequeue removes a waiting ticket.
 func (p *Pool) dequeue(t *Ticket) {
 	a := p.account(t.demand.Account)
 	a.queue = slices.DeleteFunc(a.queue, func(other *Ticket) bool { return other == t })
-	a.waiting -= t.demand.Input
-	t.preferred.waiting -= t.demand.Input
-	p.waiting--
+	a.waitingTokens -= t.demand.Input
+	t.preferred.waitingTokens -= t.demand.Input
+	p.waitingCount--
 }
 
-// expected returns when a demand's turn comes at an upstream of the pool: the time in which
-// it reads what was sent and what goes first, less what it may have unread.
+// expectedWait returns the time until an upstream of the pool could take a demand: the time
+// in which it reads its backlog and the prompts that go first, less the target.
 //
-// What waits of accounts that were served more goes later. What waits at the
-// other routers is taken to be spread over the upstreams evenly.
-func (p *Pool) expected(now time.Time, e *engine, d *Demand) time.Duration {
+// Requests of accounts with more service go later. Those that wait at other routers are
+// assumed to be spread evenly over the upstreams.
+func (p *Pool) expectedWait(now time.Time, e *engine, d *Demand) time.Duration {
 	served := p.account(d.Account).served(now)
-	ahead := e.fleetUnread()
+	ahead := e.fleetPendingPrefill()
 	for id, a := range p.accounts {
 		if id != d.Account && a.served(now) > served {
 			continue
 		}
-		ahead += a.elsewhere.Waiting / len(p.engines)
+		ahead += a.remote.Waiting / len(p.engines)
 		for _, t := range a.queue {
 			if t.preferred == e {
 				ahead += t.demand.Input
 			}
 		}
 	}
-	return p.speed.time(ahead) - p.target
+	return p.speed.duration(ahead) - p.target
 }
 
 func (p *Pool) placement() Placement {
 	if p.Placement == nil {
-		return ByCache{}
+		return CacheAffinity{}
 	}
 	return p.Placement
 }
--- a/turn/pump.go
+++ b/turn/pump.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// view returns what a placement sees for an account with some depth.
-func (p *Pool) view(now time.Time, depth float64) *View {
-	return &View{now: now, speed: &p.speed, DataCenter: p.DataCenter, Target: p.target, Depth: depth}
+// view returns what a Placement sees for an account with this backlog factor.
+func (p *Pool) view(now time.Time, backlogFactor float64) *View {
+	return &View{now: now, speed: &p.speed, DataCenter: p.DataCenter, Target: p.target, BacklogFactor: backlogFactor}
 }
 
-// candidates returns the upstreams that a ticket may go to now: the first usable
-// ones in its order that it hasn't tried. When all of them are taken out, all
-// are tried.
+// candidates returns the upstreams that a ticket may go to now: the first usable ones in
+// its order that it hasn't tried. If all of those are ejected, it returns the ejected ones.
 func (p *Pool) candidates(now time.Time, t *Ticket) []*engine {
 	if t.generation != p.generation {
 		t.generation = p.generation
-		t.order = p.ordered(&t.demand)
+		t.order = p.preferenceOrder(&t.demand)
 	}
-	most := p.placement().Choices()
-	var usable, out []*engine
+	choices := p.placement().Choices()
+	var usable, ejected []*engine
 	for _, e := range t.order {
 		if slices.Contains(t.demand.Tried, e.instance) {
 			continue
 		}
 		if !p.detector.Usable(now, e.instance) {
-			out = append(out, e)
+			ejected = append(ejected, e)
 			continue
 		}
 		usable = append(usable, e)
-		if len(usable) == most {
+		if len(usable) == choices {
 			break
 		}
 	}
 	if len(usable) == 0 {
-		return out
+		return ejected
 	}
 	return usable
 }
 
-// best returns the candidate with the least score, nil when there is none.
-func (p *Pool) best(view *View, t *Ticket, candidates []*engine) *engine {
-	view.holder, view.most = p.holder(view.now, t)
+// bestCandidate returns the candidate with the lowest score, nil when there is none.
+func (p *Pool) bestCandidate(view *View, t *Ticket, candidates []*engine) *engine {
+	view.cacheHolder, view.holderTokens = p.cacheHolder(view.now, t)
 	var best *engine
-	var least float64
+	var lowest float64
 	for place, e := range candidates {
 		score := p.placement().Score(view, e, &t.demand, place)
-		if best == nil || score < least {
-			best, least = e, score
+		if best == nil || score < lowest {
+			best, lowest = e, score
 		}
 	}
 	return best
 }
 
-// holder returns the upstream that probably has most of a prompt in its cache, of
-// those in the ticket's order: with homes, those of its group.
-func (p *Pool) holder(now time.Time, t *Ticket) (*engine, int) {
+// cacheHolder returns the upstream in the ticket's order that probably has most of the
+// prompt in its cache, and how many tokens. With homes, the order holds the ticket's group
+// only.
+func (p *Pool) cacheHolder(now time.Time, t *Ticket) (*engine, int) {
 	d := &t.demand
 	if len(d.Beginnings) == 0 {
 		return nil, 0
@@ -64,24 +64,24 @@
 	var best *engine
 	most := 0
 	for _, e := range t.order {
-		if held := e.held(now, d); held > most && p.detector.Usable(now, e.instance) {
-			best, most = e, held
+		if cached := e.cachedTokens(now, d); cached > most && p.detector.Usable(now, e.instance) {
+			best, most = e, cached
 		}
 	}
 	return best, most
 }
 
-// pump gives turns until nothing that waits has room: to the account that was
-// served least, and within an account in the order of arrival. It runs at each
+// startWaiting starts requests until none that waits has room: those of the account with
+// the least service first, and within an account in the order of arrival. It runs at each
 // event, so it stops early when no upstream is open.
-func (p *Pool) pump(now time.Time) {
-	for p.waiting > 0 && p.anyOpen(now) && p.startNext(now) {
+func (p *Pool) startWaiting(now time.Time) {
+	for p.waitingCount > 0 && p.anyOpen(now) && p.startNext(now) {
 	}
 }
 
-// anyOpen reports whether an upstream is open to the account served least.
+// anyOpen reports whether an upstream is open to the account with the least service.
 func (p *Pool) anyOpen(now time.Time) bool {
-	view := p.view(now, mostDepth)
+	view := p.view(now, maxBacklogFactor)
 	for _, e := range p.engines {
 		if p.placement().IsOpen(view, e) {
 			return true
@@ -91,12 +91,12 @@
 }
 
 func (p *Pool) startNext(now time.Time) bool {
-	claims := p.claims(now)
-	for _, a := range p.line(now) {
-		enough := claims.isEnough(now, a.account)
-		view := p.view(now, depth(a.served, claims.share(true), claims.pressure))
+	shares := p.fairShares(now)
+	for _, a := range p.waitingAccounts(now) {
+		capped := shares.isCapped(now, a.account)
+		view := p.view(now, backlogFactor(a.served, shares.fairShare(true), shares.pressure))
 		for _, t := range a.queue {
-			if (!enough || t.demand.isBegun()) && p.tryStart(view, t) {
+			if (!capped || t.demand.wasSent()) && p.tryStart(view, t) {
 				return true
 			}
 		}
@@ -104,14 +104,14 @@
 	return false
 }
 
-// tryStart starts a ticket if the best of its upstreams has room.
+// tryStart starts a ticket if the best of its candidates has room.
 func (p *Pool) tryStart(view *View, t *Ticket) bool {
 	candidates := p.candidates(view.now, t)
 	open := slices.ContainsFunc(candidates, func(e *engine) bool { return p.placement().IsOpen(view, e) })
 	if !open {
 		return false
 	}
-	best := p.best(view, t, candidates)
+	best := p.bestCandidate(view, t, candidates)
 	if p.placement().IsOpen(view, best) && p.placement().HasRoom(view, best, &t.demand) {
 		p.start(view, t, best)
 		return true
@@ -119,27 +119,27 @@
 	return false
 }
 
-// waitingAccount is an account with waiting requests and its service.
+// waitingAccount is an account with waiting requests, and its service.
 type waitingAccount struct {
 	*account
 	served float64
 }
 
-// line returns the accounts with waiting requests, the least served first.
-func (p *Pool) line(now time.Time) []waitingAccount {
-	var line []waitingAccount
+// waitingAccounts returns the accounts with waiting requests, the least served first.
+func (p *Pool) waitingAccounts(now time.Time) []waitingAccount {
+	var accounts []waitingAccount
 	for _, a := range p.accounts {
 		if len(a.queue) > 0 {
-			line = append(line, waitingAccount{a, a.served(now)})
+			accounts = append(accounts, waitingAccount{a, a.served(now)})
 		}
 	}
-	slices.SortFunc(line, func(a, b waitingAccount) int {
+	slices.SortFunc(accounts, func(a, b waitingAccount) int {
 		if order := cmp.Compare(a.served, b.served); order != 0 {
 			return order
 		}
-		return a.queue[0].asked.Compare(b.queue[0].asked)
+		return a.queue[0].arrivedAt.Compare(b.queue[0].arrivedAt)
 	})
-	return line
+	return accounts
 }
 
 func (p *Pool) start(view *View, t *Ticket, e *engine) {
@@ -147,18 +147,18 @@
 	p.dequeue(t)
 	t.engine = e
 	t.upstream = e.upstream
-	t.started = now
+	t.startedAt = now
 	fetches := false
-	t.uncached, fetches = view.reading(e, &t.demand)
+	t.uncached, fetches = view.prefillCost(e, &t.demand)
 	if fetches {
-		t.fetchFrom = view.holder.upstream.Address
+		t.fetchFrom = view.cacheHolder.upstream.Address
 	}
-	t.work = e.fleetUnread() + t.uncached
-	e.unread += t.uncached
+	t.prefillAhead = e.fleetPendingPrefill() + t.uncached
+	e.pendingPrefill += t.uncached
 	e.inFlight++
-	e.busy = now
-	e.remember(now, &t.demand)
+	e.lastBusy = now
+	e.recordPrompt(now, &t.demand)
 	p.detector.Try(now, e.instance)
-	p.account(t.demand.Account).own.Add(now, serviceWindow, t.demand.cost())
+	p.account(t.demand.Account).servedHere.Add(now, serviceWindow, t.demand.cost())
 	close(t.granted)
 }
--- a/turn/reassign.go
+++ b/turn/reassign.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// reassign moves the tickets that wait for an upstream that has left to another one, and
-// refuses those that can't go anywhere any more. It follows each change of the list.
+// reassign moves waiting tickets whose preferred upstream was removed to another one, and
+// refuses those without a candidate. It runs after each change of the list.
 func (p *Pool) reassign(now time.Time) {
-	if p.waiting == 0 {
+	if p.waitingCount == 0 {
 		return
 	}
 	view := p.view(now, 1)
@@ -24,20 +24,20 @@
 	if slices.Contains(candidates, t.preferred) {
 		return
 	}
-	best := p.best(view, t, candidates)
+	best := p.bestCandidate(view, t, candidates)
 	if best == nil {
 		p.refuse(view.now, t)
 		return
 	}
-	t.preferred.waiting -= t.demand.Input
+	t.preferred.waitingTokens -= t.demand.Input
 	t.preferred = best
-	best.waiting += t.demand.Input
+	best.waitingTokens += t.demand.Input
 }
 
-// refuse ends the wait of a ticket that no upstream is left for.
+// refuse ends the wait of a ticket that has no upstream left.
 func (p *Pool) refuse(now time.Time, t *Ticket) {
 	p.dequeue(t)
-	p.account(t.demand.Account).deny(now, &t.demand)
-	t.refusal = &RefusedError{NoUpstream: true, Waited: now.Sub(t.asked), RetryAfter: noUpstreamRetryAfter}
+	p.account(t.demand.Account).recordRefused(now, &t.demand)
+	t.refusal = &RefusedError{NoUpstream: true, Waited: now.Sub(t.arrivedAt), RetryAfter: noUpstreamRetryAfter}
 	t.refused <- t.refusal
 }
--- a/turn/share.go
+++ b/turn/share.go
@@ -7,84 +7,83 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// turnover is how often what waits is replaced within the service window:
-// requests wait for an eighth to a third of a second before they are refused.
-const turnover = 5
+// queueTurnover is how often the queued requests are replaced within serviceWindow: a
+// request waits for an eighth to a third of a second before it is refused.
+const queueTurnover = 5
 
-// claimant is an account with what it got of late, what it asked for, and what its
-// routers refused beyond that by themselves.
-type claimant struct{ served, asked, shed float64 }
+// accountDemand is an account's recent service, the demand that reached its routers' pools,
+// and what its routers shed before that.
+type accountDemand struct{ served, requested, shed float64 }
 
-func (s Standing) claimant() claimant {
-	return claimant{served: s.Served, asked: s.Served + s.Denied + turnover*float64(s.Waiting), shed: s.Shed}
+func (s Standing) demand() accountDemand {
+	return accountDemand{served: s.Served, requested: s.Served + s.Denied + queueTurnover*float64(s.Waiting), shed: s.Shed}
 }
 
-// claims are what all accounts of a service got of late and asked for.
-type claims struct {
-	// level is the service, in tokens of late, up to which all accounts could have
-	// been served by what was served in all. Those that asked for less got it all;
-	// the rest share the remainder evenly.
+// fairShares is the recent service and demand of all accounts of a service.
+type fairShares struct {
+	// level is the max-min fair level, in tokens, at which the total service could have
+	// been shared: accounts that asked for less got it all, the others split the rest
+	// evenly.
 	level float64
-	// lacking is how many accounts have work that isn't served.
-	lacking int
-	// pressure is the part of what was asked of late that wasn't served.
+	// unmetAccounts is the number of accounts with unmet demand.
+	unmetAccounts int
+	// pressure is the unserved part of the recent demand.
 	pressure float64
-	// heldBack are the accounts that their routers hold back, and right is the level of
-	// what the engines have done at most.
-	heldBack []claimant
-	right    float64
+	// throttled are the accounts throttled by their routers. While there are any, peakLevel
+	// is the fair level of the recent peak service.
+	throttled []accountDemand
+	peakLevel float64
 }
 
-// share returns the service that an account has a right to while others lack
-// something. It is infinite while no other does.
+// fairShare returns the service that an account is entitled to while others have unmet
+// demand, and infinity while no others have.
 //
-// It answers several accounts that each ask for more than their share, while
-// small ones lack something for a moment. Measured by the least served account,
-// all of the large ones have had too much, and are held back alike: then one that
-// sits at all routers gets four times what one at a single router gets.
-func (c claims) share(lacks bool) float64 {
-	if c.lacking == 0 || (c.lacking == 1 && lacks) {
+// The service of the least served account would be the wrong reference: while small accounts
+// have unmet demand for a moment, all large ones are above it and would be limited alike, and
+// one at all routers would get four times as much as one at a single router.
+func (s fairShares) fairShare(hasUnmetDemand bool) float64 {
+	if s.unmetAccounts == 0 || (s.unmetAccounts == 1 && hasUnmetDemand) {
 		return math.Inf(1)
 	}
-	return c.level
+	return s.level
 }
 
-// claims returns those of all accounts that are known here.
-func (p *Pool) claims(now time.Time) claims {
-	claimants := make([]claimant, 0, len(p.accounts)+len(p.elsewhere))
-	out := claims{}
-	collect := func(s Standing) {
-		c := s.claimant()
-		claimants = append(claimants, c)
-		if s.lacks() {
-			out.lacking++
+// fairShares returns the shares of all accounts that this pool knows.
+func (p *Pool) fairShares(now time.Time) fairShares {
+	demands := make([]accountDemand, 0, len(p.accounts)+len(p.remoteUsage))
+	shares := fairShares{}
+	collect := func(usage Standing) {
+		d := usage.demand()
+		demands = append(demands, d)
+		if usage.hasUnmetDemand() {
+			shares.unmetAccounts++
 		}
-		if c.isHeldBack() {
-			out.heldBack = append(out.heldBack, c)
+		if d.isThrottled() {
+			shares.throttled = append(shares.throttled, d)
 		}
 	}
 	for _, a := range p.accounts {
-		collect(a.total(now))
+		collect(a.totalUsage(now))
 	}
-	for key, there := range p.elsewhere {
-		if !p.keys[key] {
-			collect(there)
+	for key, usage := range p.remoteUsage {
+		if !p.localKeys[key] {
+			collect(usage)
 		}
 	}
-	served, asked := 0.0, 0.0
-	claimed := make([]float64, 0, len(claimants))
-	for _, c := range claimants {
-		served += c.served
-		asked += c.asked
-		claimed = append(claimed, c.asked)
+	served, requested := 0.0, 0.0
+	claims := make([]float64, 0, len(demands))
+	for _, d := range demands {
+		served += d.served
+		requested += d.requested
+		claims = append(claims, d.requested)
 	}
-	if asked > 0 {
-		out.pressure = 1 - served/asked
+	if requested > 0 {
+		shares.pressure = 1 - served/requested
 	}
-	out.level = share.Level(claimed, served)
-	p.most.Raise(now, peakMemory, served)
-	if len(out.heldBack) > 0 {
-		out.right = rightOf(claimants, p.most.At(now, peakMemory))
+	shares.level = share.Level(claims, served)
+	p.peakServed.Raise(now, peakMemory, served)
+	if len(shares.throttled) > 0 {
+		shares.peakLevel = peakFairLevel(demands, p.peakServed.At(now, peakMemory))
 	}
-	return out
+	return shares
 }
--- a/turn/speed.go
+++ b/turn/speed.go
@@ -3,50 +3,51 @@
 import "time"
 
 const (
-	// startSpeed is the tokens read in a millisecond that are assumed before
-	// anything is observed. It is below that of the engines known so far, so
-	// that a router that has just started sends too little rather than too much.
-	startSpeed = 40.0
-	// informative is the work, in tokens, from which the time to the first event
-	// tells the speed; below it the time is that of a step and the network.
-	informative = 4000
-	// firstStep is what the first event takes besides reading: two steps of the
-	// batch and the way there and back.
-	firstStep = 40 * time.Millisecond
-	// speedMemory is the weight of the latest observation.
-	speedMemory = 0.08
-	// minSpeed and maxSpeed bound what is believed.
+	// initialSpeed is the assumed speed, in tokens per millisecond, before anything is
+	// observed. It is below that of the known engines, so that a router that has just
+	// started sends too little rather than too much.
+	initialSpeed = 40.0
+	// minObservedWork is the least work, in tokens, that is used to estimate the speed;
+	// with less, the time to the first event depends mostly on a batch step and the
+	// network.
+	minObservedWork = 4000
+	// firstEventOverhead is the time to the first event besides prefill: two batch steps
+	// and the network round trip.
+	firstEventOverhead = 40 * time.Millisecond
+	// speedSmoothing is the weight of the latest observation in the moving average.
+	speedSmoothing = 0.08
+	// minSpeed and maxSpeed bound an observation, in tokens per millisecond.
 	minSpeed = 5.0
 	maxSpeed = 2000.0
 )
 
-// speed is how many prompt tokens an upstream reads in a millisecond. Its zero
-// value is the start speed.
-type speed struct{ observed float64 }
+// prefillSpeed estimates how many prompt tokens an upstream reads per millisecond. Its zero
+// value assumes initialSpeed.
+type prefillSpeed struct{ estimate float64 }
 
-func (s *speed) value() float64 {
-	if s.observed == 0 {
-		return startSpeed
+func (s *prefillSpeed) value() float64 {
+	if s.estimate == 0 {
+		return initialSpeed
 	}
-	return s.observed
+	return s.estimate
 }
 
-// observe takes the time to the first event of a request that had work tokens
-// to be read before it, its own included.
-func (s *speed) observe(work int, took time.Duration) {
-	if work < informative {
+// observe updates the estimate from the time to the first event of a request with work
+// tokens to read before it, its own included.
+func (s *prefillSpeed) observe(work int, took time.Duration) {
+	if work < minObservedWork {
 		return
 	}
-	reading := max(took-firstStep, time.Millisecond)
+	reading := max(took-firstEventOverhead, time.Millisecond)
 	seen := float64(work) / (float64(reading) / float64(time.Millisecond))
 	seen = min(max(seen, minSpeed), maxSpeed)
-	if s.observed == 0 {
-		s.observed = startSpeed
+	if s.estimate == 0 {
+		s.estimate = initialSpeed
 	}
-	s.observed += (seen - s.observed) * speedMemory
+	s.estimate += (seen - s.estimate) * speedSmoothing
 }
 
-// time returns how long an amount of tokens takes.
-func (s *speed) time(tokens int) time.Duration {
+// duration returns how long it takes to read a number of tokens.
+func (s *prefillSpeed) duration(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / s.value() * float64(time.Millisecond))
 }
--- a/turn/turn.go
+++ b/turn/turn.go
@@ -1,16 +1,16 @@
-// Package turn decides which request of a service starts next, at which
-// upstream, and which is refused.
+// Package turn schedules the requests of a service: it decides which one starts next, at
+// which upstream, and which is refused.
 //
-// It answers model engines that admit everything in the order of arrival. Their
-// limit is the reading of prompts: a request that is sent to a busy engine
-// stands behind all prompts before it, whoever sent them, and is read in vain
-// when its caller has left. So work waits here and not there: an engine is sent
-// only as many unread prompt tokens as it reads in a part of the time to the
-// first event that callers aim at. The rest waits in the routers, where the
-// account that was served least goes first, and where a request whose turn
-// can't come in time is refused at once.
+// Model engines accept every request and run them in order of arrival. Their bottleneck is
+// prefill, the reading of prompts: a request sent to a busy engine waits behind all earlier
+// prompts of any account, and is read for nothing when its caller has left. Requests are
+// therefore queued in the routers: an engine is sent only as many prompt tokens as it reads
+// within a part of the target time to the first event. In the queue the account with the
+// least recent service goes first, and a request that couldn't start in time is refused at
+// once.
 //
-// A Pool needs no network and no clock; times are passed in.
+// A request's turn is the permission to send it to an upstream, granted by its Ticket. A
+// Pool uses no network and no clock; times are passed in.
 package turn
 
 import (
@@ -21,51 +21,50 @@
 	"nutmeglock.example/nutmeglock/registry"
 )
 
-// Instance is one life of an upstream. What is known of a former life, such as
-// what its cache holds, says nothing about the next.
+// Instance is one incarnation of an upstream. State of an earlier one, such as the contents
+// of its cache, doesn't apply to the next.
 type Instance struct {
 	ID   fleet.UpstreamID
 	Life registry.Life
 }
 
-// InstanceOf returns the life that an entry is about.
+// InstanceOf returns the instance that an entry describes.
 func InstanceOf(u registry.Upstream) Instance { return Instance{ID: u.ID, Life: u.Life} }
 
-// Beginning is a beginning of a prompt that other prompts may share.
+// Beginning is a prefix of a prompt that other prompts may share.
 type Beginning struct {
-	// Hash stands for the whole text from the start to the end of this beginning.
+	// Hash identifies the whole text of the prefix.
 	Hash uint64
-	// Tokens is its length.
+	// Tokens is the length of the prefix.
 	Tokens int
 }
 
-// Demand is what a request needs.
+// Demand describes a request to be scheduled.
 type Demand struct {
 	Account fleet.AccountID
-	// Beginnings are those of the prompt, from short to long. The last is the
-	// whole prompt.
+	// Beginnings are the prefixes of the prompt from short to long. The last is the whole
+	// prompt.
 	Beginnings []Beginning
-	// Input and Output are the tokens to be read, and those that will probably
-	// be generated.
+	// Input is the prompt tokens, and Output the expected tokens of the answer.
 	Input  int
 	Output int
-	// Target is the time to the first event that the caller aims at.
+	// Target is the caller's target time to the first event.
 	Target time.Duration
-	// Patience is how long the request may wait for its turn.
+	// Patience is the longest time that the request may wait for its turn.
 	Patience time.Duration
-	// Tried are upstreams that the request isn't sent to again.
+	// Tried are the instances that the request must not be sent to again.
 	Tried []Instance
 }
 
-// Cost returns what a request counts in its account's service: each token that is
-// read once, and each that is generated twice, as the users weigh them.
+// Cost returns what a request adds to its account's service: a token read counts once and a
+// token generated twice, as users weigh them.
 func Cost(input, output int) float64 { return float64(input + 2*output) }
 
 func (d *Demand) cost() float64 { return Cost(d.Input, d.Output) }
 
-// shared returns the hash that requests with the same shared beginning have in
-// common. The last part of a prompt is the request's own.
-func (d *Demand) shared() uint64 {
+// sharedPrefix returns the hash of the prefix that the request shares with others. The last
+// part of a prompt is the request's own.
+func (d *Demand) sharedPrefix() uint64 {
 	switch n := len(d.Beginnings); n {
 	case 0:
 		return 0
@@ -76,27 +75,28 @@
 	}
 }
 
-// RefusedError is the error of a demand whose turn can't come in time.
+// RefusedError is returned for a demand that can't get its turn in time.
 type RefusedError struct {
 	// Wait is the expected time until its turn.
 	Wait time.Duration
-	// Waited is how long it waited already.
+	// Waited is how long it has waited.
 	Waited time.Duration
-	// RetryAfter is when its turn would come at once.
+	// RetryAfter is the delay after which it should be granted at once.
 	RetryAfter time.Duration
-	// NoUpstream is true when no upstream of the service takes requests.
+	// NoUpstream is true when no upstream of the service accepts requests.
 	NoUpstream bool
-	// Held is true when the account got enough beside one that its router holds back.
+	// Held is true when the account has reached its service cap next to an account that is
+	// throttled by its router.
 	Held bool
 }
 
-// Error tells the times.
+// Error implements error.
 func (e *RefusedError) Error() string {
 	if e.NoUpstream {
 		return "no upstream takes requests"
 	}
 	if e.Held {
-		return "the account got enough beside one that its router holds back"
+		return "the account reached its service cap next to a throttled account"
 	}
 	return fmt.Sprintf("turn expected in %v after %v", e.Wait, e.Waited)
 }
--- a/turn/turn_test.go
+++ b/turn/turn_test.go
@@ -16,21 +16,21 @@
 
 const target = 800 * time.Millisecond
 
-func engines(n int) []registry.Upstream {
-	list := make([]registry.Upstream, n)
-	for i := range list {
-		list[i] = registry.Upstream{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 64, Life: 1}
+func newEngines(n int) []registry.Upstream {
+	upstreams := make([]registry.Upstream, n)
+	for i := range upstreams {
+		upstreams[i] = registry.Upstream{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 64, Life: 1}
 	}
-	return list
+	return upstreams
 }
 
-func pool(n int) *turn.Pool {
+func newPool(n int) *turn.Pool {
 	p := &turn.Pool{}
-	p.Set(start, engines(n), target)
+	p.Set(start, newEngines(n), target)
 	return p
 }
 
-// prompt returns a demand whose prompt begins with a shared part.
+// prompt returns a demand whose prompt starts with a shared prefix of 10,000 tokens.
 func prompt(account fleet.AccountID, shared uint64, own uint64, tokens int) turn.Demand {
 	return turn.Demand{
 		Account: account, Input: 10_000 + tokens, Output: 100, Target: target, Patience: target / 2,
@@ -38,7 +38,7 @@
 	}
 }
 
-func started(t *turn.Ticket) bool {
+func isGranted(t *turn.Ticket) bool {
 	select {
 	case <-t.Granted():
 		return true
@@ -47,19 +47,19 @@
 	}
 }
 
-// Many requests begin alike. Sent anywhere, each engine reads the beginning
-// once more, and reading is what engines lack. They meet at the few owners of
-// their beginning, and the second owner copies it from the first.
-func TestRequestsThatBeginAlikeMeet(t *testing.T) {
+// Guards against engines that each read the same prompt prefix again although prefill is
+// their bottleneck. Requests with a shared prefix go to its few owners, and the second
+// owner copies it from the first.
+func TestSharedPrefixGoesToItsOwners(t *testing.T) {
 	t.Parallel()
-	p := pool(9)
+	p := newPool(9)
 	used := make(map[fleet.UpstreamID]int)
 	fetched := 0
 	for i := range uint64(30) {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
 		ticket, err := p.Ask(now, prompt("a", 1, 100+i, 1_000))
 		require.NoError(t, err)
-		require.True(t, started(ticket))
+		require.True(t, isGranted(ticket))
 		used[ticket.Upstream().ID]++
 		if ticket.FetchFrom() != "" {
 			fetched++
@@ -72,39 +72,39 @@
 	require.LessOrEqual(t, fetched, 1)
 }
 
-// All routers must choose the same owners without asking each other.
+// All routers must choose the same owners without communication.
 func TestRoutersAgreeOnOwners(t *testing.T) {
 	t.Parallel()
 	for shared := range uint64(50) {
-		one, err := pool(9).Ask(start, prompt("a", shared, 1, 0))
+		one, err := newPool(9).Ask(start, prompt("a", shared, 1, 0))
 		require.NoError(t, err)
-		other, err := pool(9).Ask(start, prompt("b", shared, 2, 0))
+		other, err := newPool(9).Ask(start, prompt("b", shared, 2, 0))
 		require.NoError(t, err)
 		require.Equal(t, one.Upstream().ID, other.Upstream().ID)
 	}
 }
 
-// A burst asks one engine to read more prompts than it can in time. Sent there,
-// they would stand in the engine's queue, each behind all others, and be read in
-// vain when their callers have left. They wait here instead.
-func TestEngineIsNotFilledBeyondWhatItReadsInTime(t *testing.T) {
+// A burst asks one engine to read more prompts than it can in time. If they were all sent,
+// each would wait in the engine's queue behind the others, and prompts whose callers have
+// left would be read for nothing. They wait in the pool instead.
+func TestPrefillBacklogIsBounded(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	running := 0
 	for i := range uint64(40) {
 		ticket, err := p.Ask(start, prompt("a", i, 1_000+i, 2_000))
-		if err == nil && started(ticket) {
+		if err == nil && isGranted(ticket) {
 			running++
 		}
 	}
 	require.Equal(t, 1, running)
 }
 
-// Saturation: what can't have its turn in time is refused at once, with when to
-// come back, and not held until it is late.
+// Under saturation, a request that can't be granted in time is refused at once with a retry
+// delay, instead of being held until it is late.
 func TestSaturationIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	refused := 0
 	for i := range uint64(60) {
 		_, err := p.Ask(start, prompt("a", i, 1_000+i, 2_000))
@@ -120,11 +120,11 @@
 	require.Greater(t, refused, 40)
 }
 
-// One account floods the service and another asks now and then. The small one's
-// turn comes next, whatever stands in the queue before it.
+// One account floods the service while another sends a single request, which must be
+// granted next regardless of the queue.
 func TestSmallAccountGoesBeforeAFlood(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	flood := make([]*turn.Ticket, 0, 10)
 	for i := range uint64(10) {
 		if ticket, err := p.Ask(start, prompt("flood", i, 1_000+i, 1_000)); err == nil {
@@ -133,25 +133,25 @@
 	}
 	small, err := p.Ask(start, prompt("small", 99, 999, 1_000))
 	require.NoError(t, err)
-	require.False(t, started(small))
+	require.False(t, isGranted(small))
 	flood[0].First(start.Add(100 * time.Millisecond))
-	require.True(t, started(small))
-	for _, waiting := range flood[1:] {
-		require.False(t, started(waiting))
+	require.True(t, isGranted(small))
+	for _, ticket := range flood[1:] {
+		require.False(t, isGranted(ticket))
 	}
 }
 
-// The accounts arrive at different routers: one floods here, another waits
-// there. Without a word between the routers this one would give each place that
-// comes free to the flood, and the other account would wait for ever.
-func TestAccountThatWaitsElsewhereIsLeftRoom(t *testing.T) {
+// One account floods this router while another waits at a different one. Without reports
+// between routers, this one would give all free room to the flood, and the other account
+// would wait for ever.
+func TestRoomIsLeftForAccountsWaitingAtOtherRouters(t *testing.T) {
 	t.Parallel()
 	const reading = 250 * time.Millisecond
 	serve := func(waiting int) int {
-		p := pool(1)
+		p := newPool(1)
 		count := 0
 		var queue []*turn.Ticket
-		since := make(map[*turn.Ticket]time.Time)
+		grantedAt := make(map[*turn.Ticket]time.Time)
 		for i := range 300 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 			p.Observe(now, "other", turn.Report{
@@ -162,11 +162,11 @@
 			require.NoError(t, err)
 			queue = append(queue, ticket)
 			for _, waiting := range queue {
-				if _, known := since[waiting]; !known && started(waiting) {
-					since[waiting] = now
+				if _, known := grantedAt[waiting]; !known && isGranted(waiting) {
+					grantedAt[waiting] = now
 				}
 			}
-			if begun, ok := since[queue[0]]; ok && now.Sub(begun) >= reading {
+			if at, ok := grantedAt[queue[0]]; ok && now.Sub(at) >= reading {
 				queue[0].First(now)
 				queue[0].End(now, turn.Served)
 				queue = queue[1:]
@@ -178,12 +178,12 @@
 	require.Less(t, serve(20_000), serve(0)/2)
 }
 
-// Two accounts wait for a busy engine, of which one was served much of late. What
-// both ask can't be served. The one that was served less waits longer before it is
-// refused, or the other, with more requests, would have nearly every place.
+// Two accounts wait for a busy engine that can't serve both, and one had much service
+// recently. The one with less waits longer before it is refused; otherwise the other, with
+// more requests, would get nearly all the room.
 func TestAccountServedLessWaitsLonger(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	p.Observe(start, "other", turn.Report{
 		Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 20_000, InFlight: 1}},
 		Accounts:  map[turn.Key]turn.Standing{turn.KeyOf(fleet.AccountID("rich")): {Served: 500_000, Denied: 500_000}},
@@ -196,11 +196,11 @@
 	require.Less(t, rich.Patience(), target/2)
 }
 
-// Another router's last report is a second and a half old: it was cut off or is
-// gone. What it had at the engines must not block them for ever.
-func TestOldReportsOfARouterDoNotCount(t *testing.T) {
+// Another router's last report is older than a second and a half, so the router is
+// disconnected or gone. The load in that report must not block the engines for ever.
+func TestExpiredReportsAreIgnored(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	full := turn.Report{Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 1 << 20, InFlight: 64}}}
 	p.Observe(start, "gone", full)
 	ticket, err := p.Ask(start, prompt("a", 1, 2, 0))
@@ -210,15 +210,14 @@
 	p.Observe(later, "other", turn.Report{})
 	ticket, err = p.Ask(later, prompt("a", 1, 2, 0))
 	require.NoError(t, err)
-	require.True(t, started(ticket))
+	require.True(t, isGranted(ticket))
 }
 
-// All other routers lose power. No report comes any more that would take the place
-// of their last ones, and the router that is left refuses everything because of
-// what they had in flight.
-func TestLastRouterForgetsWhatTheOthersHad(t *testing.T) {
+// All other routers lose power, so no new report replaces their last ones. Guards against a
+// remaining router that refuses everything because of the load in those reports.
+func TestReportsExpireWhenAllOtherRoutersAreGone(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	p.Observe(start, "gone", turn.Report{
 		Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 1 << 20, InFlight: 64}},
 	})
@@ -226,14 +225,14 @@
 	require.Error(t, err)
 	ticket, err := p.Ask(start.Add(2*time.Second), prompt("a", 1, 2, 0))
 	require.NoError(t, err)
-	require.True(t, started(ticket))
+	require.True(t, isGranted(ticket))
 }
 
-// An engine starts again under its id, with an empty cache. What its former life
-// had must not be counted on.
-func TestNewLifeOfAnEngineHasAnEmptyCache(t *testing.T) {
+// An engine restarts under the same ID with an empty cache. The cache contents of its
+// previous instance must not be assumed.
+func TestRestartedEngineHasAnEmptyCache(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	first, err := p.Ask(start, prompt("a", 1, 2, 500))
 	require.NoError(t, err)
 	require.Equal(t, 10_500, first.Work())
@@ -242,19 +241,18 @@
 	require.NoError(t, err)
 	require.Equal(t, 500, second.Work())
 	second.End(start, turn.Served)
-	reborn := engines(1)
-	reborn[0].Life = 2
-	p.Set(start, reborn, target)
+	restarted := newEngines(1)
+	restarted[0].Life = 2
+	p.Set(start, restarted, target)
 	third, err := p.Ask(start, prompt("a", 1, 4, 500))
 	require.NoError(t, err)
 	require.Equal(t, 10_500, third.Work())
 }
 
-// A request was refused by one upstream and asks for another turn. It is not
-// sent back to the one that refused it.
-func TestTriedUpstreamsAreLeftOut(t *testing.T) {
+// A request refused by one upstream asks for another turn. It must not be sent back there.
+func TestTriedUpstreamsAreSkipped(t *testing.T) {
 	t.Parallel()
-	p := pool(2)
+	p := newPool(2)
 	d := prompt("a", 1, 2, 0)
 	first, err := p.Ask(start, d)
 	require.NoError(t, err)
@@ -270,33 +268,32 @@
 	require.True(t, refused.NoUpstream)
 }
 
-// A plain application has three upstreams of six slots. Requests go where least
-// is in flight, one of them that reaches nothing is left, and no more than twice
-// the slots are sent to one.
+// A plain application has three upstreams of six slots. Requests go to the upstream with
+// the fewest in flight, and no upstream gets more than twice its slots.
 func TestPlainRequestsSpreadAndAreBounded(t *testing.T) {
 	t.Parallel()
 	p := &turn.Pool{Placement: turn.LeastLoaded{}}
-	list := engines(3)
-	for i := range list {
-		list[i].Slots = 6
+	upstreams := newEngines(3)
+	for i := range upstreams {
+		upstreams[i].Slots = 6
 	}
-	p.Set(start, list, 0)
+	p.Set(start, upstreams, 0)
 	counts := make(map[fleet.UpstreamID]int)
 	for range 50 {
 		ticket, err := p.Ask(start, turn.Demand{Account: "a", Input: 1, Patience: time.Second})
 		require.NoError(t, err)
-		if started(ticket) {
+		if isGranted(ticket) {
 			counts[ticket.Upstream().ID]++
 		}
 	}
 	require.Equal(t, map[fleet.UpstreamID]int{"e0": 12, "e1": 12, "e2": 12}, counts)
 }
 
-// A caller leaves while its request waits. Its place in the queue is free, and
-// if the turn came at the same moment, it is given back.
+// A caller leaves while its request waits. Its place in the queue becomes free; when the
+// turn was granted at the same moment, GiveUp returns nil.
 func TestGiveUpLeavesTheQueue(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	first, err := p.Ask(start, prompt("a", 1, 2, 8_000))
 	require.NoError(t, err)
 	second, err := p.Ask(start, prompt("a", 3, 4, 8_000))
@@ -307,12 +304,12 @@
 	require.NotNil(t, refused)
 	require.Equal(t, time.Second, refused.Waited)
 	first.End(start.Add(time.Second), turn.Served)
-	require.True(t, started(third))
+	require.True(t, isGranted(third))
 	require.Nil(t, third.GiveUp(start.Add(time.Second)))
 }
 
 func BenchmarkAsk(b *testing.B) {
-	p := pool(12)
+	p := newPool(12)
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		ticket, err := p.Ask(now, prompt("a", uint64(i%400), uint64(1_000+i), 500))
@@ -324,9 +321,9 @@
 	}
 }
 
-// A burst fills the queue; each event at an engine looks through it.
-func BenchmarkPumpWithAFullQueue(b *testing.B) {
-	p := pool(12)
+// A burst fills the queue; each engine event searches it.
+func BenchmarkStartWaitingWithFullQueue(b *testing.B) {
+	p := newPool(12)
 	for i := range uint64(200) {
 		d := prompt("a", i, 1_000+i, 20_000)
 		d.Patience = time.Hour
@@ -339,16 +336,16 @@
 	}
 }
 
-// Guards against a process that ends because a request still waits when the last upstream goes.
-func TestRequestThatWaitsOutlivesTheLastUpstream(t *testing.T) {
+// Guards against a crash when the last upstream is removed while a request waits.
+func TestPoolSurvivesRemovalOfLastUpstream(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	granted, err := p.Ask(start, prompt("a", 1, 2, 40_000))
 	require.NoError(t, err)
-	require.True(t, started(granted))
+	require.True(t, isGranted(granted))
 	waiting, err := p.Ask(start, prompt("b", 1, 3, 1_000))
 	require.NoError(t, err)
-	require.False(t, started(waiting))
+	require.False(t, isGranted(waiting))
 	p.Set(start, nil, target)
 	refused := waiting.GiveUp(start)
 	require.NotNil(t, refused)
@@ -357,23 +354,23 @@
 	granted.End(start, turn.Failed)
 }
 
-// Guards against a request that waits out its patience although no upstream is left.
-func TestRequestThatWaitsIsRefusedWithTheLastUpstream(t *testing.T) {
+// Guards against a request that waits until its patience ends although no upstream is left.
+func TestWaitingRequestIsRefusedWithoutUpstream(t *testing.T) {
 	t.Parallel()
 	for name, empty := range map[string]func(p *turn.Pool, tried turn.Instance){
 		"all have left":          func(p *turn.Pool, _ turn.Instance) { p.Set(start, nil, target) },
-		"only a tried one stays": func(p *turn.Pool, _ turn.Instance) { p.Set(start, engines(1), target) },
+		"only a tried one stays": func(p *turn.Pool, _ turn.Instance) { p.Set(start, newEngines(1), target) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := pool(2)
-			tried := turn.InstanceOf(engines(1)[0])
+			p := newPool(2)
+			tried := turn.InstanceOf(newEngines(1)[0])
 			d := prompt("b", 1, 3, 1_000)
 			d.Tried = []turn.Instance{tried}
-			fill(t, p)
+			fillEngines(t, p)
 			waiting, err := p.Ask(start, d)
 			require.NoError(t, err)
-			require.False(t, started(waiting))
+			require.False(t, isGranted(waiting))
 			empty(p, tried)
 			require.Len(t, waiting.Refused(), 1)
 			refused := <-waiting.Refused()
@@ -384,66 +381,69 @@
 	}
 }
 
-// fill gives each upstream of a pool of two a prompt that takes its target to read.
-func fill(t *testing.T, p *turn.Pool) {
+// fillEngines gives each upstream of a pool of two a prompt that takes its whole target to
+// read.
+func fillEngines(t *testing.T, p *turn.Pool) {
 	t.Helper()
 	for i := range uint64(2) {
 		d := prompt("a", 1, 10+i, 40_000)
 		if i > 0 {
-			d.Tried = []turn.Instance{turn.InstanceOf(engines(2)[0])}
+			d.Tried = []turn.Instance{turn.InstanceOf(newEngines(2)[0])}
 		} else {
-			d.Tried = []turn.Instance{turn.InstanceOf(engines(2)[1])}
+			d.Tried = []turn.Instance{turn.InstanceOf(newEngines(2)[1])}
 		}
 		ticket, err := p.Ask(start, d)
 		require.NoError(t, err)
-		require.True(t, started(ticket))
+		require.True(t, isGranted(ticket))
 	}
 }
 
-// Guards against a request that stays with an upstream that has left while another one is free.
-func TestRequestThatWaitsMovesToAnUpstreamThatComes(t *testing.T) {
+// Guards against a request that keeps waiting for a removed upstream while another one is
+// free.
+func TestWaitingRequestMovesToNewUpstream(t *testing.T) {
 	t.Parallel()
-	p := pool(2)
-	fill(t, p)
+	p := newPool(2)
+	fillEngines(t, p)
 	waiting, err := p.Ask(start, prompt("b", 1, 3, 1_000))
 	require.NoError(t, err)
-	require.False(t, started(waiting))
-	p.Set(start, engines(3)[2:], target)
-	require.True(t, started(waiting))
-	require.Equal(t, engines(3)[2].ID, waiting.Upstream().ID)
+	require.False(t, isGranted(waiting))
+	p.Set(start, newEngines(3)[2:], target)
+	require.True(t, isGranted(waiting))
+	require.Equal(t, newEngines(3)[2].ID, waiting.Upstream().ID)
 }
 
-// Guards against a queue that is counted down twice when a wait ends twice, as it does when a
-// home's patience ends while the router that asked leaves.
-func TestWaitThatEndsTwiceIsCountedOnce(t *testing.T) {
+// Guards against a queue length that is decremented twice when a wait ends twice, as when a
+// home's patience ends while the asking router disconnects.
+func TestGiveUpTwiceIsCountedOnce(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
+	p := newPool(1)
 	first, err := p.Ask(start, prompt("a", 1, 2, 40_000))
 	require.NoError(t, err)
 	patient := prompt("b", 1, 3, 1_000)
 	patient.Patience = time.Minute
-	given, err := p.Ask(start, patient)
+	givenUp, err := p.Ask(start, patient)
 	require.NoError(t, err)
 	kept, err := p.Ask(start, patient)
 	require.NoError(t, err)
-	require.NotNil(t, given.GiveUp(start))
-	require.NotNil(t, given.GiveUp(start))
-	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(engines(1)[0].ID)].Waiting)
+	require.NotNil(t, givenUp.GiveUp(start))
+	require.NotNil(t, givenUp.GiveUp(start))
+	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(newEngines(1)[0].ID)].Waiting)
 	first.End(start, turn.Served)
-	require.True(t, started(kept), "what waits is still seen")
+	require.True(t, isGranted(kept), "what waits is still seen")
 }
 
-// Guards against a process that ends because another router tells of a turn that it hasn't got.
-func TestEventsOfATurnThatHasNotComeAreIgnored(t *testing.T) {
+// Guards against a crash when another router sends events of a turn that hasn't been
+// granted.
+func TestEventsBeforeGrantAreIgnored(t *testing.T) {
 	t.Parallel()
-	p := pool(1)
-	fills := prompt("a", 1, 2, 40_000)
-	_, err := p.Ask(start, fills)
+	p := newPool(1)
+	large := prompt("a", 1, 2, 40_000)
+	_, err := p.Ask(start, large)
 	require.NoError(t, err)
 	waiting, err := p.Ask(start, prompt("b", 1, 3, 1_000))
 	require.NoError(t, err)
-	require.False(t, started(waiting))
+	require.False(t, isGranted(waiting))
 	waiting.First(start)
 	waiting.End(start, turn.Served)
-	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(engines(1)[0].ID)].Waiting)
+	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(newEngines(1)[0].ID)].Waiting)
 }
