--- a/waiting/waiting.go
+++ b/waiting/waiting.go
@@ -1,9 +1,9 @@
-// Package waiting holds requests that wait for their turn.
+// Package waiting provides a keyed FIFO queue with deadlines for requests that wait to be
+// scheduled.
 //
-// It answers bursts, in which thousands of requests wait and most of the
-// changes are not at a queue's head: callers hang up, deadlines pass. A queue
-// that finds a request by looking through all of them spends its time on
-// those that leave rather than those that are served.
+// It is built for bursts, in which thousands of requests wait and most of them leave from
+// the middle of the queue because their caller disconnects or their deadline passes.
+// Removing an item therefore takes O(log n) rather than a search through the queue.
 package waiting
 
 import (
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Queue holds values in order of arrival for each key, and knows the deadline
-// of each. Its zero value is ready to use. It is used by one goroutine.
+// Queue holds values in order of arrival for each key and tracks their deadlines. Its zero
+// value is ready to use. It is not safe for concurrent use.
 type Queue[K comparable, V any] struct {
-	lines     map[K]*line[K, V]
-	deadlines deadlines[K, V]
+	byKey     map[K]*fifo[K, V]
+	deadlines deadlineHeap[K, V]
 }
 
-// Item is one value that waits.
+// Item is one queued value.
 type Item[K comparable, V any] struct {
 	key      K
 	value    V
@@ -26,109 +26,108 @@
 	deadline time.Time
 
 	previous, next *Item[K, V]
-	// place is the position among the deadlines plus one; zero when the item
-	// is not queued.
-	place int
+	// heapIndex is the item's index in the deadline heap plus one; zero when the item is
+	// not queued.
+	heapIndex int
 }
 
-// Key returns what the item waits under.
+// Key returns the key that the item is queued under.
 func (i *Item[K, V]) Key() K { return i.key }
 
-// Value returns what waits.
+// Value returns the queued value.
 func (i *Item[K, V]) Value() V { return i.value }
 
-// Since returns when the item began to wait.
+// Since returns when the item was queued.
 func (i *Item[K, V]) Since() time.Time { return i.since }
 
-// Deadline returns when the item is to be given up; the zero time for never.
+// Deadline returns when the item expires; the zero time means never.
 func (i *Item[K, V]) Deadline() time.Time { return i.deadline }
 
-// line is what waits under one key, oldest first.
-type line[K comparable, V any] struct {
+// fifo is the linked list of one key's items, oldest first.
+type fifo[K comparable, V any] struct {
 	head, tail *Item[K, V]
 	length     int
 }
 
-// Push adds value behind all others of key, and returns its item. A zero
-// deadline never passes.
+// Push appends value to the queue of key and returns its item. An item with a zero deadline
+// never expires.
 func (q *Queue[K, V]) Push(key K, value V, since, deadline time.Time) *Item[K, V] {
-	if q.lines == nil {
-		q.lines = make(map[K]*line[K, V])
+	if q.byKey == nil {
+		q.byKey = make(map[K]*fifo[K, V])
 	}
-	l := q.lines[key]
-	if l == nil {
-		l = &line[K, V]{}
-		q.lines[key] = l
+	list := q.byKey[key]
+	if list == nil {
+		list = &fifo[K, V]{}
+		q.byKey[key] = list
 	}
-	item := &Item[K, V]{key: key, value: value, since: since, deadline: deadline, previous: l.tail}
-	if l.tail == nil {
-		l.head = item
+	item := &Item[K, V]{key: key, value: value, since: since, deadline: deadline, previous: list.tail}
+	if list.tail == nil {
+		list.head = item
 	} else {
-		l.tail.next = item
+		list.tail.next = item
 	}
-	l.tail = item
-	l.length++
+	list.tail = item
+	list.length++
 	heap.Push(&q.deadlines, item)
 	return item
 }
 
-// Remove takes an item out in O(log n) and reports whether it was queued.
+// Remove removes an item in O(log n) and reports whether it was queued.
 func (q *Queue[K, V]) Remove(item *Item[K, V]) bool {
-	if item == nil || item.place == 0 {
+	if item == nil || item.heapIndex == 0 {
 		return false
 	}
-	heap.Remove(&q.deadlines, item.place-1)
-	l := q.lines[item.key]
+	heap.Remove(&q.deadlines, item.heapIndex-1)
+	list := q.byKey[item.key]
 	if item.previous == nil {
-		l.head = item.next
+		list.head = item.next
 	} else {
 		item.previous.next = item.next
 	}
 	if item.next == nil {
-		l.tail = item.previous
+		list.tail = item.previous
 	} else {
 		item.next.previous = item.previous
 	}
 	item.previous, item.next = nil, nil
-	l.length--
-	if l.length == 0 {
-		delete(q.lines, item.key)
+	list.length--
+	if list.length == 0 {
+		delete(q.byKey, item.key)
 	}
 	return true
 }
 
-// Head returns the item of key that has waited longest, nil when none waits.
+// Head returns the oldest item of key, nil when there is none.
 func (q *Queue[K, V]) Head(key K) *Item[K, V] {
-	if l := q.lines[key]; l != nil {
-		return l.head
+	if list := q.byKey[key]; list != nil {
+		return list.head
 	}
 	return nil
 }
 
-// Next returns the item behind this one under the same key, nil at the end.
+// Next returns the next newer item of the same key, nil at the end.
 func (i *Item[K, V]) Next() *Item[K, V] { return i.next }
 
-// Pop removes and returns the item of key that has waited longest, nil when
-// none waits.
+// Pop removes and returns the oldest item of key, nil when there is none.
 func (q *Queue[K, V]) Pop(key K) *Item[K, V] {
 	item := q.Head(key)
 	q.Remove(item)
 	return item
 }
 
-// Len returns how many items wait under key.
+// Len returns the number of items queued under key.
 func (q *Queue[K, V]) Len(key K) int {
-	if l := q.lines[key]; l != nil {
-		return l.length
+	if list := q.byKey[key]; list != nil {
+		return list.length
 	}
 	return 0
 }
 
-// Total returns how many items wait.
+// Total returns the number of queued items.
 func (q *Queue[K, V]) Total() int { return len(q.deadlines) }
 
-// Expire removes and returns the items whose deadline is not after now, the
-// earliest deadline first.
+// Expire removes and returns the items whose deadline is not after now, in order of
+// deadline.
 func (q *Queue[K, V]) Expire(now time.Time) []*Item[K, V] {
 	var expired []*Item[K, V]
 	for len(q.deadlines) > 0 {
@@ -150,37 +149,36 @@
 	return q.deadlines[0].deadline, true
 }
 
-// deadlines is a heap of all items, the earliest deadline first and items
-// without one last.
-type deadlines[K comparable, V any] []*Item[K, V]
+// deadlineHeap is a heap of all items by deadline, with items without one last.
+type deadlineHeap[K comparable, V any] []*Item[K, V]
 
-func (d deadlines[K, V]) Len() int { return len(d) }
+func (d deadlineHeap[K, V]) Len() int { return len(d) }
 
-func (d deadlines[K, V]) Less(i, j int) bool {
+func (d deadlineHeap[K, V]) Less(i, j int) bool {
 	if d[i].deadline.IsZero() || d[j].deadline.IsZero() {
 		return !d[i].deadline.IsZero()
 	}
 	return d[i].deadline.Before(d[j].deadline)
 }
 
-func (d deadlines[K, V]) Swap(i, j int) {
+func (d deadlineHeap[K, V]) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].place, d[j].place = i+1, j+1
+	d[i].heapIndex, d[j].heapIndex = i+1, j+1
 }
 
-// Push is called by container/heap.
-func (d *deadlines[K, V]) Push(x any) {
+// Push implements heap.Interface.
+func (d *deadlineHeap[K, V]) Push(x any) {
 	item := x.(*Item[K, V])
 	*d = append(*d, item)
-	item.place = len(*d)
+	item.heapIndex = len(*d)
 }
 
-// Pop is called by container/heap.
-func (d *deadlines[K, V]) Pop() any {
+// Pop implements heap.Interface.
+func (d *deadlineHeap[K, V]) Pop() any {
 	last := len(*d) - 1
 	item := (*d)[last]
 	(*d)[last] = nil
 	*d = (*d)[:last]
-	item.place = 0
+	item.heapIndex = 0
 	return item
 }
--- a/waiting/waiting_test.go
+++ b/waiting/waiting_test.go
@@ -12,36 +12,36 @@
 	"nutmeglock.example/nutmeglock/waiting"
 )
 
-// Properties are drawn from a fixed seed, so that each run checks the same.
+// A fixed seed makes each run check the same cases.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// modelled is what a list says of one item.
-type modelled struct {
-	item *waiting.Item[string, int]
-	key  string
-	end  int
+// expectedItem is an item of the list model.
+type expectedItem struct {
+	item     *waiting.Item[string, int]
+	key      string
+	deadline int
 }
 
-// A queue answers as a plain list does, whatever is pushed, popped, removed
-// and expired in between.
-func TestQueueAgreesWithAList(t *testing.T) {
+// A queue must behave like a plain list through any sequence of pushes, pops, removals and
+// expiries.
+func TestQueueMatchesListModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		var queue waiting.Queue[string, int]
-		var list []modelled
+		var list []expectedItem
 		at := func(second int) time.Time { return epoch.Add(time.Duration(second) * time.Second) }
 		for step := range rapid.IntRange(0, 60).Draw(t, "steps") {
 			key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 			second := rapid.IntRange(0, 50).Draw(t, "second")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				list = append(list, modelled{queue.Push(key, step, epoch, at(second)), key, second})
+				list = append(list, expectedItem{queue.Push(key, step, epoch, at(second)), key, second})
 			case 2:
-				i := slices.IndexFunc(list, func(m modelled) bool { return m.key == key })
+				i := slices.IndexFunc(list, func(m expectedItem) bool { return m.key == key })
 				item := queue.Pop(key)
 				require.Equal(t, i < 0, item == nil)
 				if i >= 0 {
@@ -59,7 +59,7 @@
 			default:
 				expired := queue.Expire(at(second))
 				before := len(list)
-				list = slices.DeleteFunc(list, func(m modelled) bool { return m.end <= second })
+				list = slices.DeleteFunc(list, func(m expectedItem) bool { return m.deadline <= second })
 				require.Len(t, expired, before-len(list))
 			}
 			require.Equal(t, len(list), queue.Total())
@@ -92,8 +92,8 @@
 	require.Nil(t, queue.Head("b"))
 }
 
-// A cut connection makes ten thousand callers hang up at once. Looking for
-// each in a list would take fifty million steps while others wait.
+// A lost connection makes ten thousand callers leave at once. Searching a list for each of
+// them would take fifty million steps while other requests wait.
 func BenchmarkRemove(b *testing.B) {
 	var queue waiting.Queue[int, int]
 	items := make([]*waiting.Item[int, int], 10_000)
