--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,13 +1,11 @@
-// Package prefix estimates which beginnings of prompts an upstream has in its
-// cache.
+// Package prefix estimates which prompt prefixes an upstream has in its cache.
 //
-// It answers prefix-heavy traffic. Cache events come late and with gaps, so an
-// Index never knows; it keeps what was stored or sent lately and says how much
-// of a prompt is probably there. A wrong guess costs a prefill and nothing
-// else, so nothing is asked back. Without ageing, an index that missed the
-// evictions would send a popular beginning to an upstream that has long lost
-// it; without counting what was sent, all requests of a burst would be placed
-// before the first event arrives.
+// It serves traffic with many shared prefixes. Cache events arrive late and with gaps, so
+// an Index is only an estimate, based on the prefixes recently stored or sent. A wrong
+// estimate costs one prefill and nothing else, so no upstream is asked to confirm it.
+// Entries expire, since an index that missed the evictions would keep sending a popular
+// prefix to an upstream that has long dropped it. Sent prefixes count at once, since all
+// requests of a burst are placed before the first event arrives.
 package prefix
 
 import (
@@ -19,68 +17,68 @@
 
 // Defaults and thresholds of an Index.
 const (
-	// defaultCapacity is the number of beginnings kept per upstream: at some
-	// 150 bytes each, the 26 upstreams of a dispatcher take 16 MB.
+	// defaultCapacity is the number of prefixes kept per upstream. At about 150 bytes each,
+	// the 26 upstreams of a dispatcher take 16 MB.
 	defaultCapacity = 4096
-	// defaultAge is how long a stored beginning counts without being stored or
-	// sent again. Caches are small, so what was not used for ten minutes is
-	// probably gone even if no event said so.
-	defaultAge = 10 * time.Minute
-	// sentAge is how long a beginning counts that was sent but that no event
-	// has confirmed. Events come late by seconds; after a minute it was lost
-	// or never stored.
-	sentAge = time.Minute
-	// doubt is the trust in entries from before a gap in the events: the gap
-	// may have held their eviction.
-	doubt = 0.5
+	// defaultMaxAge is how long a stored prefix counts unless it is stored or sent again.
+	// Caches are small, so a prefix unused for ten minutes is probably evicted even without
+	// an event.
+	defaultMaxAge = 10 * time.Minute
+	// maxSentAge is how long a sent prefix counts without an event that confirms it. Events
+	// are seconds late; after a minute the event was lost or the prefix never stored.
+	maxSentAge = time.Minute
+	// gapTrust is the probability assumed for entries stored before a gap in the events,
+	// which may have contained their eviction.
+	gapTrust = 0.5
 )
 
-// Kind is what an event says of a beginning.
+// Kind is the type of a cache event.
 type Kind int
 
 const (
-	// Stored means that the upstream put the beginning into its cache.
+	// Stored means that the upstream added the prefix to its cache.
 	Stored Kind = iota + 1
-	// Evicted means that the upstream dropped the beginning.
+	// Evicted means that the upstream dropped the prefix.
 	Evicted
 )
 
-// Event is one cache event of an upstream. Sequence numbers rise by one.
+// Event is one cache event of an upstream. Sequence numbers increase by one.
 type Event struct {
 	Sequence uint64
 	Kind     Kind
 	Prefix   uint64
 }
 
-// Index holds the probable cache contents of upstreams. Its zero value is
-// ready to use. It is used by one goroutine.
+// Index holds the probable cache contents of upstreams. Its zero value is ready to use. It
+// is not safe for concurrent use.
 type Index struct {
-	// Capacity bounds the beginnings kept per upstream; zero means 4096.
+	// Capacity bounds the prefixes kept per upstream; zero means 4096.
 	Capacity int
-	// Age is how long a stored beginning counts; zero means ten minutes.
+	// Age is how long a stored prefix counts; zero means ten minutes.
 	Age       time.Duration
 	upstreams map[fleet.Number]*cache
 }
 
-// cache is what is known of one upstream. The list has the beginnings in
-// order of use, the latest first.
+// cache is the estimated cache of one upstream. recency lists the entries, most recently
+// used first.
 type cache struct {
 	sequence uint64
-	doubted  time.Time
+	lastGap  time.Time
 	entries  map[uint64]*list.Element
-	used     *list.List
+	recency  *list.List
 }
 
 type entry struct {
 	prefix uint64
-	// stored is when an event named it, sent when a request carried it.
+	// stored is the time of the last Stored event, sent that of the last request with the
+	// prefix.
 	stored time.Time
 	sent   time.Time
 }
 
-// Apply takes events of an upstream in the order in which they came. One that
-// was seen before changes nothing. A gap halves the trust in what was stored
-// before it.
+// Apply applies an upstream's events in order of arrival. Events that were already applied
+// are ignored. After a gap in the sequence, entries stored before it are trusted half as
+// much.
 func (x *Index) Apply(now time.Time, upstream fleet.Number, events []Event) {
 	c := x.cache(upstream)
 	for _, event := range events {
@@ -88,12 +86,12 @@
 			continue
 		}
 		if c.sequence > 0 && event.Sequence > c.sequence+1 {
-			c.doubted = now
+			c.lastGap = now
 		}
 		c.sequence = event.Sequence
 		switch event.Kind {
 		case Stored:
-			x.touch(c, event.Prefix).stored = now
+			x.useEntry(c, event.Prefix).stored = now
 		case Evicted:
 			c.remove(event.Prefix)
 		}
@@ -108,57 +106,57 @@
 	return 0
 }
 
-// Sent notes that a request with these beginnings goes to the upstream, which
-// will probably have them soon.
-func (x *Index) Sent(now time.Time, upstream fleet.Number, blocks []uint64) {
+// Sent records that a request with these prefixes is sent to the upstream, which will
+// probably cache them soon.
+func (x *Index) Sent(now time.Time, upstream fleet.Number, prefixes []uint64) {
 	c := x.cache(upstream)
-	for _, block := range blocks {
-		x.touch(c, block).sent = now
+	for _, prefix := range prefixes {
+		x.useEntry(c, prefix).sent = now
 	}
 }
 
-// Affinity returns the part of a prompt that the upstream probably has, from
-// 0 to 1. Blocks identify the beginnings of the prompt from short to long.
-func (x *Index) Affinity(now time.Time, upstream fleet.Number, blocks []uint64) float64 {
+// Affinity returns the part of a prompt, from 0 to 1, that the upstream probably has
+// cached. Prefixes are the hashes of the prompt's prefixes from short to long.
+func (x *Index) Affinity(now time.Time, upstream fleet.Number, prefixes []uint64) float64 {
 	c := x.upstreams[upstream]
 	if c == nil {
 		return 0
 	}
-	for i := len(blocks) - 1; i >= 0; i-- {
-		if trust := x.trust(now, c, blocks[i]); trust > 0 {
-			return trust * float64(i+1) / float64(len(blocks))
+	for i := len(prefixes) - 1; i >= 0; i-- {
+		if trust := x.trust(now, c, prefixes[i]); trust > 0 {
+			return trust * float64(i+1) / float64(len(prefixes))
 		}
 	}
 	return 0
 }
 
-func (x *Index) trust(now time.Time, c *cache, block uint64) float64 {
-	element := c.entries[block]
+func (x *Index) trust(now time.Time, c *cache, prefix uint64) float64 {
+	element := c.entries[prefix]
 	if element == nil {
 		return 0
 	}
 	e := element.Value.(*entry)
-	if now.Sub(e.sent) < sentAge {
+	if now.Sub(e.sent) < maxSentAge {
 		return 1
 	}
-	age := x.Age
-	if age <= 0 {
-		age = defaultAge
+	maxAge := x.Age
+	if maxAge <= 0 {
+		maxAge = defaultMaxAge
 	}
 	switch {
-	case e.stored.IsZero() || now.Sub(e.stored) >= age:
+	case e.stored.IsZero() || now.Sub(e.stored) >= maxAge:
 		return 0
-	case !e.stored.After(c.doubted):
-		return doubt
+	case !e.stored.After(c.lastGap):
+		return gapTrust
 	}
 	return 1
 }
 
-// Forget drops all that is known of an upstream: it left, or its sequence
-// numbers began anew because it restarted with an empty cache.
+// Forget drops the state of an upstream that was removed, or that restarted with an empty
+// cache and new sequence numbers.
 func (x *Index) Forget(upstream fleet.Number) { delete(x.upstreams, upstream) }
 
-// Len returns how many beginnings are kept for an upstream.
+// Len returns the number of prefixes kept for an upstream.
 func (x *Index) Len(upstream fleet.Number) int {
 	if c := x.upstreams[upstream]; c != nil {
 		return len(c.entries)
@@ -174,16 +172,16 @@
 	if x.upstreams == nil {
 		x.upstreams = make(map[fleet.Number]*cache)
 	}
-	c = &cache{entries: make(map[uint64]*list.Element), used: list.New()}
+	c = &cache{entries: make(map[uint64]*list.Element), recency: list.New()}
 	x.upstreams[upstream] = c
 	return c
 }
 
-// touch returns the entry of a beginning as the one used last, and drops the
-// one that was unused for longest when there are too many.
-func (x *Index) touch(c *cache, prefix uint64) *entry {
+// useEntry returns the entry of a prefix, marked as most recently used. It creates the
+// entry if necessary, and evicts the least recently used one when the cache is full.
+func (x *Index) useEntry(c *cache, prefix uint64) *entry {
 	if element := c.entries[prefix]; element != nil {
-		c.used.MoveToFront(element)
+		c.recency.MoveToFront(element)
 		return element.Value.(*entry)
 	}
 	capacity := x.Capacity
@@ -191,10 +189,10 @@
 		capacity = defaultCapacity
 	}
 	if len(c.entries) >= capacity {
-		c.remove(c.used.Back().Value.(*entry).prefix)
+		c.remove(c.recency.Back().Value.(*entry).prefix)
 	}
 	e := &entry{prefix: prefix}
-	c.entries[prefix] = c.used.PushFront(e)
+	c.entries[prefix] = c.recency.PushFront(e)
 	return e
 }
 
@@ -203,6 +201,6 @@
 	if element == nil {
 		return
 	}
-	c.used.Remove(element)
+	c.recency.Remove(element)
 	delete(c.entries, prefix)
 }
