--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -11,7 +11,7 @@
 	"nutmeglock.example/nutmeglock/placement"
 )
 
-// Properties are drawn from a fixed seed, so that each run checks the same.
+// A fixed seed makes each run check the same cases.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
@@ -59,9 +59,9 @@
 	})
 }
 
-// One beginning takes most of the load. Following the cache alone, all of it
-// waits at one upstream while the others idle; looking at load alone, every
-// upstream computes the beginning anew and other beginnings lose their cache.
+// One prefix makes up most of the load. With cache affinity alone, all requests would wait
+// at one upstream while the others idle; with load alone, every upstream would compute the
+// prefix and evict other prefixes.
 func TestPopularBeginningSpreadsOnlyUnderLoad(t *testing.T) {
 	t.Parallel()
 	place := func(policy placement.Policy, requests int) map[int]int {
