--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,12 +1,11 @@
-// Package rendezvous chooses which node is responsible for a key, so that
-// every router which holds the same list of nodes chooses the same one
-// without asking (highest random weight hashing).
+// Package rendezvous chooses the node that is responsible for a key by rendezvous hashing
+// (highest random weight), so that all routers with the same list of nodes choose the same
+// one without communication.
 //
-// It answers the load pattern of a changing list: when a node leaves, only its
-// own keys move, and they spread over all that stay. With a hash taken modulo
-// the number of nodes nearly every key would move at each change, and every
-// dispatcher and keeper would start anew. Two routers whose lists differ may
-// choose differently; callers have to bear that for as long as the lists do.
+// When a node leaves, only its own keys move, and they are spread over the remaining nodes.
+// With a hash modulo the number of nodes, nearly every key would move at each change, and
+// every dispatcher and keeper would lose its state. Two routers whose lists differ may
+// choose differently; callers must tolerate that until the lists agree.
 package rendezvous
 
 import (
@@ -17,11 +16,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key is a hash of what a node is chosen for.
+// Key is the hash of an object that a node is chosen for.
 type Key uint64
 
-// KeyOf returns the key of id within a domain. Domains keep apart ids of
-// different kinds, so that one node does not gather the keys of equal names.
+// KeyOf returns the key of id within a domain. Domains separate IDs of different kinds, so
+// that equal IDs of several kinds don't all go to the same node.
 func KeyOf(domain, id string) Key {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(domain)
@@ -37,8 +36,8 @@
 	return KeyOf(domain, string(buffer[:]))
 }
 
-// Pick returns the node that is responsible for key. It does not depend on
-// the order of nodes, and is empty when there are none.
+// Pick returns the node responsible for key. The result does not depend on the order of
+// nodes, and is empty when there are none.
 func Pick[N ~string](key Key, nodes []N) N {
 	var best N
 	var bestScore uint64
@@ -51,18 +50,18 @@
 	return best
 }
 
-// Rank returns a copy of nodes with the one that Pick returns first, then the
-// one that Pick would return without it, and so on.
+// Rank returns a copy of nodes in order of preference for key: first the one that Pick
+// returns, then the one that Pick would return without it, and so on.
 func Rank[N ~string](key Key, nodes []N) []N {
 	type scored struct {
 		node  N
 		score uint64
 	}
-	all := make([]scored, len(nodes))
+	nodesByScore := make([]scored, len(nodes))
 	for i, node := range nodes {
-		all[i] = scored{node, Score(key, node)}
+		nodesByScore[i] = scored{node, Score(key, node)}
 	}
-	slices.SortFunc(all, func(a, b scored) int {
+	slices.SortFunc(nodesByScore, func(a, b scored) int {
 		switch {
 		case a.score > b.score:
 			return -1
@@ -71,9 +70,9 @@
 		}
 		return strings.Compare(string(a.node), string(b.node))
 	})
-	ranked := make([]N, len(all))
-	for i, s := range all {
-		ranked[i] = s.node
+	ranked := make([]N, len(nodesByScore))
+	for i, n := range nodesByScore {
+		ranked[i] = n.node
 	}
 	return ranked
 }
@@ -83,7 +82,7 @@
 	return mix(uint64(key) ^ mix(xxhash.Sum64String(string(node))))
 }
 
-// mix spreads each input bit over the whole output, with the constants of the
+// mix makes each output bit depend on every input bit, with the constants of the
 // MurmurHash3 finalizer.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -36,19 +36,19 @@
 	})
 }
 
-// A router is killed. Were the keys chosen modulo the number of routers, most
-// accounts would change their keeper at once, and every account's service
-// would be forgotten together. Only the keys of the killed one may move, each
-// to the next of its rank.
+// Guards against moving keys of other nodes when a router is killed. With a hash modulo the
+// number of routers, most accounts would change their keeper at once and the recorded
+// service of all accounts would be lost together. Only the keys of the killed router may
+// move, each to its second choice.
 func TestOnlyTheKeysOfALostNodeMove(t *testing.T) {
 	t.Parallel()
 	nodes := routers(6)
 	lost := nodes[2]
-	rest := slices.DeleteFunc(slices.Clone(nodes), func(n fleet.RouterID) bool { return n == lost })
+	remaining := slices.DeleteFunc(slices.Clone(nodes), func(n fleet.RouterID) bool { return n == lost })
 	for number := range uint64(2000) {
 		key := rendezvous.KeyOfNumber("keeper", number)
 		before := rendezvous.Rank(key, nodes)
-		after := rendezvous.Pick(key, rest)
+		after := rendezvous.Pick(key, remaining)
 		if before[0] != lost {
 			require.Equal(t, before[0], after)
 			continue
