--- a/turn/placement.go
+++ b/turn/placement.go
@@ -184,7 +184,8 @@
 // Choices returns zero: a request may go to any upstream.
 func (LeastLoaded) Choices() int { return 0 }
 
-// Score returns the part of the slots in use, less sameDataCenterBonus in this router's data centre.
+// Score returns the part of the slots in use, less sameDataCenterBonus in this router's
+// data centre.
 func (LeastLoaded) Score(v *View, e *engine, _ *Demand, _ int) float64 {
 	load := float64(e.fleetInFlight()) / float64(max(e.upstream.Slots, 1))
 	if e.upstream.DataCenter == v.DataCenter {
@@ -193,9 +194,9 @@
 	return load
 }
 
-// sameDataCenterBonus prefers an upstream in this router's data centre unless it has a sixth of its
-// slots more in use: another data centre costs traffic and a millisecond, a queue costs the
-// time of a whole request.
+// sameDataCenterBonus prefers an upstream in this router's data centre unless it has a
+// sixth of its slots more in use: another data centre costs traffic and a millisecond, a
+// queue costs the time of a whole request.
 const sameDataCenterBonus = 0.17
 
 // IsOpen reports whether fewer requests are in flight than allowed.
