--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -54,8 +54,8 @@
 type Index struct {
 	// Capacity bounds the prefixes kept per upstream; zero means 4096.
 	Capacity int
-	// Age is how long a stored prefix counts; zero means ten minutes.
-	Age       time.Duration
+	// MaxAge is how long a stored prefix counts; zero means ten minutes.
+	MaxAge    time.Duration
 	upstreams map[fleet.Number]*cache
 }
 
@@ -106,9 +106,9 @@
 	return 0
 }
 
-// Sent records that a request with these prefixes is sent to the upstream, which will
+// RecordSent records that a request with these prefixes is sent to the upstream, which will
 // probably cache them soon.
-func (x *Index) Sent(now time.Time, upstream fleet.Number, prefixes []uint64) {
+func (x *Index) RecordSent(now time.Time, upstream fleet.Number, prefixes []uint64) {
 	c := x.cache(upstream)
 	for _, prefix := range prefixes {
 		x.useEntry(c, prefix).sent = now
@@ -139,7 +139,7 @@
 	if now.Sub(e.sent) < maxSentAge {
 		return 1
 	}
-	maxAge := x.Age
+	maxAge := x.MaxAge
 	if maxAge <= 0 {
 		maxAge = defaultMaxAge
 	}
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -39,7 +39,7 @@
 func TestSentPrefixesCountBeforeStoredEvents(t *testing.T) {
 	t.Parallel()
 	var index prefix.Index
-	index.Sent(epoch, testUpstream, []uint64{11, 12})
+	index.RecordSent(epoch, testUpstream, []uint64{11, 12})
 	require.InDelta(t, 1, index.Affinity(epoch.Add(time.Second), testUpstream, []uint64{11, 12}), 0)
 	require.Zero(t, index.Affinity(epoch.Add(time.Minute), testUpstream, []uint64{11, 12}), "no event confirmed it")
 }
@@ -78,7 +78,7 @@
 	t.Parallel()
 	index := prefix.Index{Capacity: 3}
 	for block := range uint64(100) {
-		index.Sent(epoch, testUpstream, []uint64{block})
+		index.RecordSent(epoch, testUpstream, []uint64{block})
 	}
 	require.Equal(t, 3, index.Len(testUpstream))
 	require.Zero(t, index.Affinity(epoch, testUpstream, []uint64{96}))
