--- a/placement/placement.go
+++ b/placement/placement.go
@@ -28,7 +28,7 @@
 	Pick(candidates []Candidate) (int, bool)
 }
 
-// Thresholds of Affinity and Prefer.
+// Thresholds of Affinity and AddPreferredAffinity.
 const (
 	// defaultCacheWeight lets a fully cached prompt outweigh half a batch: prefill is a
 	// tenth to a half of a request's work, and until the batch is half full the requests in
@@ -43,15 +43,15 @@
 // Affinity picks the candidate with the lowest load relative to its limit, minus the value
 // of its cache. Its zero value is ready to use.
 type Affinity struct {
-	// Worth is the part of an upstream's limit that a fully cached prompt outweighs; zero
+	// CacheWeight is the part of an upstream's limit that a fully cached prompt outweighs; zero
 	// means 0.5.
-	Worth float64
+	CacheWeight float64
 }
 
 // Pick returns the candidate with the lowest score, and among equals the one with the most
 // free slots.
 func (a Affinity) Pick(candidates []Candidate) (int, bool) {
-	cacheWeight := a.Worth
+	cacheWeight := a.CacheWeight
 	if cacheWeight <= 0 {
 		cacheWeight = defaultCacheWeight
 	}
@@ -84,10 +84,10 @@
 
 func freeSlots(c Candidate) int { return c.Limit - c.InFlight }
 
-// Prefer gives a prefix's preferred upstream a small affinity, so that the first requests
+// AddPreferredAffinity gives a prefix's preferred upstream a small affinity, so that the first requests
 // with the prefix go to the same upstream from any dispatcher before a cache event arrives.
 // A zero prefix has no preferred upstream.
-func Prefer(prefix uint64, candidates []Candidate) {
+func AddPreferredAffinity(prefix uint64, candidates []Candidate) {
 	if prefix == 0 || len(candidates) == 0 {
 		return
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -73,7 +73,7 @@
 			for i := range candidates {
 				candidates[i] = placement.Candidate{Upstream: fleet.Number(i), InFlight: inFlight[i], Limit: 16, Affinity: cached[i]}
 			}
-			placement.Prefer(42, candidates)
+			placement.AddPreferredAffinity(42, candidates)
 			i, ok := policy.Pick(candidates)
 			if !ok {
 				break
@@ -98,8 +98,8 @@
 	for beginning := uint64(1); beginning < 200; beginning++ {
 		forward := []placement.Candidate{{Upstream: 1, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 3, Limit: 9}}
 		backward := []placement.Candidate{{Upstream: 3, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 1, Limit: 9}}
-		placement.Prefer(beginning, forward)
-		placement.Prefer(beginning, backward)
+		placement.AddPreferredAffinity(beginning, forward)
+		placement.AddPreferredAffinity(beginning, backward)
 		i, _ := placement.Affinity{}.Pick(forward)
 		j, _ := placement.Affinity{}.Pick(backward)
 		require.Equal(t, forward[i].Upstream, backward[j].Upstream)
