--- a/turn/order.go
+++ b/turn/order.go
@@ -13,26 +13,26 @@
 // long as a router takes for two stream events, and both a request's router and its home
 // need it.
 func (p *Pool) preferenceOrder(d *Demand) []*engine {
-	shared := d.sharedPrefix()
-	if order, known := p.orderCache[shared]; known {
+	prefix := d.sharedPrefix()
+	if order, known := p.orderCache[prefix]; known {
 		return order
 	}
 	order := p.computeOrder(d)
 	if p.orderCache == nil || len(p.orderCache) >= maxCachedOrders {
 		p.orderCache = make(map[uint64][]*engine)
 	}
-	p.orderCache[shared] = order
+	p.orderCache[prefix] = order
 	return order
 }
 
 func (p *Pool) computeOrder(d *Demand) []*engine {
-	numbers := p.placement().Order(p.upstreams, d)
-	if numbers == nil {
+	indices := p.placement().Order(p.upstreams, d)
+	if indices == nil {
 		return p.engines
 	}
-	order := make([]*engine, len(numbers))
-	for i, n := range numbers {
-		order[i] = p.engines[n]
+	order := make([]*engine, len(indices))
+	for i, index := range indices {
+		order[i] = p.engines[index]
 	}
 	if !p.grouped || len(order) == 0 {
 		return order
--- a/turn/placement.go
+++ b/turn/placement.go
@@ -22,9 +22,9 @@
 	// IsOpen reports whether an upstream accepts any request now. It must be cheap, as it
 	// runs for each waiting request.
 	IsOpen(v *View, e *engine) bool
-	// Score rates an upstream for a request; the lowest score is best. Place is the
+	// Score rates an upstream for a request; the lowest score is best. Rank is the
 	// upstream's index among the request's choices.
-	Score(v *View, e *engine, d *Demand, place int) float64
+	Score(v *View, e *engine, d *Demand, rank int) float64
 	// HasRoom reports whether a request may be sent to an open upstream now.
 	HasRoom(v *View, e *engine, d *Demand) bool
 }
@@ -96,8 +96,8 @@
 
 // Score returns the tokens to be read before the request's first event, plus the penalty
 // for leaving the first owner.
-func (b CacheAffinity) Score(v *View, e *engine, d *Demand, place int) float64 {
-	penalty := float64(place) * switchPenalty * v.speed.value() * float64(v.Target.Milliseconds())
+func (b CacheAffinity) Score(v *View, e *engine, d *Demand, rank int) float64 {
+	penalty := float64(rank) * switchPenalty * v.speed.value() * float64(v.Target.Milliseconds())
 	return float64(b.prefillWork(v, e, d)) + penalty
 }
 
--- a/turn/pump.go
+++ b/turn/pump.go
@@ -44,8 +44,8 @@
 	view.cacheHolder, view.holderTokens = p.cacheHolder(view.now, t)
 	var best *engine
 	var lowest float64
-	for place, e := range candidates {
-		score := p.placement().Score(view, e, &t.demand, place)
+	for rank, e := range candidates {
+		score := p.placement().Score(view, e, &t.demand, rank)
 		if best == nil || score < lowest {
 			best, lowest = e, score
 		}
--- a/turn/turn_test.go
+++ b/turn/turn_test.go
@@ -31,10 +31,10 @@
 }
 
 // prompt returns a demand whose prompt starts with a shared prefix of 10,000 tokens.
-func prompt(account fleet.AccountID, shared uint64, own uint64, tokens int) turn.Demand {
+func prompt(account fleet.AccountID, prefix uint64, promptHash uint64, tokens int) turn.Demand {
 	return turn.Demand{
 		Account: account, Input: 10_000 + tokens, Output: 100, Target: target, Patience: target / 2,
-		Beginnings: []turn.Beginning{{Hash: shared, Tokens: 10_000}, {Hash: own, Tokens: 10_000 + tokens}},
+		Beginnings: []turn.Beginning{{Hash: prefix, Tokens: 10_000}, {Hash: promptHash, Tokens: 10_000 + tokens}},
 	}
 }
 
@@ -75,10 +75,10 @@
 // All routers must choose the same owners without communication.
 func TestRoutersAgreeOnOwners(t *testing.T) {
 	t.Parallel()
-	for shared := range uint64(50) {
-		one, err := newPool(9).Ask(start, prompt("a", shared, 1, 0))
+	for prefix := range uint64(50) {
+		one, err := newPool(9).Ask(start, prompt("a", prefix, 1, 0))
 		require.NoError(t, err)
-		other, err := newPool(9).Ask(start, prompt("b", shared, 2, 0))
+		other, err := newPool(9).Ask(start, prompt("b", prefix, 2, 0))
 		require.NoError(t, err)
 		require.Equal(t, one.Upstream().ID, other.Upstream().ID)
 	}
@@ -147,9 +147,9 @@
 func TestRoomIsLeftForAccountsWaitingAtOtherRouters(t *testing.T) {
 	t.Parallel()
 	const reading = 250 * time.Millisecond
-	serve := func(waiting int) int {
+	countServed := func(waiting int) int {
 		p := newPool(1)
-		count := 0
+		served := 0
 		var queue []*turn.Ticket
 		grantedAt := make(map[*turn.Ticket]time.Time)
 		for i := range 300 {
@@ -170,12 +170,12 @@
 				queue[0].First(now)
 				queue[0].End(now, turn.Served)
 				queue = queue[1:]
-				count++
+				served++
 			}
 		}
-		return count
+		return served
 	}
-	require.Less(t, serve(20_000), serve(0)/2)
+	require.Less(t, countServed(20_000), countServed(0)/2)
 }
 
 // Two accounts wait for a busy engine that can't serve both, and one had much service
@@ -188,12 +188,12 @@
 		Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 20_000, InFlight: 1}},
 		Accounts:  map[turn.Key]turn.Standing{turn.KeyOf(fleet.AccountID("rich")): {Served: 500_000, Denied: 500_000}},
 	})
-	poor, err := p.Ask(start, prompt("poor", 1, 2, 0))
+	servedLess, err := p.Ask(start, prompt("poor", 1, 2, 0))
 	require.NoError(t, err)
-	rich, err := p.Ask(start, prompt("rich", 3, 4, 0))
+	servedMore, err := p.Ask(start, prompt("rich", 3, 4, 0))
 	require.NoError(t, err)
-	require.Greater(t, poor.Patience(), target/2)
-	require.Less(t, rich.Patience(), target/2)
+	require.Greater(t, servedLess.Patience(), target/2)
+	require.Less(t, servedMore.Patience(), target/2)
 }
 
 // Another router's last report is older than a second and a half, so the router is
