--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -95,11 +95,11 @@
 func TestDispatchersPreferTheSameUpstream(t *testing.T) {
 	t.Parallel()
 	chosen := make(map[fleet.Number]bool)
-	for beginning := uint64(1); beginning < 200; beginning++ {
+	for prefix := uint64(1); prefix < 200; prefix++ {
 		forward := []placement.Candidate{{Upstream: 1, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 3, Limit: 9}}
 		backward := []placement.Candidate{{Upstream: 3, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 1, Limit: 9}}
-		placement.AddPreferredAffinity(beginning, forward)
-		placement.AddPreferredAffinity(beginning, backward)
+		placement.AddPreferredAffinity(prefix, forward)
+		placement.AddPreferredAffinity(prefix, backward)
 		i, _ := placement.Affinity{}.Pick(forward)
 		j, _ := placement.Affinity{}.Pick(backward)
 		require.Equal(t, forward[i].Upstream, backward[j].Upstream)
