--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -11,8 +11,8 @@
 	"nutmeglock.example/nutmeglock/membership"
 )
 
-// Guards against a process that ends, or a router that dispatches nothing though it is alone,
-// because all others leave and return in any order.
+// Guards against a panic, and against a lone router that dispatches nothing, after the other
+// routers have left and returned in any order.
 func TestMembersOutliveAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,23 +1,23 @@
-// Package membership decides which routers take part in the fleet, from the
-// platform's lagging list of VMs and from the router's own connections.
+// Package membership decides which routers are members of the fleet, from the
+// platform's list of VMs and from the router's own connections.
 //
-// It answers the changes of a fleet whose VMs are replaced at any time, whose
-// list lags and may be down, and whose network is cut at times. Own evidence
-// goes before the list: a router that is connected takes part though the list
-// does not show it yet, and one that is not connected does not, whatever the
-// list says, because its dispatchers could not be asked. The list, and what
-// other routers said of their addresses, only tell whom to connect to.
+// VMs are replaced at any time, the list lags and may be unavailable, and the
+// network is partitioned at times. Connections therefore take precedence over
+// the list: a connected router is a member even if the list does not show it
+// yet, and a disconnected one is not, whatever the list says, because its
+// dispatchers can't be reached. The list, and the addresses that other routers
+// report, only determine which routers to connect to.
 //
-// Nothing is agreed. While views differ, two routers may believe that they
-// dispatch the same upstream; packages dispatcher and keeper bear that. When a
-// cut ends the connections come back and the views become equal without
-// anybody remembering anything.
+// There is no consensus. While views differ, two routers may both dispatch the
+// same upstream; packages dispatcher and keeper tolerate that. When a partition
+// ends, the connections are re-established and the views converge without any
+// stored state.
 //
-// A router joins only after JoinAfter, and one that was lost before after
-// twice as long each time. Without that, a peer with a bad link would move
-// dispatchers and keepers each second, and each move costs the wait of a
-// takeover at every upstream that moves. The wait is bounded by MaxJoinAfter,
-// because both sides of a bad link dispatch the same upstreams meanwhile.
+// A router becomes a member only after JoinAfter, and the delay doubles with
+// each disconnect. Without that, a peer with an unstable link would move
+// dispatchers and keepers every second, and each move makes every moved
+// upstream wait for a takeover. The delay is bounded by MaxJoinAfter, because
+// both sides of an unstable link dispatch the same upstreams meanwhile.
 package membership
 
 import (
@@ -29,53 +29,56 @@
 
 // Defaults of Options.
 const (
-	// DefaultJoinAfter is many round trips, and little beside the life of a VM.
+	// DefaultJoinAfter is many round trips, and short compared with the life of a VM.
 	DefaultJoinAfter = time.Second
-	// DefaultMaxJoinAfter bounds how long two sides of a link that flaps
-	// believe in different dispatchers.
+	// DefaultMaxJoinAfter bounds how long the two sides of a flapping link
+	// choose different dispatchers.
 	DefaultMaxJoinAfter = 10 * time.Second
-	// DefaultLeaveAfter lets a connection break and come back without moving
-	// anything. For so long the upstreams of a killed router get no new work.
+	// DefaultLeaveAfter lets a connection be re-established without moving any
+	// dispatcher. The upstreams of a killed router get no new work for that long.
 	DefaultLeaveAfter = 500 * time.Millisecond
-	// stableAfter is how long a router stays connected until its losses are forgotten.
+	// stableAfter is how long a connection must last to reset the router's count of disconnects.
 	stableAfter = time.Minute
-	// forgetAfter is how long a router that is neither listed nor connected is
-	// still tried. It bridges the lag of the list.
+	// forgetAfter is how long a router that is neither listed nor connected
+	// remains a connection target. It covers the lag of the list.
 	forgetAfter = 5 * time.Minute
 )
 
-// Options configure Members. Zero durations mean the defaults.
+// Options configures Members. Zero durations mean the defaults.
 type Options struct {
-	Self         fleet.RouterID
-	JoinAfter    time.Duration
+	Self fleet.RouterID
+	// JoinAfter is how long a router must be connected before it is a member.
+	JoinAfter time.Duration
+	// MaxJoinAfter bounds that delay, which doubles with each disconnect.
 	MaxJoinAfter time.Duration
-	LeaveAfter   time.Duration
+	// LeaveAfter is the time from a disconnect until the router is no longer a member.
+	LeaveAfter time.Duration
 }
 
-// Members is what one router knows of the others. It is used by one goroutine.
+// Members is one router's view of the fleet. It is not safe for concurrent use.
 type Members struct {
 	options Options
 	members map[fleet.RouterID]*member
 }
 
 type member struct {
-	address   string
-	listed    bool
-	leaving   bool // said by the router itself
-	listLeave bool // said by the list
-	connected bool
-	// joinsAt is when a connected router takes part.
+	address          string
+	listed           bool
+	announcedLeaving bool // announced by the router itself
+	listedLeaving    bool // according to the list
+	connected        bool
+	// joinsAt is when a connected router becomes a member.
 	joinsAt time.Time
-	// lostAt is when its connection broke, zero when it never was connected.
-	lostAt time.Time
-	// knownAt is when it was last listed or connected.
-	knownAt time.Time
-	since   time.Time
-	losses  int
-	joined  bool
+	// disconnectedAt is when the connection was lost; zero if there never was one.
+	disconnectedAt time.Time
+	// lastSeenAt is when the router was last listed, connected or disconnected, or last announced whether it is leaving.
+	lastSeenAt  time.Time
+	connectedAt time.Time
+	disconnects int
+	joined      bool
 }
 
-// Member is what an operator sees of a router.
+// Member is the state of a router as shown to operators.
 type Member struct {
 	ID         fleet.RouterID
 	Connected  bool
@@ -90,7 +93,7 @@
 	Leaving bool
 }
 
-// New returns Members that know only the router itself.
+// New returns Members that contain only the router itself.
 func New(options Options) *Members {
 	if options.JoinAfter <= 0 {
 		options.JoinAfter = DefaultJoinAfter
@@ -107,139 +110,139 @@
 }
 
 func (m *Members) member(id fleet.RouterID) *member {
-	known := m.members[id]
-	if known == nil {
-		known = &member{}
-		m.members[id] = known
+	router := m.members[id]
+	if router == nil {
+		router = &member{}
+		m.members[id] = router
 	}
-	return known
+	return router
 }
 
-// List takes the platform's list. While the platform is down nothing is taken
-// and the last list stands.
+// List replaces the platform's list. It is not called while the platform is
+// down, so the last list stays in effect.
 func (m *Members) List(now time.Time, listed []Listed) {
-	for _, each := range m.members {
-		each.listed = false
-		each.listLeave = false
+	for _, router := range m.members {
+		router.listed = false
+		router.listedLeaving = false
 	}
-	for _, l := range listed {
-		each := m.member(l.ID)
-		each.listed = true
-		each.listLeave = l.Leaving
-		each.address = l.Address
-		each.knownAt = now
+	for _, entry := range listed {
+		router := m.member(entry.ID)
+		router.listed = true
+		router.listedLeaving = entry.Leaving
+		router.address = entry.Address
+		router.lastSeenAt = now
 	}
 	m.forget(now)
 }
 
 func (m *Members) forget(now time.Time) {
-	for id, each := range m.members {
-		if !each.connected && !each.listed && now.Sub(each.knownAt) > forgetAfter {
+	for id, router := range m.members {
+		if !router.connected && !router.listed && now.Sub(router.lastSeenAt) > forgetAfter {
 			delete(m.members, id)
 		}
 	}
 }
 
-// Connected takes note of a connection to a router that says it is reached at address.
+// Connected records a connection to a router and the address that the router reports.
 func (m *Members) Connected(now time.Time, id fleet.RouterID, address string) {
-	each := m.member(id)
+	router := m.member(id)
 	if address != "" {
-		each.address = address
+		router.address = address
 	}
-	each.connected = true
-	each.leaving = false
-	each.knownAt, each.since = now, now
-	if !each.joined {
-		each.joinsAt = now.Add(m.hold(each.losses))
+	router.connected = true
+	router.announcedLeaving = false
+	router.lastSeenAt, router.connectedAt = now, now
+	if !router.joined {
+		router.joinsAt = now.Add(m.joinDelay(router.disconnects))
 	}
 }
 
-// hold returns how long a router stays connected before it takes part.
-func (m *Members) hold(losses int) time.Duration {
-	hold := m.options.JoinAfter
-	for range losses {
-		hold = min(2*hold, m.options.MaxJoinAfter)
+// joinDelay returns how long a router must be connected before it becomes a member.
+func (m *Members) joinDelay(disconnects int) time.Duration {
+	delay := m.options.JoinAfter
+	for range disconnects {
+		delay = min(2*delay, m.options.MaxJoinAfter)
 	}
-	return hold
+	return delay
 }
 
-// Disconnected takes note that the connection to a router is lost.
+// Disconnected records that the connection to a router was lost.
 func (m *Members) Disconnected(now time.Time, id fleet.RouterID) {
-	each := m.members[id]
-	if each == nil || !each.connected {
+	router := m.members[id]
+	if router == nil || !router.connected {
 		return
 	}
-	each.connected = false
-	each.lostAt, each.knownAt = now, now
-	if now.Sub(each.since) >= stableAfter {
-		each.losses = 0
+	router.connected = false
+	router.disconnectedAt, router.lastSeenAt = now, now
+	if now.Sub(router.connectedAt) >= stableAfter {
+		router.disconnects = 0
 	}
-	each.losses++
+	router.disconnects++
 }
 
-// Leave takes note that a router dispatches nothing by its own word, because it
-// has begun its graceful shutdown or holds no release note yet; or, with
-// leaving false, that it does again.
+// Leave records a router's announcement that it dispatches nothing, because it
+// is shutting down or has no release note yet, or, with leaving false, that it
+// dispatches again.
 func (m *Members) Leave(now time.Time, id fleet.RouterID, leaving bool) {
-	each := m.member(id)
-	each.leaving = leaving
-	each.knownAt = now
+	router := m.member(id)
+	router.announcedLeaving = leaving
+	router.lastSeenAt = now
 }
 
-// Leaving reports whether a router said that it is leaving.
+// Leaving reports whether a router announced that it is leaving.
 func (m *Members) Leaving(id fleet.RouterID) bool {
-	each := m.members[id]
-	return each != nil && each.leaving
+	router := m.members[id]
+	return router != nil && router.announcedLeaving
 }
 
-// Tick moves what depends on time.
+// Tick updates which routers are members as of now.
 func (m *Members) Tick(now time.Time) {
-	for id, each := range m.members {
-		m.settle(now, id, each)
+	for id, router := range m.members {
+		m.updateJoined(now, id, router)
 	}
 }
 
-func (m *Members) settle(now time.Time, id fleet.RouterID, each *member) {
+func (m *Members) updateJoined(now time.Time, id fleet.RouterID, router *member) {
 	switch {
-	case id == m.options.Self && each.joinsAt.IsZero():
-		each.joinsAt = now.Add(m.options.JoinAfter)
-	case each.connected && !now.Before(each.joinsAt):
-		each.joined = true
-	case !each.connected && now.Sub(each.lostAt) >= m.options.LeaveAfter:
-		each.joined = false
+	case id == m.options.Self && router.joinsAt.IsZero():
+		router.joinsAt = now.Add(m.options.JoinAfter)
+	case router.connected && !now.Before(router.joinsAt):
+		router.joined = true
+	case !router.connected && now.Sub(router.disconnectedAt) >= m.options.LeaveAfter:
+		router.joined = false
 	}
 }
 
 // Dispatchers returns the routers among which dispatchers and keepers are
-// chosen, in order. They are those that take part and are not leaving. When
-// there is none yet, as in a router's first second, they are the other ones
-// that are connected, which knew each other before; else the router alone.
-// Leaving ones serve when there is nobody else.
+// chosen, sorted by id: the members that are not leaving. If there are none, as
+// in a router's first second, it returns the other connected routers, which
+// already know each other; failing these, the router itself if it is not
+// leaving, and at last all connected routers, leaving or not.
 func (m *Members) Dispatchers(now time.Time) []fleet.RouterID {
 	m.Tick(now)
-	for _, accept := range []func(id fleet.RouterID, each *member) bool{
-		func(_ fleet.RouterID, each *member) bool { return each.joined && !each.departs() },
-		func(id fleet.RouterID, each *member) bool {
-			return each.connected && !each.departs() && id != m.options.Self
+	for _, accept := range []func(id fleet.RouterID, router *member) bool{
+		func(_ fleet.RouterID, router *member) bool { return router.joined && !router.isLeaving() },
+		func(id fleet.RouterID, router *member) bool {
+			return router.connected && !router.isLeaving() && id != m.options.Self
 		},
-		func(id fleet.RouterID, each *member) bool { return id == m.options.Self && !each.departs() },
-		func(_ fleet.RouterID, each *member) bool { return each.connected },
+		func(id fleet.RouterID, router *member) bool { return id == m.options.Self && !router.isLeaving() },
+		func(_ fleet.RouterID, router *member) bool { return router.connected },
 	} {
-		if routers := m.collect(accept); len(routers) > 0 {
+		if routers := m.filter(accept); len(routers) > 0 {
 			return routers
 		}
 	}
 	return nil
 }
 
-// departs reports whether a router is leaving by its own word or, before it
-// has said so itself, by the list.
-func (each *member) departs() bool { return each.leaving || each.listLeave }
+// isLeaving reports whether a router announced that it is leaving, or is listed
+// as leaving.
+func (router *member) isLeaving() bool { return router.announcedLeaving || router.listedLeaving }
 
-func (m *Members) collect(accept func(id fleet.RouterID, each *member) bool) []fleet.RouterID {
+func (m *Members) filter(accept func(id fleet.RouterID, router *member) bool) []fleet.RouterID {
 	var routers []fleet.RouterID
-	for id, each := range m.members {
-		if accept(id, each) {
+	for id, router := range m.members {
+		if accept(id, router) {
 			routers = append(routers, id)
 		}
 	}
@@ -247,25 +250,25 @@
 	return routers
 }
 
-// Targets returns the addresses of the other routers to be connected to.
+// Targets returns the addresses of the other routers to connect to.
 func (m *Members) Targets() map[fleet.RouterID]string {
 	targets := make(map[fleet.RouterID]string, len(m.members))
-	for id, each := range m.members {
-		if id != m.options.Self && each.address != "" {
-			targets[id] = each.address
+	for id, router := range m.members {
+		if id != m.options.Self && router.address != "" {
+			targets[id] = router.address
 		}
 	}
 	return targets
 }
 
-// All returns every router that is known, in order.
+// All returns every known router, sorted by id.
 func (m *Members) All(now time.Time) []Member {
 	dispatchers := m.Dispatchers(now)
 	var all []Member
-	for _, id := range m.collect(func(fleet.RouterID, *member) bool { return true }) {
-		each := m.members[id]
+	for _, id := range m.filter(func(fleet.RouterID, *member) bool { return true }) {
+		router := m.members[id]
 		all = append(all, Member{
-			ID: id, Connected: each.connected, Dispatches: slices.Contains(dispatchers, id), Leaving: each.departs(),
+			ID: id, Connected: router.connected, Dispatches: slices.Contains(dispatchers, id), Leaving: router.isLeaving(),
 		})
 	}
 	return all
@@ -273,15 +276,15 @@
 
 // Poll interval of the list.
 const (
-	leastPollInterval = time.Second
-	// pollPerRouter keeps the reads of all routers together at 100 a second,
+	minPollInterval = time.Second
+	// pollIntervalPerRouter limits all routers together to 100 reads a second,
 	// a twentieth of what the platform serves.
-	pollPerRouter = 10 * time.Millisecond
+	pollIntervalPerRouter = 10 * time.Millisecond
 )
 
-// PollInterval returns how long to wait until the list is read again. Random
-// is from 0 to 1; it spreads the reads of routers that started together.
+// PollInterval returns how long to wait before the list is read again. Random,
+// from 0 to 1, spreads the reads of routers that started at the same time.
 func (m *Members) PollInterval(random float64) time.Duration {
-	interval := max(leastPollInterval, time.Duration(len(m.members))*pollPerRouter)
+	interval := max(minPollInterval, time.Duration(len(m.members))*pollIntervalPerRouter)
 	return time.Duration((0.5 + random) * float64(interval))
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -16,9 +16,8 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// settled returns the members of a router that has been connected to b and c
-// for a while.
-func settled() *membership.Members {
+// connectedMembers returns the members of router a after both b and c have joined.
+func connectedMembers() *membership.Members {
 	m := membership.New(membership.Options{Self: "a"})
 	m.Tick(start)
 	m.Connected(start, "b", "b:1")
@@ -35,9 +34,8 @@
 	require.Equal(t, routers("a"), m.Dispatchers(start))
 }
 
-// A router starts beside others that have shared out the upstreams among
-// themselves, and don't count it yet. If it counted itself, it would dispatch
-// upstreams that another one dispatches.
+// The other routers don't count a router that has just started. If it counted
+// itself, it would dispatch upstreams that another router already dispatches.
 func TestNewRouterLeavesDispatchToTheOthersAtFirst(t *testing.T) {
 	t.Parallel()
 	m := membership.New(membership.Options{Self: "a"})
@@ -47,21 +45,21 @@
 	require.Equal(t, routers("a", "b"), m.Dispatchers(at(1)))
 }
 
-// The list lags: it shows a router that is long gone, and not yet one that is
-// connected. What the router sees itself goes before it.
+// The list lags: it still shows a router that is gone, and does not yet show one
+// that is connected. The router's own connections take precedence.
 func TestOwnEvidenceGoesBeforeTheList(t *testing.T) {
 	t.Parallel()
-	m := settled()
+	m := connectedMembers()
 	m.Disconnected(at(3), "c")
 	m.List(at(4), []membership.Listed{{ID: "a"}, {ID: "c", Address: "c:1"}})
 	require.Equal(t, routers("a", "b"), m.Dispatchers(at(4)))
 	require.Equal(t, "c:1", m.Targets()["c"])
 }
 
-// The platform is down, so that no list comes for hours. Nothing may change.
+// The platform is down and no list arrives for hours. The members must not change.
 func TestOutageOfTheListChangesNothing(t *testing.T) {
 	t.Parallel()
-	m := settled()
+	m := connectedMembers()
 	m.List(at(3), []membership.Listed{{ID: "a"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}})
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(10_000)))
 	m.Disconnected(at(10_000), "b")
@@ -69,11 +67,11 @@
 	require.Equal(t, "b:1", m.Targets()["b"])
 }
 
-// A connection breaks and is back within a moment. Were its dispatchers moved
-// and moved back, all their upstreams would stand still for two takeovers.
+// A connection breaks and is re-established at once. Moving the dispatchers there
+// and back would stop all their upstreams for two takeovers.
 func TestShortBreakMovesNothing(t *testing.T) {
 	t.Parallel()
-	m := settled()
+	m := connectedMembers()
 	m.Disconnected(at(3), "b")
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(3.4)))
 	m.Connected(at(3.4), "b", "b:1")
@@ -82,10 +80,10 @@
 }
 
 // A router's link breaks every two seconds for a minute. Dispatchers must not
-// move at each break and return.
+// move at each disconnect and reconnect.
 func TestFlappingRouterDoesNotMoveDispatchersEachTime(t *testing.T) {
 	t.Parallel()
-	m := settled()
+	m := connectedMembers()
 	moves := 0
 	before := m.Dispatchers(at(2))
 	for i := range 30 {
@@ -106,15 +104,15 @@
 		before = now
 	}
 	require.LessOrEqual(t, moves, 3)
-	// Once the link holds, the router takes part again.
+	// Once the link is stable, the router is a member again.
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(80)))
 }
 
-// Two halves of a cut fleet each go on with those they reach, and are whole
-// again after the rejoin, though nobody told them what was before.
+// During a partition each side continues with the routers that it reaches. The
+// views converge after it ends, without any stored state.
 func TestCutAndRejoinConverge(t *testing.T) {
 	t.Parallel()
-	m := settled()
+	m := connectedMembers()
 	m.Disconnected(at(10), "b")
 	m.Disconnected(at(10), "c")
 	require.Equal(t, routers("a"), m.Dispatchers(at(11)))
@@ -126,7 +124,7 @@
 
 func TestLeavingRoutersDispatchOnlyWhenAllLeave(t *testing.T) {
 	t.Parallel()
-	m := settled()
+	m := connectedMembers()
 	m.Leave(at(3), "b", true)
 	require.Equal(t, routers("a", "c"), m.Dispatchers(at(3)))
 	m.List(at(4), []membership.Listed{{ID: "c", Address: "c:1", Leaving: true}})
@@ -137,7 +135,7 @@
 
 func TestForgetsRoutersThatAreGone(t *testing.T) {
 	t.Parallel()
-	m := settled()
+	m := connectedMembers()
 	m.Disconnected(at(3), "c")
 	m.List(at(4), []membership.Listed{{ID: "b", Address: "b:1"}})
 	require.Contains(t, m.Targets(), fleet.RouterID("c"))
@@ -145,8 +143,8 @@
 	require.NotContains(t, m.Targets(), fleet.RouterID("c"))
 }
 
-// All routers of the target size read the list. Together they must stay far
-// below the 2,000 reads a second that the platform serves.
+// All routers of a fleet of 460 poll the list. Together they must stay far below
+// the 2,000 reads a second that the platform serves.
 func TestPollsStayWithinThePlatformsReads(t *testing.T) {
 	t.Parallel()
 	m := membership.New(membership.Options{Self: "a"})
