--- a/registry/codec.go
+++ b/registry/codec.go
@@ -5,7 +5,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Encode returns a change as routers tell it each other.
+// Encode returns the message in which routers send each other a change.
 func Encode(c Change) *schema.UpstreamChange {
 	u := c.Upstream
 	return &schema.UpstreamChange{
--- a/registry/machine_test.go
+++ b/registry/machine_test.go
@@ -11,7 +11,7 @@
 	"nutmeglock.example/nutmeglock/registry"
 )
 
-// changes draws changes of any content, none included.
+// changes draws up to four changes with arbitrary content.
 func changes(t *rapid.T) []registry.Change {
 	list := make([]registry.Change, rapid.IntRange(0, 4).Draw(t, "changes"))
 	for i := range list {
@@ -24,8 +24,8 @@
 	return list
 }
 
-// Guards against a process that ends, or an upstream that is ready for ever, because the list
-// empties and returns in any order of outages, reads and what other routers say.
+// Guards against a panic, and against an upstream that stays ready for ever, for any order of
+// outages, full reads, changes from other routers and lists that become empty and fill again.
 func TestDirectoryOutlivesAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,13 +47,13 @@
 			"": func(t *rapid.T) {
 				for _, ready := range d.Ready() {
 					for _, u := range ready {
-						known, some := d.Get(u.ID)
-						require.True(t, some && !known.Gone && !known.Upstream.Draining, "%s is ready", u.ID)
+						change, ok := d.Get(u.ID)
+						require.True(t, ok && !change.Gone && !change.Upstream.Draining, "%s is ready", u.ID)
 					}
 				}
 			},
 		})
-		// Once the store is back and its whole list empty, nothing is ready for longer than entries may take to return.
+		// Once the store is back with an empty list, every entry is removed at the end of its grace period.
 		d.Regained(now)
 		d.Replace(now, nil, 1_000)
 		d.Settle(now.Add(time.Minute))
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry holds the upstreams that register themselves at the
-// platform, as one router knows them.
+// Package registry holds one router's copy of the list of upstreams, which
+// register themselves with the platform.
 //
-// The list comes from several sources: the platform's feed, whole reads after a
-// gap, and other routers. Each entry has the revision at which the platform took
-// it, and the newest revision wins. Without revisions a slow reply would bring back
-// an upstream that has left.
+// The list comes from several sources: the platform's feed, full reads after a
+// gap, and other routers. Each entry carries the revision at which the platform
+// stored it, and the highest revision wins. Without revisions a delayed reply
+// would restore an upstream that has left.
 package registry
 
 import (
@@ -17,25 +17,26 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// returnGrace is how long an entry that lapsed while the list was out of reach
-// may take to come back once the list can be read again. Upstreams write their
-// entries again within about two seconds; the rest is for the way to here.
-const returnGrace = 2200 * time.Millisecond
+// outageGrace is how long an entry that vanished during an outage is kept once the
+// list can be read again. Upstreams register again within about two seconds; the
+// rest allows for the transfer to this router.
+const outageGrace = 2200 * time.Millisecond
 
-// An entry that vanishes later than catchUp after the return was removed while
-// the list could be read: it may still have lapsed, if its upstream was slow to
-// come back, but has more probably left, and an upstream that has left must get
-// nothing new two seconds after that. So it stays for lapseGrace only.
+// An entry that vanishes later than catchUpWindow after the end of an outage was
+// removed while the list could be read. It may still have expired, if its upstream
+// was slow to register again, but has more probably left, and an upstream must get
+// no new requests two seconds after it left. So the entry is kept for
+// lateRemovalGrace only.
 const (
-	catchUp    = 300 * time.Millisecond
-	lapseGrace = 1400 * time.Millisecond
+	catchUpWindow    = 300 * time.Millisecond
+	lateRemovalGrace = 1400 * time.Millisecond
 )
 
-// Revision orders the changes of the platform's list.
+// Revision orders the changes to the platform's list.
 type Revision uint64
 
-// Life tells the starts of an upstream under one id apart. It is the start in
-// milliseconds since 1970.
+// Life distinguishes successive starts of an upstream with the same id. It is the
+// start time in milliseconds since 1970.
 type Life int64
 
 // Upstream is an entry of the list.
@@ -46,95 +47,97 @@
 	DataCenter fleet.DataCenterID
 	Slots      int
 	Life       Life
-	// Draining upstreams end what they have and take nothing new.
+	// Draining upstreams finish their requests and accept no new ones.
 	Draining bool
 }
 
-// Change says that an entry was written, or removed when Gone is set.
+// Change is the write of an entry, or its removal if Gone is set.
 type Change struct {
 	Upstream Upstream
 	Revision Revision
 	Gone     bool
 }
 
-// entry is what is known of one id.
+// entry is the state of one upstream id.
 type entry struct {
 	change Change
-	// lapsed is set while an entry that vanished in or after an outage may still
-	// return, until then.
-	lapsed bool
-	until  time.Time
+	// removalPending is set while an entry that vanished during or after an outage
+	// may still return. It is removed at removeAt; zero means not before the
+	// list can be read again.
+	removalPending bool
+	removeAt       time.Time
 }
 
-// Directory is the list as one router knows it. Its zero value is empty. It is
-// safe for concurrent use.
+// Directory is one router's copy of the list. Its zero value is empty. It is safe
+// for concurrent use.
 type Directory struct {
-	mu      sync.Mutex
-	entries map[fleet.UpstreamID]entry
-	away    bool
-	// regained is when the list could be read again, and graceEnds until when
-	// entries that lapsed before stay.
-	regained  time.Time
-	graceEnds time.Time
-	known     bool
+	mu          sync.Mutex
+	entries     map[fleet.UpstreamID]entry
+	unavailable bool
+	// regainedAt is when the list could be read again, and graceEnd when the entries
+	// that vanished during the outage are removed.
+	regainedAt time.Time
+	graceEnd   time.Time
+	loaded     bool
 	// latest is the revision of the latest change that took effect, and complete
-	// that up to which all changes are known.
+	// the revision up to which all changes have been received.
 	latest   Revision
 	complete Revision
 }
 
-// Replace takes a whole read of the list as of a revision: what it lacks and
-// was written before is gone. It returns what changed.
-func (d *Directory) Replace(now time.Time, list []Change, as Revision) []Change {
+// Replace applies a full read of the list as of a revision: entries that it lacks
+// and that were written before are removed. It returns the changes that took effect.
+func (d *Directory) Replace(now time.Time, list []Change, revision Revision) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.known = true
+	d.loaded = true
 	listed := make(map[fleet.UpstreamID]bool, len(list))
 	var changed []Change
 	for _, c := range list {
 		listed[c.Upstream.ID] = true
-		changed = append(changed, d.take(now, c, false)...)
+		changed = append(changed, d.applyOne(now, c, false)...)
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		e := d.entries[id]
-		if listed[id] || e.change.Gone || e.change.Revision > as {
+		if listed[id] || e.change.Gone || e.change.Revision > revision {
 			continue
 		}
-		gone := Change{Upstream: e.change.Upstream, Revision: as, Gone: true}
-		changed = append(changed, d.take(now, gone, false)...)
+		gone := Change{Upstream: e.change.Upstream, Revision: revision, Gone: true}
+		changed = append(changed, d.applyOne(now, gone, false)...)
 	}
 	d.complete = max(d.complete, d.latest)
 	return changed
 }
 
-// Apply takes single changes. It returns those that were newer and took effect.
+// Apply applies changes from the platform's feed. It returns those that were newer
+// and took effect.
 func (d *Directory) Apply(now time.Time, changes []Change) []Change {
-	return d.takeAll(now, changes, false)
+	return d.applyAll(now, changes, false)
 }
 
-// Receive takes changes that took effect at another router, which has already
-// waited for entries that may return. Complete is the revision up to which they,
-// and those that were known here, are all there are.
+// Receive applies changes that took effect at another router, which has already
+// waited for entries to return. Complete is the revision up to which these changes
+// and those known before are all there are.
 func (d *Directory) Receive(now time.Time, changes []Change, complete Revision) []Change {
-	changed := d.takeAll(now, changes, true)
+	changed := d.applyAll(now, changes, true)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.complete = max(d.complete, complete)
 	return changed
 }
 
-func (d *Directory) takeAll(now time.Time, changes []Change, settled bool) []Change {
+func (d *Directory) applyAll(now time.Time, changes []Change, confirmed bool) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var changed []Change
 	for _, c := range changes {
-		changed = append(changed, d.take(now, c, settled)...)
-		if !settled {
+		changed = append(changed, d.applyOne(now, c, confirmed)...)
+		if !confirmed {
 			d.complete = max(d.complete, c.Revision)
 		}
 	}
-	if settled && len(changes) > 0 {
-		d.known = true
+	if confirmed && len(changes) > 0 {
+		d.loaded = true
 	}
 	return changed
 }
@@ -146,18 +149,19 @@
 	return d.latest
 }
 
-// take returns the change when it took effect.
-func (d *Directory) take(now time.Time, c Change, settled bool) []Change {
+// applyOne applies a change and returns it if it took effect. A confirmed removal
+// has no grace period.
+func (d *Directory) applyOne(now time.Time, c Change, confirmed bool) []Change {
 	if d.entries == nil {
 		d.entries = make(map[fleet.UpstreamID]entry)
 	}
 	before, known := d.entries[c.Upstream.ID]
-	if known && (c.Revision < before.change.Revision || (c.Revision == before.change.Revision && !before.lapsed)) {
+	if known && (c.Revision < before.change.Revision || (c.Revision == before.change.Revision && !before.removalPending)) {
 		return nil
 	}
-	if c.Gone && !settled && known && !before.change.Gone && d.mayReturn(now, before) {
-		before.lapsed = true
-		before.until = d.lapsesUntil(now)
+	if c.Gone && !confirmed && known && !before.change.Gone && d.mayReturn(now, before) {
+		before.removalPending = true
+		before.removeAt = d.removalTime(now)
 		before.change.Revision = c.Revision
 		d.entries[c.Upstream.ID] = before
 		return nil
@@ -170,94 +174,94 @@
 	return []Change{c}
 }
 
-// mayReturn reports whether an entry that vanishes now may only have lapsed. An
-// upstream that was draining has left.
+// mayReturn reports whether an entry that vanishes now may only have expired because
+// its upstream could not renew it. A draining upstream has left.
 func (d *Directory) mayReturn(now time.Time, e entry) bool {
-	return !e.change.Upstream.Draining && (d.away || now.Before(d.graceEnds))
+	return !e.change.Upstream.Draining && (d.unavailable || now.Before(d.graceEnd))
 }
 
-// lapsesUntil returns how long an entry that vanishes now stays; the zero time
+// removalTime returns when an entry that vanishes now is removed; the zero time
 // while the list can't be read.
-func (d *Directory) lapsesUntil(now time.Time) time.Time {
-	if d.away {
+func (d *Directory) removalTime(now time.Time) time.Time {
+	if d.unavailable {
 		return time.Time{}
 	}
-	if now.Sub(d.regained) < catchUp {
-		return d.graceEnds
+	if now.Sub(d.regainedAt) < catchUpWindow {
+		return d.graceEnd
 	}
-	if latest := now.Add(lapseGrace); latest.Before(d.graceEnds) {
+	if latest := now.Add(lateRemovalGrace); latest.Before(d.graceEnd) {
 		return latest
 	}
-	return d.graceEnds
+	return d.graceEnd
 }
 
-// Due returns when the first lapsed entry is gone, and whether there is one.
+// Due returns when the next pending removal is due, and whether there is one.
 func (d *Directory) Due() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var first time.Time
 	for _, e := range d.entries {
-		if !e.lapsed || e.until.IsZero() {
+		if !e.removalPending || e.removeAt.IsZero() {
 			continue
 		}
-		if first.IsZero() || e.until.Before(first) {
-			first = e.until
+		if first.IsZero() || e.removeAt.Before(first) {
+			first = e.removeAt
 		}
 	}
 	return first, !first.IsZero()
 }
 
-// Settled returns the revision up to which all changes have taken effect. It is
-// lower while entries may have lapsed: another router may know better.
+// Settled returns the revision up to which all changes have taken effect. Pending
+// removals lower it, because another router may already have confirmed them.
 func (d *Directory) Settled() Revision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	settled := d.complete
 	for _, e := range d.entries {
-		if e.lapsed && e.change.Revision <= settled {
+		if e.removalPending && e.change.Revision <= settled {
 			settled = e.change.Revision - 1
 		}
 	}
 	return settled
 }
 
-// Lost says that the list can't be read. What is known holds.
+// Lost records that the list can't be read. The known entries stay in effect.
 func (d *Directory) Lost() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.away = true
+	d.unavailable = true
 }
 
-// Regained says that the list can be read again.
+// Regained records that the list can be read again.
 func (d *Directory) Regained(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.away {
+	if !d.unavailable {
 		return
 	}
-	d.away = false
-	d.regained = now
-	d.graceEnds = now.Add(returnGrace)
+	d.unavailable = false
+	d.regainedAt = now
+	d.graceEnd = now.Add(outageGrace)
 	for id, e := range d.entries {
-		if e.lapsed {
-			e.until = d.graceEnds
+		if e.removalPending {
+			e.removeAt = d.graceEnd
 			d.entries[id] = e
 		}
 	}
 }
 
-// Settle takes the entries that lapsed and did not come back in time for gone,
-// and returns them.
+// Settle removes the entries whose pending removal is due, and returns the
+// removals.
 func (d *Directory) Settle(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var gone []Change
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		e := d.entries[id]
-		if !e.lapsed || e.until.IsZero() || now.Before(e.until) {
+		if !e.removalPending || e.removeAt.IsZero() || now.Before(e.removeAt) {
 			continue
 		}
-		e.lapsed = false
+		e.removalPending = false
 		e.change.Gone = true
 		d.latest = max(d.latest, e.change.Revision)
 		d.entries[id] = e
@@ -274,29 +278,28 @@
 	return e.change, known
 }
 
-// Known reports whether the list was ever read.
+// Known reports whether the list was ever read or received.
 func (d *Directory) Known() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.known
+	return d.loaded
 }
 
-// Changes returns every entry with its revision, those that are gone included,
-// for a router that has to catch up.
+// Changes returns the latest change of every entry, removals included, for a router
+// that has to catch up. Entries whose removal is pending are left out.
 func (d *Directory) Changes() []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := make([]Change, 0, len(d.entries))
 	for _, e := range d.entries {
-		if !e.lapsed {
+		if !e.removalPending {
 			all = append(all, e.change)
 		}
 	}
 	return all
 }
 
-// Ready returns the upstreams that take new work, by service and in the order
-// of their ids.
+// Ready returns the upstreams that accept new requests, by service and sorted by id.
 func (d *Directory) Ready() map[fleet.ServiceID][]Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -37,9 +37,9 @@
 	return out
 }
 
-// A router's read of the list is slow, and meanwhile the feed says that an
-// upstream drains. Were the late reply believed, callers' requests would go to
-// an upstream that is about to exit.
+// A read of the list is slow, and meanwhile the feed reports that an upstream is
+// draining. Applying the late reply would send requests to an upstream that is
+// about to exit.
 func TestLateReplyBringsNothingBack(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
@@ -49,8 +49,8 @@
 	require.Empty(t, ids(&d))
 }
 
-// The feed was cut, and in the gap an upstream left. A whole read lacks it, so
-// it gets nothing more.
+// The feed was interrupted, and an upstream left during the gap. A full read lacks
+// it, so it gets no more requests.
 func TestWholeReadRemovesWhatItLacks(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
@@ -60,10 +60,10 @@
 	require.Equal(t, []fleet.UpstreamID{"b"}, ids(&d))
 }
 
-// The platform's store is away for some seconds, and the entries of upstreams
-// that live lapse meanwhile, since they can't be renewed. Were they believed to
-// be gone, every caller would be refused although every upstream serves. They
-// stay for as long as they may take to come back, and are gone after that.
+// The platform's store is unavailable for some seconds, and the entries of running
+// upstreams expire because they can't be renewed. Removing them would refuse every
+// caller although every upstream works. They are kept until they have had time to
+// return, and removed after that.
 func TestEntriesThatLapseInAnOutageMayReturn(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
@@ -72,21 +72,21 @@
 	back := start.Add(5 * time.Second)
 	d.Regained(back)
 	d.Replace(back, nil, 20)
-	due, some := d.Due()
-	require.True(t, some)
+	due, ok := d.Due()
+	require.True(t, ok)
 	require.Equal(t, []fleet.UpstreamID{"a", "b"}, ids(&d))
 	d.Apply(back.Add(time.Second), []registry.Change{entry("a", 21)})
 	require.Empty(t, d.Settle(back.Add(time.Second)))
-	left := d.Settle(due)
-	require.Len(t, left, 1)
-	require.Equal(t, fleet.UpstreamID("b"), left[0].Upstream.ID)
+	removed := d.Settle(due)
+	require.Len(t, removed, 1)
+	require.Equal(t, fleet.UpstreamID("b"), removed[0].Upstream.ID)
 	require.Equal(t, []fleet.UpstreamID{"a"}, ids(&d))
 }
 
-// A router gets the list back, and a second later an upstream leaves without a
-// word. Its entry may have lapsed, and may have been removed; the upstream must
-// get nothing two seconds after that, so it isn't kept for as long as one that
-// vanished in the outage.
+// A router can read the list again, and within a second an entry vanishes that was not
+// draining. It may have expired or been removed. Its upstream must get no requests
+// two seconds after that, so the entry is not kept for as long as one that vanished
+// during the outage.
 func TestEntryThatVanishesAfterTheReturnIsKeptShorter(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
@@ -96,16 +96,16 @@
 	vanished := start.Add(700 * time.Millisecond)
 	d.Apply(vanished, []registry.Change{gone("a", 9)})
 	require.Equal(t, []fleet.UpstreamID{"a"}, ids(&d))
-	due, some := d.Due()
-	require.True(t, some)
+	due, ok := d.Due()
+	require.True(t, ok)
 	require.Less(t, due.Sub(vanished), 1500*time.Millisecond)
 	require.Len(t, d.Settle(due), 1)
 	require.Empty(t, ids(&d))
 }
 
-// A router that got the list back holds an entry that vanished meanwhile. Another
-// router, which the store never refused, knows that the upstream has left. Its
-// word is taken at once, though later changes have taken effect here already.
+// After an outage a router keeps an entry that vanished meanwhile. Another router,
+// which could read the store throughout, reports that the upstream has left. That
+// takes effect at once, though later changes have already taken effect here.
 func TestAnotherRouterKnowsThatALapsedEntryIsGone(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
@@ -120,8 +120,8 @@
 	require.EqualValues(t, 9, d.Settled())
 }
 
-// An upstream leaves while the store is well: it gets nothing more at once.
-func TestEntryThatVanishesInCalmIsGoneAtOnce(t *testing.T) {
+// An upstream that leaves while the store is available is removed at once.
+func TestEntryRemovedOutsideAnOutageIsGoneAtOnce(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1)}, 1)
@@ -129,16 +129,16 @@
 	require.Empty(t, ids(&d))
 }
 
-// Two routers hear the same changes in any order and any number of times, from
+// Two routers receive the same changes in any order and any number of times, from
 // the feed and from each other. They end with the same list.
-func TestOrderOfTheNewsDoesNotMatter(t *testing.T) {
+func TestOrderOfChangesDoesNotMatter(t *testing.T) {
 	t.Parallel()
-	news := []registry.Change{entry("a", 1), draining("a", 4), gone("a", 6), entry("a", 9), entry("b", 2), gone("b", 7), entry("c", 3)}
+	changes := []registry.Change{entry("a", 1), draining("a", 4), gone("a", 6), entry("a", 9), entry("b", 2), gone("b", 7), entry("c", 3)}
 	rapid.Check(t, func(t *rapid.T) {
 		var d registry.Directory
-		for _, c := range rapid.Permutation(news).Draw(t, "order") {
+		for _, c := range rapid.Permutation(changes).Draw(t, "order") {
 			d.Apply(start, []registry.Change{c})
-			again := rapid.SampledFrom(news).Draw(t, "again")
+			again := rapid.SampledFrom(changes).Draw(t, "again")
 			d.Apply(start, []registry.Change{again})
 		}
 		require.Equal(t, []fleet.UpstreamID{"a", "c"}, ids(&d))
