--- a/follow/follow.go
+++ b/follow/follow.go
@@ -1,11 +1,12 @@
-// Package follow keeps a router up to date with what others write to the
-// platform's store: the configuration, and the list of upstreams.
+// Package follow keeps a router up to date with tables in the platform's store:
+// the configuration and the list of upstreams.
 //
-// A Follower reads a table whole, and then waits for its changes. It answers
-// the faults of such a feed: a store that is away for long (what is known
-// holds, and the return is noticed within three seconds), a history that was dropped
-// (the table is read whole again), and a store or a connection that has gone silent
-// without a reset (each wait ends in time for news to be known when it has to be).
+// A Follower reads a whole table and then long-polls for its changes. It handles
+// the faults of such a feed: a store that is unavailable for long (the last state
+// stays in effect, and the return is noticed within three seconds), a history that
+// was dropped (the whole table is read again), and a store or a connection that stops
+// responding without a reset (each call times out early enough for changes to be
+// received within the recovery time).
 package follow
 
 import (
@@ -17,175 +18,175 @@
 )
 
 const (
-	// firstPause is the pause after a first failure. A store that answers in
-	// some ms was probably only busy.
-	firstPause = 40 * time.Millisecond
-	// maxPause bounds how late the return of the store is noticed. Refused
-	// calls cost the platform as much as others, so it isn't shorter.
-	maxPause = 800 * time.Millisecond
-	// readTimeout bounds a whole read: some milliseconds in calm, and some
-	// hundred when the store answers a hundred times slower.
+	// initialBackoff is the pause after the first failure. A store that normally
+	// answers within a few milliseconds was probably only busy.
+	initialBackoff = 40 * time.Millisecond
+	// maxBackoff bounds how late the return of the store is noticed. It is not
+	// shorter because refused calls cost the platform as much as others.
+	maxBackoff = 800 * time.Millisecond
+	// readTimeout bounds a full read, which normally takes a few milliseconds, and
+	// a few hundred if the store is a hundred times slower.
 	readTimeout = 1500 * time.Millisecond
-	// answerSlack is what an answer may take beyond the wait that was asked for.
-	answerSlack = 1200 * time.Millisecond
-	// askAgain is the time from a call that is given up to an answer of the next one.
-	askAgain = 400 * time.Millisecond
-	// leastWait bounds what waits cost where answers are due so soon that they can't be.
-	leastWait = 300 * time.Millisecond
-	// DefaultRecovery is how soon after a disturbance of the store its news is known
-	// unless a deployment says otherwise.
+	// answerMargin is how much longer than the requested wait an answer may take.
+	answerMargin = 1200 * time.Millisecond
+	// retryMargin allows for the next call after one that timed out.
+	retryMargin = 400 * time.Millisecond
+	// minWait bounds the rate of calls when the recovery time is too short to be kept.
+	minWait = 300 * time.Millisecond
+	// DefaultRecovery is how soon after an outage of the store its changes are known,
+	// unless the deployment sets another time.
 	DefaultRecovery = 3 * time.Second
 )
 
-// WaitFor returns how long one call may wait for a change so that news is known
-// within a time after the store, or a connection to it, stopped answering for a moment.
+// WaitFor returns how long one call may wait for a change so that changes are known
+// within recovery after the store, or a connection to it, briefly stopped responding.
 //
-// An answer that is lost is noticed only when the call is given up, and until then
-// requests are handled by a configuration that was replaced. Longer waits cost fewer calls.
+// A lost answer is noticed only when the call times out, and until then requests are
+// handled by an outdated configuration. Longer waits cost fewer calls.
 func WaitFor(recovery time.Duration) time.Duration {
 	if recovery <= 0 {
 		recovery = DefaultRecovery
 	}
-	return max(recovery-answerSlack-askAgain, leastWait)
+	return max(recovery-answerMargin-retryMargin, minWait)
 }
 
-// HistoryLostError is the error of a wait for changes that the store no longer has.
+// HistoryLostError is returned by Feed.Watch if the store no longer has the changes.
 type HistoryLostError struct{ Table string }
 
 // Error names the table.
 func (e *HistoryLostError) Error() string { return "the history of " + e.Table + " was dropped" }
 
-// Feed is one table of the platform's store, decoded.
+// Feed reads one table of the platform's store.
 type Feed[R any, V any] interface {
-	// Read returns the whole table, and the revision that it is as of.
-	Read(ctx context.Context) (rows []R, as V, err error)
-	// Watch returns the changes after a revision as soon as there are any, or
-	// none once wait has passed, and the revision to go on from. It fails with
-	// *HistoryLostError when they are no longer there.
-	Watch(ctx context.Context, after V, wait time.Duration) (rows []R, as V, err error)
+	// Read returns the whole table and its revision.
+	Read(ctx context.Context) (rows []R, revision V, err error)
+	// Watch returns the changes after a revision as soon as there are any, or none
+	// once wait has passed, and the revision to continue from. It fails with
+	// *HistoryLostError if the store no longer has these changes.
+	Watch(ctx context.Context, after V, wait time.Duration) (rows []R, revision V, err error)
 }
 
-// Sink takes what a Follower hears. Its methods are called one after the other.
+// Sink receives the updates of a Follower. Its methods are not called concurrently.
 type Sink[R any, V any] interface {
-	// Replace takes a whole table.
-	Replace(rows []R, as V)
-	// Apply takes changes.
-	Apply(rows []R, as V)
-	// Lost says that the store doesn't answer.
+	// Replace is called with a whole table and its revision.
+	Replace(rows []R, revision V)
+	// Apply is called with changes and the revision after them.
+	Apply(rows []R, revision V)
+	// Lost is called when the store doesn't answer.
 	Lost(cause error)
-	// Regained says that the store answers again.
+	// Regained is called when the store answers again.
 	Regained()
 }
 
-// Follower connects a Feed with a Sink.
+// Follower passes the rows of a Feed on to a Sink.
 type Follower[R any, V any] struct {
 	Name string
 	Feed Feed[R, V]
 	Sink Sink[R, V]
 	// Wait is how long one call waits for a change; zero means WaitFor(DefaultRecovery).
 	Wait time.Duration
-	// Rest returns how long the table need not be looked at, since others tell what
-	// is new, zero when it has to be followed; nil means always. It is asked again
-	// and again, and may change.
+	// Rest returns the interval at which the table is polled while other routers
+	// pass on its changes; zero means to follow it without pauses, and so does a nil
+	// Rest. It is called repeatedly, and the result may change.
 	Rest func() time.Duration
 	Log  *slog.Logger
 
-	// lost is when the store was found not to answer, zero while it does, and failed
-	// counts the calls since that had no answer.
-	lost   time.Time
-	failed int
-	// asked is when the store was last asked.
-	asked time.Time
+	// lostAt is when the store was found not to answer, zero while it does, and
+	// failedCalls counts the calls without an answer since then.
+	lostAt      time.Time
+	failedCalls int
+	// lastCall is when the latest call to the store began.
+	lastCall time.Time
 }
 
-// Run follows until ctx ends, and returns its error.
+// Run follows the table until ctx ends, and returns the error of ctx.
 func (f *Follower[R, V]) Run(ctx context.Context) error {
-	var as V
-	whole := true
-	pause := firstPause
+	var revision V
+	readAll := true
+	pause := initialBackoff
 	for ctx.Err() == nil {
-		if !f.asked.IsZero() {
-			f.rest(ctx)
+		if !f.lastCall.IsZero() {
+			f.waitForPoll(ctx)
 		}
-		f.asked = time.Now()
+		f.lastCall = time.Now()
 		var err error
-		if whole {
-			as, err = f.read(ctx)
+		if readAll {
+			revision, err = f.read(ctx)
 		} else {
-			as, err = f.watch(ctx, as)
+			revision, err = f.watch(ctx, revision)
 		}
 		var dropped *HistoryLostError
 		switch {
 		case err == nil:
-			whole = false
-			pause = firstPause
+			readAll = false
+			pause = initialBackoff
 			continue
 		case errors.As(err, &dropped):
 			f.Log.Info("history lost, reading the whole table", "table", f.Name)
-			whole = true
+			readAll = true
 			continue
 		case ctx.Err() != nil:
 			return ctx.Err()
 		}
 		f.setLost(err)
 		sleep(ctx, jitter(pause))
-		pause = min(2*pause, maxPause)
+		pause = min(2*pause, maxBackoff)
 	}
 	return ctx.Err()
 }
 
-// restStep is how often a Follower that rests looks whether it still may.
-const restStep = 100 * time.Millisecond
+// pollCheckInterval is how often a Follower that waits for its next poll calls Rest again.
+const pollCheckInterval = 100 * time.Millisecond
 
-// rest waits until the table has to be looked at. Followers that rest for as long
-// spread their calls.
-func (f *Follower[R, V]) rest(ctx context.Context) {
+// waitForPoll waits until the table has to be polled. It spreads the calls of Followers
+// with the same interval.
+func (f *Follower[R, V]) waitForPoll(ctx context.Context) {
 	if f.Rest == nil {
 		return
 	}
 	spread := 0.5 + rand.Float64()
 	for ctx.Err() == nil {
-		rest := time.Duration(spread * float64(f.Rest()))
-		if time.Since(f.asked) >= rest {
+		interval := time.Duration(spread * float64(f.Rest()))
+		if time.Since(f.lastCall) >= interval {
 			return
 		}
-		sleep(ctx, min(restStep, rest))
+		sleep(ctx, min(pollCheckInterval, interval))
 	}
 }
 
 func (f *Follower[R, V]) read(ctx context.Context) (V, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	rows, as, err := f.Feed.Read(ctx)
+	rows, revision, err := f.Feed.Read(ctx)
 	if err != nil {
-		return as, err
+		return revision, err
 	}
 	f.setRegained()
-	f.Sink.Replace(rows, as)
-	return as, nil
+	f.Sink.Replace(rows, revision)
+	return revision, nil
 }
 
 func (f *Follower[R, V]) watch(ctx context.Context, after V) (V, error) {
 	wait := f.wait()
-	ctx, cancel := context.WithTimeout(ctx, wait+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+answerMargin)
 	defer cancel()
-	rows, as, err := f.Feed.Watch(ctx, after, wait)
+	rows, revision, err := f.Feed.Watch(ctx, after, wait)
 	if err != nil {
 		return after, err
 	}
 	f.setRegained()
 	if len(rows) > 0 {
-		f.Sink.Apply(rows, as)
+		f.Sink.Apply(rows, revision)
 	}
-	return as, nil
+	return revision, nil
 }
 
-// wait returns how long the next call waits for a change. While the store doesn't
-// answer it is none: a call that is swallowed by an outage would hide its end for as
-// long as it waits, while routers go on with what was replaced meanwhile.
+// wait returns how long the next call waits for a change. It is zero for polls, and while
+// the store doesn't answer: a call that is lost in an outage would delay the detection of
+// its end by the wait, while the router uses outdated rows.
 func (f *Follower[R, V]) wait() time.Duration {
 	switch {
-	case !f.lost.IsZero(), f.Rest != nil && f.Rest() > 0:
+	case !f.lostAt.IsZero(), f.Rest != nil && f.Rest() > 0:
 		return 0
 	case f.Wait > 0:
 		return f.Wait
@@ -195,30 +196,30 @@
 }
 
 func (f *Follower[R, V]) setLost(cause error) {
-	f.failed++
-	if !f.lost.IsZero() {
+	f.failedCalls++
+	if !f.lostAt.IsZero() {
 		return
 	}
-	f.lost = time.Now()
-	f.Log.Warn("dependency lost", "dependency", "store", "table", f.Name, "waited-ms", time.Since(f.asked).Milliseconds(), "error", cause)
+	f.lostAt = time.Now()
+	f.Log.Warn("dependency lost", "dependency", "store", "table", f.Name, "waited-ms", time.Since(f.lastCall).Milliseconds(), "error", cause)
 	f.Sink.Lost(cause)
 }
 
-// setRegained notes an answer. Its line says how long there was none, how many calls
-// failed, and how long the last one that succeeded took: a call that began in an
-// outage and was given up late is told from a store that was away for so long.
+// setRegained records an answer of the store. The log line has the duration of the
+// outage, the number of failed calls and the duration of the successful one, so that a
+// call that timed out late can be told from a long outage.
 func (f *Follower[R, V]) setRegained() {
-	if f.lost.IsZero() {
+	if f.lostAt.IsZero() {
 		return
 	}
-	f.Log.Info("dependency regained", "dependency", "store", "table", f.Name, "lost-ms", time.Since(f.lost).Milliseconds(),
-		"failed-calls", f.failed, "waited-ms", time.Since(f.asked).Milliseconds())
-	f.lost = time.Time{}
-	f.failed = 0
+	f.Log.Info("dependency regained", "dependency", "store", "table", f.Name, "lost-ms", time.Since(f.lostAt).Milliseconds(),
+		"failed-calls", f.failedCalls, "waited-ms", time.Since(f.lastCall).Milliseconds())
+	f.lostAt = time.Time{}
+	f.failedCalls = 0
 	f.Sink.Regained()
 }
 
-// jitter spreads the calls of routers that lost the store at the same moment.
+// jitter spreads the calls of routers that lost the store at the same time.
 func jitter(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause)
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -13,22 +13,22 @@
 	"nutmeglock.example/nutmeglock/follow"
 )
 
-// answer is what a scripted feed says to one call.
+// answer is the result of one call to a scriptedFeed.
 type answer struct {
-	rows  []string
-	as    int
-	err   error
-	hangs bool
+	rows     []string
+	revision int
+	err      error
+	hangs    bool
 }
 
-// script answers the calls of a Follower one after the other, and hangs at its end.
-type script struct {
+// scriptedFeed returns its answers in order, and blocks once there are none left.
+type scriptedFeed struct {
 	answers []answer
 	calls   []string
 	times   []time.Time
 }
 
-func (s *script) next(ctx context.Context, call string) ([]string, int, error) {
+func (s *scriptedFeed) next(ctx context.Context, call string) ([]string, int, error) {
 	s.calls = append(s.calls, call)
 	s.times = append(s.times, time.Now())
 	if len(s.answers) == 0 {
@@ -41,60 +41,60 @@
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
-	return a.rows, a.as, a.err
+	return a.rows, a.revision, a.err
 }
 
-func (s *script) Read(ctx context.Context) ([]string, int, error) { return s.next(ctx, "read") }
+func (s *scriptedFeed) Read(ctx context.Context) ([]string, int, error) { return s.next(ctx, "read") }
 
-func (s *script) Watch(ctx context.Context, _ int, _ time.Duration) ([]string, int, error) {
+func (s *scriptedFeed) Watch(ctx context.Context, _ int, _ time.Duration) ([]string, int, error) {
 	return s.next(ctx, "watch")
 }
 
-// heard records what a Follower says.
-type heard struct{ said []string }
+// recordingSink records the calls of a Follower.
+type recordingSink struct{ events []string }
 
-func (h *heard) Replace(rows []string, _ int) {
-	h.said = append(h.said, append([]string{"whole"}, rows...)...)
+func (h *recordingSink) Replace(rows []string, _ int) {
+	h.events = append(h.events, append([]string{"whole"}, rows...)...)
 }
-func (h *heard) Apply(rows []string, _ int) { h.said = append(h.said, rows...) }
-func (h *heard) Lost(error)                 { h.said = append(h.said, "lost") }
-func (h *heard) Regained()                  { h.said = append(h.said, "regained") }
+func (h *recordingSink) Apply(rows []string, _ int) { h.events = append(h.events, rows...) }
+func (h *recordingSink) Lost(error)                 { h.events = append(h.events, "lost") }
+func (h *recordingSink) Regained()                  { h.events = append(h.events, "regained") }
 
-func follows(t *testing.T, s *script, last time.Duration) *heard {
+func runFollower(t *testing.T, s *scriptedFeed, duration time.Duration) *recordingSink {
 	t.Helper()
-	h := &heard{}
+	h := &recordingSink{}
 	f := follow.Follower[string, int]{Name: "test", Feed: s, Sink: h, Log: slog.New(slog.DiscardHandler)}
-	ctx, cancel := context.WithTimeout(t.Context(), last)
+	ctx, cancel := context.WithTimeout(t.Context(), duration)
 	defer cancel()
 	require.ErrorIs(t, f.Run(ctx), context.DeadlineExceeded)
 	return h
 }
 
-// The store drops its history while a router waits for changes. What was
-// changed in the gap would be missed for good, so the table is read whole.
+// The store drops its history while a router waits for changes. The changes in the
+// gap would be missed for good, so the whole table is read again.
 func TestDroppedHistoryIsReadWhole(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{answers: []answer{
-			{rows: []string{"a"}, as: 1},
+		s := &scriptedFeed{answers: []answer{
+			{rows: []string{"a"}, revision: 1},
 			{err: &follow.HistoryLostError{Table: "test"}},
-			{rows: []string{"b"}, as: 9},
-			{rows: []string{"c"}, as: 10},
+			{rows: []string{"b"}, revision: 9},
+			{rows: []string{"c"}, revision: 10},
 		}}
-		h := follows(t, s, time.Second)
-		require.Equal(t, []string{"whole", "a", "whole", "b", "c"}, h.said)
+		h := runFollower(t, s, time.Second)
+		require.Equal(t, []string{"whole", "a", "whole", "b", "c"}, h.events)
 	})
 }
 
-// The store is away for seconds. It is not asked without a pause, since refused
-// calls take its strength when it comes back, and its return is noticed soon.
-func TestOutageIsAskedAboutGentlyAndItsEndNoticed(t *testing.T) {
+// The store is unavailable for seconds. Calls are spaced, because refused calls load
+// the store as it recovers, and its return is still noticed soon.
+func TestCallsInAnOutageAreSpacedAndItsEndNoticed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		down := answer{err: errors.New("down")}
-		s := &script{answers: []answer{{as: 1}, down, down, down, down, down, down, down, down, {rows: []string{"x"}, as: 2}}}
-		h := follows(t, s, time.Minute)
-		require.Equal(t, []string{"whole", "lost", "regained", "x"}, h.said[:4])
+		s := &scriptedFeed{answers: []answer{{revision: 1}, down, down, down, down, down, down, down, down, {rows: []string{"x"}, revision: 2}}}
+		h := runFollower(t, s, time.Minute)
+		require.Equal(t, []string{"whole", "lost", "regained", "x"}, h.events[:4])
 		outage := s.times[9].Sub(s.times[1])
 		require.Greater(t, outage, time.Second)
 		for i := 1; i < 10; i++ {
@@ -103,13 +103,13 @@
 	})
 }
 
-// A connection goes silent without a reset, and the wait never ends by itself.
-// It is given up and asked again, so that a new connection brings the news.
+// A connection stops responding without a reset, so the wait never ends by itself.
+// The call times out and is repeated, so that a new connection delivers the changes.
 func TestSilentWaitIsGivenUp(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{answers: []answer{{as: 1}, {hangs: true}, {rows: []string{"late"}, as: 2}}}
-		h := follows(t, s, 8*time.Second)
-		require.Equal(t, []string{"whole", "lost", "regained", "late"}, h.said[:4])
+		s := &scriptedFeed{answers: []answer{{revision: 1}, {hangs: true}, {rows: []string{"late"}, revision: 2}}}
+		h := runFollower(t, s, 8*time.Second)
+		require.Equal(t, []string{"whole", "lost", "regained", "late"}, h.events[:4])
 	})
 }
--- a/follow/group.go
+++ b/follow/group.go
@@ -9,142 +9,142 @@
 )
 
 const (
-	// followers is how many do. Two that are cut off at the same moment, and one
-	// that is frozen, leave one.
-	followers = 4
-	// substitutes bounds how many more step in for followers that can't read the
-	// store. In an outage all that step in fail as well, and each failed call costs
-	// the platform as much as another.
-	substitutes = 8
-	// leastKnown is how many followers a router has to hear from to rest.
-	leastKnown = 2
-	// calmRest is how often a router that rests looks for itself: what the
-	// followers don't see, because their feed is silent, is seen by others after
-	// some 30 s divided by the size of the fleet.
-	calmRest = 30 * time.Second
-	// blindRest is the same while no follower can read the store, which may serve
-	// others: at 88 routers it makes 15 calls a second for each table.
-	blindRest = 6 * time.Second
+	// followerCount is how many routers of a large fleet follow the store. If two are cut
+	// off at the same time and a third one hangs, one is left.
+	followerCount = 4
+	// maxSubstitutes bounds how many more routers replace followers that can't read the
+	// store. In an outage all of them fail as well, and each failed call costs the
+	// platform as much as a successful one.
+	maxSubstitutes = 8
+	// minKnownFollowers is how many followers a router must know before it only polls.
+	minKnownFollowers = 2
+	// standbyPollInterval is how often a router that does not follow polls the store
+	// itself: changes that the followers miss, because their feed stopped responding,
+	// are seen by another router after some 30 s divided by the size of the fleet.
+	standbyPollInterval = 30 * time.Second
+	// blindPollInterval is the same while no follower can read the store, though it may
+	// answer other routers: 88 routers make 15 calls a second for each table.
+	blindPollInterval = 6 * time.Second
 )
 
-// Group says which routers of a fleet follow the store for all others. Its zero
+// Group decides which routers of a fleet follow the store for all others. The zero
 // value is a router that knows no others, and follows. It is safe for concurrent use.
 //
-// It answers the price of a change: at 88 routers, each that waits for changes
-// makes 88 calls of one, and a store that is away is asked a hundred times a
-// second. The store tells four of them, and these the rest, within a few
-// milliseconds. A router that is cut off from the others follows by itself.
+// It reduces the load on the store: if each of 88 routers waits for changes, one change
+// is answered 88 times, and a store that is unavailable gets a hundred calls a second.
+// So the store answers four of them, which pass the change on to the rest within a few
+// milliseconds. A router that is cut off from the others follows the store itself.
 type Group struct {
 	Self fleet.RouterID
 
 	mu sync.Mutex
-	// count is how many other routers are connected, and before are those of them
-	// that follow rather than this one.
-	count  int
-	before []fleet.RouterID
-	others map[fleet.RouterID]Standing
-	lost   bool
+	// peerCount is how many other routers are connected, and rankedAhead are those of
+	// them that precede this one in the choice of followers.
+	peerCount   int
+	rankedAhead []fleet.RouterID
+	standings   map[fleet.RouterID]Standing
+	storeLost   bool
 }
 
-// Standing is what a router says of itself.
+// Standing is the state that a router announces to the others.
 type Standing struct {
-	// Follows is true when it follows the store for all.
+	// Follows is true if the router follows the store for all.
 	Follows bool
-	// Lost is true when it can't read the store.
+	// Lost is true if the router can't read the store.
 	Lost bool
 }
 
-// SetRouters tells which other routers are connected.
+// SetRouters sets which other routers are connected.
 func (g *Group) SetRouters(others []fleet.RouterID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.count = len(others)
-	g.before = nil
+	g.peerCount = len(others)
+	g.rankedAhead = nil
 	key := rendezvous.KeyOf("follow", "store")
 	own := rendezvous.Score(key, g.Self)
-	known := make(map[fleet.RouterID]Standing, len(others))
+	standings := make(map[fleet.RouterID]Standing, len(others))
 	for _, id := range others {
 		if rendezvous.Score(key, id) > own {
-			g.before = append(g.before, id)
+			g.rankedAhead = append(g.rankedAhead, id)
 		}
-		if s, ok := g.others[id]; ok {
-			known[id] = s
+		if s, ok := g.standings[id]; ok {
+			standings[id] = s
 		}
 	}
-	g.others = known
+	g.standings = standings
 }
 
-// Hear takes what another router says of itself.
+// Hear records the Standing that another router announced.
 func (g *Group) Hear(from fleet.RouterID, s Standing) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.others == nil {
-		g.others = make(map[fleet.RouterID]Standing)
+	if g.standings == nil {
+		g.standings = make(map[fleet.RouterID]Standing)
 	}
-	g.others[from] = s
+	g.standings[from] = s
 }
 
-// SetLost says whether this router can't read the store.
+// SetLost records whether this router can't read the store.
 func (g *Group) SetLost(lost bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lost = lost
+	g.storeLost = lost
 }
 
-// Own returns what this router says of itself.
+// Own returns the Standing that this router announces.
 func (g *Group) Own() Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Standing{Follows: g.follows(), Lost: g.lost}
+	return Standing{Follows: g.isFollower(), Lost: g.storeLost}
 }
 
-// follows reports whether this router is among those that follow for all: the
-// first ones in an order that all routers agree on, and as many more as there are
-// before it that can't read the store, up to a bound.
-func (g *Group) follows() bool {
-	if !fleet.IsLarge(g.count + 1) {
+// isFollower reports whether this router is among those that follow for all. In a large
+// fleet these are the first ones in an order that all routers agree on, and one more for
+// each of them that can't read the store, up to maxSubstitutes.
+func (g *Group) isFollower() bool {
+	if !fleet.IsLarge(g.peerCount + 1) {
 		return true
 	}
-	lost := 0
-	for _, id := range g.before {
-		if g.others[id].Lost {
-			lost++
+	unable := 0
+	for _, id := range g.rankedAhead {
+		if g.standings[id].Lost {
+			unable++
 		}
 	}
-	return len(g.before)-min(lost, substitutes) < followers
+	return len(g.rankedAhead)-min(unable, maxSubstitutes) < followerCount
 }
 
-// Rest returns how long this router need not look at the store, zero when it has
-// to follow.
+// Rest returns the interval at which this router polls the store; zero means that it
+// has to follow it.
 func (g *Group) Rest() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	known, able := g.known()
+	followers, able := g.countFollowers()
 	switch {
-	case g.follows() || known < leastKnown:
+	case g.isFollower() || followers < minKnownFollowers:
 		return 0
 	case able == 0:
-		return blindRest
+		return blindPollInterval
 	default:
-		return calmRest
+		return standbyPollInterval
 	}
 }
 
-// IsBlind reports whether this router rests and none of those that follow can read
-// the store.
-func (g *Group) IsBlind() bool { return g.Rest() == blindRest }
+// IsBlind reports whether this router does not follow the store and none of those
+// that do can read it.
+func (g *Group) IsBlind() bool { return g.Rest() == blindPollInterval }
 
-// known returns how many other routers follow, and how many of them can read the
+// countFollowers returns how many other routers follow, and how many of them can read the
 // store.
-func (g *Group) known() (known, able int) {
-	for _, s := range g.others {
+func (g *Group) countFollowers() (followers, able int) {
+	for _, s := range g.standings {
 		if !s.Follows {
 			continue
 		}
-		known++
+		followers++
 		if !s.Lost {
 			able++
 		}
 	}
-	return known, able
+	return followers, able
 }
--- a/follow/group_test.go
+++ b/follow/group_test.go
@@ -11,7 +11,7 @@
 	"nutmeglock.example/nutmeglock/follow"
 )
 
-// groups returns so many routers that all know each other.
+// groups returns the Groups of n routers that are all connected to each other.
 func groups(n int) map[fleet.RouterID]*follow.Group {
 	all := make(map[fleet.RouterID]*follow.Group, n)
 	for i := range n {
@@ -34,13 +34,13 @@
 	return others
 }
 
-// settle lets all routers say how they stand until nothing changes any more. The
-// store is lost to those that follow or look at it while it is away.
-func settle(all map[fleet.RouterID]*follow.Group, away bool) {
+// exchangeStandings lets all routers announce their Standing until nothing changes any
+// more. Followers lose the store if it is unavailable.
+func exchangeStandings(all map[fleet.RouterID]*follow.Group, unavailable bool) {
 	for range 20 {
 		for id, g := range all {
 			if g.Own().Follows {
-				g.SetLost(away)
+				g.SetLost(unavailable)
 			}
 			for other, h := range all {
 				if other != id {
@@ -61,40 +61,40 @@
 	return count
 }
 
-// A change in a large fleet made each router ask the store for it. Four do, and the
-// others look for themselves twice a minute only.
+// A change in a large fleet made each router read it from the store. Only four may do
+// so, while the others poll twice a minute.
 func TestFewRoutersOfALargeFleetFollow(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
 	require.Equal(t, 88, following(all))
-	settle(all, false)
+	exchangeStandings(all, false)
 	require.Equal(t, 4, following(all))
 	small := groups(12)
-	settle(small, false)
+	exchangeStandings(small, false)
 	require.Equal(t, 12, following(small))
 }
 
-// The store is away for all. Each router that steps in for the followers fails too;
-// were there no bound, the whole fleet would ask a store that is away.
+// The store is unavailable for all. Each router that replaces a follower fails too;
+// without a bound the whole fleet would call an unavailable store.
 func TestOutageDoesNotMakeAllFollow(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
-	settle(all, false)
-	settle(all, true)
+	exchangeStandings(all, false)
+	exchangeStandings(all, true)
 	require.LessOrEqual(t, following(all), 12)
 	for _, g := range all {
 		require.Equal(t, g.Rest() > 0, g.IsBlind())
 	}
-	settle(all, false)
+	exchangeStandings(all, false)
 	require.Equal(t, 4, following(all))
 }
 
-// The store refuses the routers that follow and serves the others, which learn
-// nothing new unless some of them step in.
+// The store refuses the routers that follow it and answers the others, which get no
+// changes unless some of them follow instead.
 func TestOthersFollowForThoseThatAreRefused(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
-	settle(all, false)
+	exchangeStandings(all, false)
 	refused := make(map[fleet.RouterID]bool)
 	for id, g := range all {
 		refused[id] = g.Own().Follows
@@ -121,12 +121,12 @@
 	require.Equal(t, 4, able)
 }
 
-// A router is cut off from all others and not from the store. Nobody tells it what
-// is new, so it follows by itself.
+// A router is cut off from all others but not from the store. No router passes
+// changes on to it, so it follows the store itself.
 func TestRouterWithoutOthersFollows(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
-	settle(all, false)
+	exchangeStandings(all, false)
 	for _, g := range all {
 		g.SetRouters(nil)
 		require.Equal(t, time.Duration(0), g.Rest())
--- a/follow/machine_test.go
+++ b/follow/machine_test.go
@@ -13,8 +13,8 @@
 
 var machineRouters = []fleet.RouterID{"", "r0", "r1", "r2", "r3"}
 
-// Guards against a process that ends, or an update that nobody is asked for, because sources
-// come and go while they are asked.
+// Guards against a panic, and against an update that no source is asked for, because sources
+// are added and removed during calls.
 func TestSourcesOutliveAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -42,7 +42,7 @@
 	})
 }
 
-// Guards against a fleet in which nobody follows the store because routers come and go.
+// Guards against a fleet in which no router follows the store after routers have left.
 func TestSomebodyFollowsWhoeverIsLeft(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/follow/silence_test.go
+++ b/follow/silence_test.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	// settleBound is how long after the end of an outage what was written until
-	// then has to be known, applyBound how long after it was written what is
-	// written later. Both are the strictest that users ask for.
-	settleBound = 3 * time.Second
-	applyBound  = 2 * time.Second
+	// recoveryBound is how long after the end of an outage the rows written until then
+	// may arrive, and propagationBound how long after its write a later row may. Both
+	// are the strictest that users require.
+	recoveryBound    = 3 * time.Second
+	propagationBound = 2 * time.Second
 )
 
-// silentStore is a feed of a table that a store keeps which falls silent for a
-// while: a call that waits then, or comes then, is never answered.
+// silentStore is a feed of a store that stops responding between from and to: calls
+// that are pending or made then are never answered.
 type silentStore struct {
 	from, to time.Time
-	written  []time.Time
-	// answerTime is what an answer takes.
+	// written has the time at which each row is written.
+	written []time.Time
+	// answerTime is the latency of an answer.
 	answerTime time.Duration
 }
 
-// isLost reports whether a call that was made at begin and would be answered at
-// end meets the silence.
-func (s *silentStore) isLost(begin, end time.Time) bool {
+// overlapsSilence reports whether a call that was made at begin and would be answered at
+// end is lost.
+func (s *silentStore) overlapsSilence(begin, end time.Time) bool {
 	return begin.Before(s.to) && end.After(s.from)
 }
 
-// answer ends a call at a time, with the rows up to then.
+// answer blocks until end and returns the rows after a revision that were written by
+// then. A call that overlaps the silence blocks until its context ends.
 func (s *silentStore) answer(ctx context.Context, begin, end time.Time, after int) ([]int, int, error) {
-	if s.isLost(begin, end) {
+	if s.overlapsSilence(begin, end) {
 		<-ctx.Done()
 		return nil, after, ctx.Err()
 	}
@@ -48,16 +50,16 @@
 		return nil, after, ctx.Err()
 	}
 	var rows []int
-	as := 0
+	revision := 0
 	for i, at := range s.written {
 		if !at.After(end) {
-			as = i + 1
+			revision = i + 1
 		}
 		if i >= after && !at.After(end) {
 			rows = append(rows, i)
 		}
 	}
-	return rows, max(as, after), nil
+	return rows, max(revision, after), nil
 }
 
 func (s *silentStore) Read(ctx context.Context) ([]int, int, error) {
@@ -77,7 +79,7 @@
 	return s.answer(ctx, begin, end.Add(s.answerTime), after)
 }
 
-// arrivals records when each row was heard first.
+// arrivals records when each row arrived first.
 type arrivals struct{ at map[int]time.Time }
 
 func (a *arrivals) Apply(rows []int, _ int) {
@@ -87,33 +89,32 @@
 		}
 	}
 }
-func (a *arrivals) Replace(rows []int, as int) { a.Apply(rows, as) }
-func (a *arrivals) Lost(error)                 {}
-func (a *arrivals) Regained()                  {}
+func (a *arrivals) Replace(rows []int, revision int) { a.Apply(rows, revision) }
+func (a *arrivals) Lost(error)                       {}
+func (a *arrivals) Regained()                        {}
 
-// Callers got answers of a route by a configuration that had been replaced more
-// than two seconds before, at all routers of a data centre. The store had answered
-// nobody for six seconds, while its connections stayed open, and had been back
-// for four when the routers heard of the new configurations. A call that began in the
-// outage was never answered, and since it was to wait four seconds for a change, it was given
-// up only after five. The routers' logs proved it: the call after `dependency lost` was
-// the last one for 5.2 s, while the store answered the next call about another table.
-func TestNewsAfterASilenceIsHeardInTime(t *testing.T) {
+// All routers of a data centre used a configuration more than two seconds after it was
+// replaced. The store had not responded for six seconds, with its connections open, and
+// had been back for four when the routers received the new configurations: a call that
+// began in the outage and was to wait four seconds for a change timed out only after
+// five. In the routers' logs no call followed the one after `dependency lost` for 5.2 s,
+// while the store answered the next call for another table.
+func TestChangesAfterASilenceArriveInTime(t *testing.T) {
 	t.Parallel()
 	for _, silence := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, time.Second, 2500 * time.Millisecond, 6200 * time.Millisecond, 11 * time.Second} {
 		for _, answerTime := range []time.Duration{4 * time.Millisecond, 40 * time.Millisecond} {
 			t.Run(fmt.Sprintf("silence %v, answers in %v", silence, answerTime), func(t *testing.T) {
 				t.Parallel()
 				for begin := 500 * time.Millisecond; begin < 7*time.Second; begin += 130 * time.Millisecond {
-					synctest.Test(t, func(t *testing.T) { hearsInTime(t, begin, silence, answerTime) })
+					synctest.Test(t, func(t *testing.T) { checkArrivalTimes(t, begin, silence, answerTime) })
 				}
 			})
 		}
 	}
 }
 
-// hearsInTime plays one silence, with rows written during it and after it.
-func hearsInTime(t *testing.T, begin, silence, answerTime time.Duration) {
+// checkArrivalTimes simulates one silence, with rows written before, during and after it.
+func checkArrivalTimes(t *testing.T, begin, silence, answerTime time.Duration) {
 	t.Helper()
 	start := time.Now()
 	s := &silentStore{from: start.Add(begin), to: start.Add(begin + silence), answerTime: answerTime}
@@ -121,18 +122,18 @@
 		start.Add(-time.Second), s.from.Add(silence / 2), s.to.Add(300 * time.Millisecond), s.to.Add(900 * time.Millisecond),
 		s.to.Add(4 * time.Second),
 	}
-	heard := &arrivals{at: make(map[int]time.Time)}
-	f := follow.Follower[int, int]{Name: "test", Feed: s, Sink: heard, Log: slog.New(slog.DiscardHandler)}
+	arrived := &arrivals{at: make(map[int]time.Time)}
+	f := follow.Follower[int, int]{Name: "test", Feed: s, Sink: arrived, Log: slog.New(slog.DiscardHandler)}
 	ctx, cancel := context.WithDeadline(t.Context(), s.to.Add(15*time.Second))
 	defer cancel()
 	require.ErrorIs(t, f.Run(ctx), context.DeadlineExceeded)
 	for row, at := range s.written[1:] {
-		due := at.Add(applyBound)
-		if due.Before(s.to.Add(settleBound)) {
-			due = s.to.Add(settleBound)
+		due := at.Add(propagationBound)
+		if due.Before(s.to.Add(recoveryBound)) {
+			due = s.to.Add(recoveryBound)
 		}
-		require.Contains(t, heard.at, row+1)
-		require.False(t, heard.at[row+1].After(due), "silent from %v: row %d, written %v after the end, was heard %v after the end",
-			begin, row+1, at.Sub(s.to), heard.at[row+1].Sub(s.to))
+		require.Contains(t, arrived.at, row+1)
+		require.False(t, arrived.at[row+1].After(due), "silent from %v: row %d, written %v after the end, arrived %v after the end",
+			begin, row+1, at.Sub(s.to), arrived.at[row+1].Sub(s.to))
 	}
 }
--- a/follow/sources.go
+++ b/follow/sources.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// hedgeDelay is how long one source is waited for before another one is asked
-	// too, and the least time between two calls to the same source.
+	// hedgeDelay is how long a call may take before another source is called too,
+	// and the least time between two calls to the same source.
 	hedgeDelay = 200 * time.Millisecond
-	// maxCalls bounds the calls of one router that are under way.
+	// maxCalls bounds the concurrent calls of one router.
 	maxCalls = 4
 )
 
-// Sources chooses which other routers to ask for an update. Its zero value knows
-// none. It is safe for concurrent use.
+// Sources chooses which other routers to ask for an update. Its zero value is empty. It
+// is safe for concurrent use.
 //
-// A source may be silent, or busy with many other routers that ask. So a call that
-// takes long is joined by a call to another source instead of being awaited alone.
+// A source may not respond, or be busy with calls of many other routers. So calls are
+// hedged: one that takes long is followed by a call to another source.
 type Sources struct {
 	mu      sync.Mutex
 	sources map[fleet.RouterID]*source
 }
 
-// source is what is known of one router.
+// source is the state of one router.
 type source struct {
-	// announced is the version that the router has.
-	announced uint64
-	// asked is when the latest call to it began, zero for never.
-	asked   time.Time
-	calling bool
+	// version is the latest version that the router announced.
+	version uint64
+	// lastCall is when the latest call to the router began; zero if there was none.
+	lastCall time.Time
+	inFlight bool
 }
 
-// Announce notes that a router has a version.
+// Announce records that a router has a version.
 func (s *Sources) Announce(router fleet.RouterID, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.sources[router]
-	if known == nil {
-		known = &source{}
+	src := s.sources[router]
+	if src == nil {
+		src = &source{}
 		if s.sources == nil {
 			s.sources = make(map[fleet.RouterID]*source)
 		}
-		s.sources[router] = known
+		s.sources[router] = src
 	}
-	known.announced = version
+	src.version = version
 }
 
 // Forget drops a router that is no longer connected.
@@ -57,13 +57,13 @@
 	delete(s.sources, router)
 }
 
-// Next returns a router to ask now for a version after held, or none, and when to
-// look again; zero means not before a call ends or a router announces something newer.
-// The call counts as under way until End.
+// Next returns a router to ask now for a version after held, or none, and how long to
+// wait before Next is called again; zero means until a call ends or a router announces a
+// newer version. The call counts as in flight until End.
 func (s *Sources) Next(now time.Time, held uint64) (router fleet.RouterID, again time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	calls, latest := s.underWay(held)
+	calls, latest := s.callsInFlight(held)
 	if calls >= maxCalls {
 		return "", 0
 	}
@@ -74,58 +74,58 @@
 	if chosen == nil {
 		return "", 0
 	}
-	if wait := chosen.asked.Add(hedgeDelay).Sub(now); wait > 0 {
+	if wait := chosen.lastCall.Add(hedgeDelay).Sub(now); wait > 0 {
 		return "", wait
 	}
-	chosen.asked = now
-	chosen.calling = true
+	chosen.lastCall = now
+	chosen.inFlight = true
 	return router, hedgeDelay
 }
 
-// End notes that the call to a router ended.
+// End records that the call to a router ended.
 func (s *Sources) End(router fleet.RouterID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.sources[router]; known != nil {
-		known.calling = false
+	if src := s.sources[router]; src != nil {
+		src.inFlight = false
 	}
 }
 
-// underWay returns how many calls for a version after held are under way, and when
+// callsInFlight returns how many calls for a version after held are in flight, and when
 // the latest one began.
-func (s *Sources) underWay(held uint64) (calls int, latest time.Time) {
-	for _, known := range s.sources {
-		if !known.calling || known.announced <= held {
+func (s *Sources) callsInFlight(held uint64) (calls int, latest time.Time) {
+	for _, src := range s.sources {
+		if !src.inFlight || src.version <= held {
 			continue
 		}
 		calls++
-		if known.asked.After(latest) {
-			latest = known.asked
+		if src.lastCall.After(latest) {
+			latest = src.lastCall
 		}
 	}
 	return calls, latest
 }
 
-// choose returns the source that was asked the longest ago, nil for none. Among several
-// the choice is random, so that the routers of a fleet spread their calls.
+// choose returns the source that was called the longest ago, nil for none. Ties are
+// broken at random, so that the routers of a fleet spread their calls.
 func (s *Sources) choose(held uint64) (fleet.RouterID, *source) {
 	var best *source
 	var id fleet.RouterID
 	ties := 0
-	for router, known := range s.sources {
-		if known.calling || known.announced <= held {
+	for router, src := range s.sources {
+		if src.inFlight || src.version <= held {
 			continue
 		}
 		switch {
-		case best == nil || known.asked.Before(best.asked):
+		case best == nil || src.lastCall.Before(best.lastCall):
 			ties = 1
-		case known.asked.Equal(best.asked):
+		case src.lastCall.Equal(best.lastCall):
 			ties++
 		default:
 			continue
 		}
 		if rand.N(ties) == 0 {
-			best, id = known, router
+			best, id = src, router
 		}
 	}
 	return id, best
--- a/follow/sources_test.go
+++ b/follow/sources_test.go
@@ -19,8 +19,8 @@
 	require.Zero(t, again)
 }
 
-// Guards against an update that waits until a silent source's call times out.
-func TestSilentSourceIsJoinedByOthersOneAfterTheOther(t *testing.T) {
+// Guards against an update that waits for the timeout of a call to a source that does not respond.
+func TestCallToASilentSourceIsHedged(t *testing.T) {
 	t.Parallel()
 	var s follow.Sources
 	now := time.Unix(1_800_000_000, 0)
@@ -41,7 +41,7 @@
 		require.Less(t, again, patience/2)
 		now = now.Add(again)
 	}
-	require.Len(t, asked, 4, "calls under way are bounded")
+	require.Len(t, asked, 4, "calls in flight are bounded")
 }
 
 // Guards against a loop of calls to a single source that fails at once.
@@ -60,7 +60,7 @@
 	require.EqualValues(t, "a", router)
 }
 
-// Guards against a second call to a source that failed while another one was not tried.
+// Guards against a second call to a failed source before the other sources are tried.
 func TestSourceThatFailedComesAfterTheOthers(t *testing.T) {
 	t.Parallel()
 	var s follow.Sources
@@ -74,7 +74,7 @@
 	require.NotEqual(t, first, second)
 }
 
-// Guards against calls to a router that is gone.
+// Guards against calls to a router that is no longer connected.
 func TestForgottenSourceIsNotAsked(t *testing.T) {
 	t.Parallel()
 	var s follow.Sources
