--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -1,12 +1,12 @@
-// Package attempt makes one exchange of a request with an upstream and says
-// truthfully what may have become of it.
+// Package attempt sends one request to an upstream and reports whether the
+// upstream may have run it.
 //
-// The word that a caller hears about a failed exchange (not-run,
-// outcome-unknown or run) has one source, Facts.Outcome, which knows only what
-// left this router and what came back. An exchange is never repeated in here:
-// net/http repeats some requests by itself when a reused connection turns out
-// to be closed, so the requests are built in a way that it can't, and a
-// connection that would carry a second copy refuses to write.
+// The outcome of a failed exchange that is returned to the caller (not-run,
+// outcome-unknown or run) is computed in one place, Facts.Outcome, from what
+// this router sent and received only. An exchange is never retried here:
+// net/http retries some requests by itself if a reused connection turns out to
+// be closed, so the requests are built in a way that prevents it, and a
+// connection that would carry a second copy rejects the write.
 package attempt
 
 import (
@@ -20,47 +20,48 @@
 	"nutmeglock.example/nutmeglock/retry"
 )
 
-// Names of the headers that a router and an upstream exchange.
+// Names of the headers between router and upstream.
 const (
 	RequestIDHeader = "Nutmeglock-Request-Id"
 	StreamIDHeader  = "Nutmeglock-Stream-Id"
 	RefusedHeader   = "Nutmeglock-Refused"
 )
 
-// Request is what is sent to an upstream.
+// Request is a request to an upstream.
 type Request struct {
 	ID     fleet.RequestID
 	Method string
-	// Path is the escaped path with the query, beginning with a slash.
+	// Path is the escaped path with the query. It begins with a slash.
 	Path string
-	// Header is copied; hop-by-hop fields and credentials in it are dropped.
+	// Header is copied without hop-by-hop fields and credentials.
 	Header http.Header
 	Body   []byte
-	// Stream names the stream at a model engine; empty for plain services.
+	// Stream is the id of the stream at a model engine; empty for plain services.
 	Stream string
-	// Idempotent is true when a second run does no harm. The others get a
-	// connection of their own, so that none is lost to an idle connection
-	// that the upstream was about to close.
+	// Idempotent is true if a second run does no harm. Other requests get a
+	// connection of their own, so that none fails on an idle connection that the
+	// upstream is about to close.
 	Idempotent bool
 }
 
-// Answer is an upstream's answer, of which the header has arrived.
+// Answer is an upstream's answer, whose header has been read.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body in bytes, -1 when it is not known.
+	// Length is the length of the body in bytes, -1 if unknown.
 	Length int64
-	// Body yields the answer's body as it arrives. A read fails with *Error
-	// when the answer breaks off. It has to be closed.
+	// Body streams the answer's body. A read fails with *Error if the answer is
+	// incomplete. The caller must close it.
 	Body io.ReadCloser
-	// FirstByte is the time from the start of the exchange to the header.
+	// FirstByte is the time from the start of the exchange until the header was read.
 	FirstByte time.Duration
 }
 
-// Refused is an upstream's word that it turned a request away unrun.
+// Refused is the reason for which an upstream refused a request without running
+// it; empty if it did not.
 type Refused string
 
-// The words that an upstream may give in RefusedHeader.
+// Values of RefusedHeader.
 const (
 	Draining Refused = "draining"
 	Full     Refused = "full"
@@ -73,7 +74,7 @@
 	Cause   error
 }
 
-// Error names the address, the outcome and the cause.
+// Error returns a message with the address, the outcome and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("upstream %s, %s: %v", e.Address, e.Facts.Outcome(), e.Cause)
 }
@@ -81,7 +82,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Result returns what dispatch is to learn of the failure.
+// Result returns the result that is reported to dispatch.
 func (e *Error) Result() dispatch.Result {
 	switch e.Facts.Refused {
 	case "":
@@ -93,7 +94,7 @@
 	}
 }
 
-// RetryReason returns the reason that a further attempt is counted under.
+// RetryReason returns the reason by which a retry is counted.
 func (e *Error) RetryReason() retry.Reason {
 	switch {
 	case e.Facts.Refused == Draining:
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -21,11 +21,11 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// The same cases come in each run; -rapid.seed tries others.
+// Fixes the seed, so that each run has the same cases; -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "7") }
 
-// upstream is a raw server that reads cut bytes of each request, writes reply
-// and closes. It keeps what it received.
+// upstream is a raw TCP server that reads cut bytes of each request, writes reply
+// and closes the connection. It records what it received.
 type upstream struct {
 	net.Listener
 	cut   int
@@ -37,7 +37,7 @@
 	wg       sync.WaitGroup
 }
 
-func listen(t interface{ Fatal(args ...any) }, cut int, reply string) *upstream {
+func startUpstream(t interface{ Fatal(args ...any) }, cut int, reply string) *upstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -86,12 +86,12 @@
 	return failed.Facts.Outcome()
 }
 
-// An upstream or a network breaks a call at any byte. The caller is told
-// whether its order was run, and acts on it: a wrong not-run doubles the order.
-// So wherever the cut falls, not-run must mean that no server can have acted.
+// An upstream or the network breaks a call at any byte. The caller acts on the
+// reported outcome: a wrong not-run makes it place its order twice. So wherever
+// the call breaks, not-run must mean that no server can have run it.
 func TestNotRunMeansThatNoServerHadTheHeader(t *testing.T) {
 	t.Parallel()
-	words := map[refusal.Outcome]int{}
+	outcomes := map[refusal.Outcome]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		body := strings.Repeat("b", rapid.SampledFrom([]int{0, 1, 100, 9000, 12 << 20}).Draw(t, "body"))
 		method := rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method")
@@ -99,114 +99,114 @@
 		cut := rapid.IntRange(0, 300+min(len(body), 9000)).Draw(t, "cut")
 		answer := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 		reply := answer[:rapid.IntRange(0, len(answer)-1).Draw(t, "reply")]
-		u := listen(t, cut, reply)
+		u := startUpstream(t, cut, reply)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		var client attempt.Client
-		got, err := client.Do(ctx, u.Addr().String(), request(method, body, idempotent))
+		response, err := client.Do(ctx, u.Addr().String(), request(method, body, idempotent))
 		if err == nil {
-			_, err = io.ReadAll(got.Body)
-			_ = got.Body.Close()
+			_, err = io.ReadAll(response.Body)
+			_ = response.Body.Close()
 		}
 		require.Error(t, err)
-		word := outcome(t, err)
-		words[word]++
-		whole := 0
-		for _, bytesIn := range u.stop() {
-			if bytes.Contains(bytesIn, []byte("\r\n\r\n")) {
-				whole++
+		got := outcome(t, err)
+		outcomes[got]++
+		headers := 0
+		for _, received := range u.stop() {
+			if bytes.Contains(received, []byte("\r\n\r\n")) {
+				headers++
 			}
 		}
-		require.LessOrEqual(t, whole, 1, "sent twice")
+		require.LessOrEqual(t, headers, 1, "sent twice")
 		require.NotContains(t, string(bytes.Join(u.received, nil)), "secret")
-		if word == refusal.NotRun {
-			require.Zero(t, whole, "called not-run, but the header arrived")
+		if got == refusal.NotRun {
+			require.Zero(t, headers, "reported not-run, but the header arrived")
 		}
 	})
-	require.NotZero(t, words[refusal.Unknown])
-	require.NotZero(t, words[refusal.Run])
+	require.NotZero(t, outcomes[refusal.Unknown])
+	require.NotZero(t, outcomes[refusal.Run])
 }
 
 func TestOutcomeOfEachCut(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		facts attempt.Facts
-		word  refusal.Outcome
+		facts    attempt.Facts
+		expected refusal.Outcome
 	}{
 		"before connect":             {attempt.Facts{}, refusal.NotRun},
 		"connected":                  {attempt.Facts{Connected: true}, refusal.NotRun},
 		"in the header":              {attempt.Facts{Connected: true, Written: 9}, refusal.NotRun},
-		"in the body":                {attempt.Facts{Connected: true, Written: 99, HeaderWhole: true}, refusal.Unknown},
-		"before the answer":          {attempt.Facts{Connected: true, Written: 99, HeaderWhole: true, BodyWhole: true}, refusal.Unknown},
-		"early answer":               {attempt.Facts{Connected: true, Written: 9, AnswerByte: true}, refusal.Unknown},
-		"in the answer":              {attempt.Facts{Connected: true, HeaderWhole: true, AnswerByte: true, AnswerHeader: true}, refusal.Run},
-		"refused unrun":              {attempt.Facts{Connected: true, HeaderWhole: true, BodyWhole: true, AnswerByte: true, Refused: attempt.Full}, refusal.NotRun},
-		"refused in a broken answer": {attempt.Facts{Connected: true, HeaderWhole: true, AnswerByte: true}, refusal.Unknown},
+		"in the body":                {attempt.Facts{Connected: true, Written: 99, HeaderSent: true}, refusal.Unknown},
+		"before the answer":          {attempt.Facts{Connected: true, Written: 99, HeaderSent: true, BodySent: true}, refusal.Unknown},
+		"early answer":               {attempt.Facts{Connected: true, Written: 9, AnswerStarted: true}, refusal.Unknown},
+		"in the answer":              {attempt.Facts{Connected: true, HeaderSent: true, AnswerStarted: true, AnswerHeaderRead: true}, refusal.Run},
+		"refused unrun":              {attempt.Facts{Connected: true, HeaderSent: true, BodySent: true, AnswerStarted: true, Refused: attempt.Full}, refusal.NotRun},
+		"refused in a broken answer": {attempt.Facts{Connected: true, HeaderSent: true, AnswerStarted: true}, refusal.Unknown},
 	} {
-		require.Equal(t, c.word, c.facts.Outcome(), name)
+		require.Equal(t, c.expected, c.facts.Outcome(), name)
 	}
 }
 
 func TestConnectionRefusedIsNotRun(t *testing.T) {
 	t.Parallel()
-	u := listen(t, 0, "")
+	u := startUpstream(t, 0, "")
 	u.stop()
 	var client attempt.Client
 	_, err := client.Do(t.Context(), u.Addr().String(), request("POST", "b", false))
 	require.Equal(t, refusal.NotRun, outcome(t, err))
 }
 
-// The caller gives up at the moment at which its request is about to be
-// written. net/http returns at once, and its writing goroutine may still send
-// the request, which was then called not-run and run all the same.
-func TestNothingIsSentAfterNotRunWasSaid(t *testing.T) {
+// The caller cancels just before its request is written. net/http returns at
+// once, while its writing goroutine may still send the request, which was then
+// reported as not-run and yet run.
+func TestNothingIsSentAfterNotRunWasReported(t *testing.T) {
 	t.Parallel()
 	for range 300 {
-		u := listen(t, 1<<20, "")
+		u := startUpstream(t, 1<<20, "")
 		ctx, cancel := context.WithCancel(t.Context())
 		go cancel()
 		var client attempt.Client
 		_, err := client.Do(ctx, u.Addr().String(), request("POST", strings.Repeat("b", 9000), true))
-		word := outcome(t, err)
+		got := outcome(t, err)
 		client.Close()
-		for _, got := range u.stop() {
-			if word == refusal.NotRun {
-				require.NotContains(t, string(got), "\r\n\r\n")
+		for _, received := range u.stop() {
+			if got == refusal.NotRun {
+				require.NotContains(t, string(received), "\r\n\r\n")
 			}
 		}
 	}
 }
 
-// An upstream stops taking bytes, as behind a partition, and its connection
-// stays. The router must find out long before the caller's deadline.
+// An upstream stops reading, or is behind a partition, while its connection stays
+// open. The router must detect it long before the caller's deadline.
 func TestSilentUpstreamIsGivenUp(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	client := attempt.Client{MaxSilence: 300 * time.Millisecond}
-	failed := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		_, err := client.Do(t.Context(), l.Addr().String(), request("POST", strings.Repeat("b", 12<<20), true))
-		failed <- err
+		result <- err
 	}()
 	select {
-	case err := <-failed:
+	case err := <-result:
 		require.Equal(t, refusal.Unknown, outcome(t, err))
 	case <-time.After(20 * time.Second):
 		require.Fail(t, "the router still waits")
 	}
 }
 
-// An upstream closes idle connections while a request is on its way on one.
-// net/http then repeats some requests on a new connection by itself. An order
-// would run twice, with one attempt in the router's log.
-func TestNoRequestIsRepeatedByTheTransport(t *testing.T) {
+// An upstream closes an idle connection while a request is sent on it. net/http
+// then retries some requests on a new connection. An order would run twice, with
+// only one attempt in the router's log.
+func TestNoRequestIsRetriedByTheTransport(t *testing.T) {
 	t.Parallel()
 	for _, method := range []string{"GET", "POST", "DELETE"} {
 		for _, body := range []string{"", "body"} {
 			for _, idempotent := range []bool{true, false} {
-				address, runs := answerOnce(t)
+				address, runs := startSingleAnswerServer(t)
 				var client attempt.Client
 				first, err := client.Do(t.Context(), address, request("GET", "", true))
 				require.NoError(t, err)
@@ -223,10 +223,10 @@
 	}
 }
 
-// answerOnce starts a server that answers the first request and drops the
-// connection of each later one after reading it. runs stops it and returns how
-// many requests it read.
-func answerOnce(t *testing.T) (address string, runs func() int) {
+// startSingleAnswerServer starts a server that answers the first request and closes the
+// connection of each later one after reading it. runs stops the server and returns
+// how many requests it read.
+func startSingleAnswerServer(t *testing.T) (address string, runs func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -265,8 +265,8 @@
 	}
 }
 
-// The same, step by step: a write that begins after the exchange was judged
-// must fail, and one that was under way counts as if all of it had arrived.
+// A write that begins after the outcome of the exchange was determined must fail,
+// and one that was in progress counts as if all its bytes had arrived.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	t.Parallel()
 	near, far := net.Pipe()
@@ -281,10 +281,10 @@
 	_, err := io.ReadFull(far, first)
 	require.NoError(t, err)
 
-	written, headerWhole := seal()
+	written, headerSent := seal()
 
 	require.Equal(t, int64(18), written)
-	require.True(t, headerWhole)
+	require.True(t, headerSent)
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	<-returned
 	_, err = tracked.Write([]byte("more"))
--- a/attempt/client.go
+++ b/attempt/client.go
@@ -21,81 +21,82 @@
 )
 
 const (
-	// defaultConnectTimeout allows for one lost SYN, which is sent again after
+	// defaultConnectTimeout allows for one lost SYN, which is retransmitted after
 	// a second; data centres are about a millisecond apart.
 	defaultConnectTimeout = 1500 * time.Millisecond
-	// defaultMaxIdle keeps as many connections as a busy engine has slots.
-	defaultMaxIdle = 32
-	// idleTimeout is below the usual keep-alive timeouts of servers (a minute
-	// and more), so that it is mostly this side that closes.
+	// defaultMaxIdleConns is the number of slots of a busy engine.
+	defaultMaxIdleConns = 32
+	// idleTimeout is below the usual keep-alive timeouts of servers (a minute and
+	// more), so that mostly the router closes a connection.
 	idleTimeout = 30 * time.Second
 	// defaultMaxSilence is as long as an engine keeps a stream without a reader.
 	defaultMaxSilence = 10 * time.Second
-	// A connection on which nothing is sent is probed after probeIdle, and
-	// given up after probeCount probes without an answer: after 19 s in all.
+	// An idle connection is probed after probeIdle, and closed after probeCount
+	// probes without an answer: after 19 s in all.
 	probeIdle     = 10 * time.Second
 	probeInterval = 3 * time.Second
 	probeCount    = 3
-	// maxAnswerHeader bounds an answer's header, in bytes.
-	maxAnswerHeader = 64 << 10
-	// maxRefusalBody bounds what is read of a refusal so that its connection
-	// can be used again, in bytes.
-	maxRefusalBody = 16 << 10
+	// maxAnswerHeaderBytes bounds an answer's header, in bytes.
+	maxAnswerHeaderBytes = 64 << 10
+	// maxRefusalBodyBytes bounds how much of a refusal is read in order to reuse its
+	// connection, in bytes.
+	maxRefusalBodyBytes = 16 << 10
 )
 
-// Client makes exchanges. Its zero value works. It is safe for concurrent use.
+// Client sends requests to upstreams. Its zero value is ready to use. It is safe for
+// concurrent use.
 type Client struct {
 	// ConnectTimeout bounds the opening of a connection; zero means 1.5 s.
 	ConnectTimeout time.Duration
-	// MaxSilence bounds how long bytes stay unacknowledged or can't be sent
+	// MaxSilence bounds how long sent bytes may remain unacknowledged, or unsent
 	// because the upstream does not read; zero means 10 s.
 	MaxSilence time.Duration
 	// MaxIdle bounds the idle connections kept for one upstream; zero means 32.
 	MaxIdle int
 
-	once   sync.Once
-	reused *http.Transport
-	fresh  *http.Transport
+	once      sync.Once
+	keepAlive *http.Transport
+	singleUse *http.Transport
 }
 
-// Do sends a request to the upstream at address and returns its answer as soon
-// as the header has arrived. It fails with *Error. ctx bounds the exchange and
-// the reading of the body.
+// Do sends a request to the upstream at address and returns its answer once the
+// header was read. It fails with *Error. ctx bounds the exchange and the reading of
+// the body.
 func (c *Client) Do(ctx context.Context, address string, request Request) (*Answer, error) {
-	c.once.Do(c.start)
+	c.once.Do(c.initTransports)
 	start := time.Now()
 	x := &exchange{}
-	out, err := build(httptrace.WithClientTrace(ctx, x.trace()), address, request)
+	out, err := newRequest(httptrace.WithClientTrace(ctx, x.trace()), address, request)
 	if err != nil {
 		return nil, &Error{Address: address, Cause: err}
 	}
-	in, err := c.transport(request).RoundTrip(out) //nolint:bodyclose // the answer's reader closes it
+	response, err := c.transportFor(request).RoundTrip(out) //nolint:bodyclose // the answer's reader closes it
 	if err != nil {
-		return nil, &Error{Address: address, Facts: x.close(), Cause: err}
+		return nil, &Error{Address: address, Facts: x.finish(), Cause: err}
 	}
-	if refused := refusedBy(in); refused != "" {
-		discard(in.Body)
-		facts := x.close()
+	if refused := refusalOf(response); refused != "" {
+		drainAndClose(response.Body)
+		facts := x.finish()
 		facts.Refused = refused
 		return nil, &Error{Address: address, Facts: facts, Cause: eris.Errorf("upstream refused: %s", refused)}
 	}
 	return &Answer{
-		Status: in.StatusCode, Header: in.Header, Length: in.ContentLength,
-		Body: &body{ReadCloser: in.Body, address: address}, FirstByte: time.Since(start),
+		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+		Body: &answerBody{ReadCloser: response.Body, address: address}, FirstByte: time.Since(start),
 	}, nil
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() {
-	c.once.Do(c.start)
-	c.reused.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.once.Do(c.initTransports)
+	c.keepAlive.CloseIdleConnections()
+	c.singleUse.CloseIdleConnections()
 }
 
-func (c *Client) start() {
-	c.reused = c.newTransport()
-	c.fresh = c.newTransport()
-	c.fresh.DisableKeepAlives = true
+func (c *Client) initTransports() {
+	c.keepAlive = c.newTransport()
+	c.singleUse = c.newTransport()
+	c.singleUse.DisableKeepAlives = true
 }
 
 func (c *Client) newTransport() *http.Transport {
@@ -113,7 +114,7 @@
 	}
 	maxIdle := c.MaxIdle
 	if maxIdle == 0 {
-		maxIdle = defaultMaxIdle
+		maxIdle = defaultMaxIdleConns
 	}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -126,22 +127,22 @@
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    maxIdle,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeader,
+		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
 	}
 }
 
-// transport returns one that opens a connection for the request alone when the
-// request may run once at most, or when net/http would take it for repeatable:
-// an Idempotency-Key and no body are enough for that.
-func (c *Client) transport(request Request) *http.Transport {
+// transportFor returns a transport that opens a connection for this request only if
+// the request may run at most once, or if net/http would consider it replayable, for
+// which an Idempotency-Key and an empty body are enough.
+func (c *Client) transportFor(request Request) *http.Transport {
 	if !request.Idempotent || (len(request.Body) == 0 && !UsuallyEmpty(request.Method)) {
-		return c.fresh
+		return c.singleUse
 	}
-	return c.reused
+	return c.keepAlive
 }
 
-// UsuallyEmpty reports whether requests of a method usually have no body, so that
-// no length is announced for an empty one.
+// UsuallyEmpty reports whether requests with a method usually have no body, so that
+// an empty body is sent without a Content-Length.
 func UsuallyEmpty(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
@@ -150,21 +151,21 @@
 	return false
 }
 
-// onceBody is a request body that can't be rewound. With it, and without
-// GetBody, net/http has no way to send a request a second time.
-type onceBody struct{ *bytes.Reader }
+// nonRewindableBody is a request body that can't be rewound. Without GetBody,
+// net/http can't send such a request a second time.
+type nonRewindableBody struct{ *bytes.Reader }
 
-func (onceBody) Close() error { return nil }
+func (nonRewindableBody) Close() error { return nil }
 
-func build(ctx context.Context, address string, request Request) (*http.Request, error) {
+func newRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
 	path, err := url.Parse(request.Path)
 	if err != nil || !strings.HasPrefix(request.Path, "/") {
-		return nil, eris.Errorf("path %q is no absolute path", request.Path)
+		return nil, eris.Errorf("path %q is not an absolute path", request.Path)
 	}
 	out := (&http.Request{
-		Method: request.Method, Host: address, Header: sendable(request.Header),
+		Method: request.Method, Host: address, Header: forwardedHeader(request.Header),
 		URL:           &url.URL{Scheme: "http", Host: address, Path: path.Path, RawPath: path.RawPath, RawQuery: path.RawQuery},
-		Body:          onceBody{bytes.NewReader(request.Body)},
+		Body:          nonRewindableBody{bytes.NewReader(request.Body)},
 		ContentLength: int64(len(request.Body)),
 	}).WithContext(ctx)
 	if len(request.Body) == 0 && !UsuallyEmpty(request.Method) {
@@ -177,20 +178,21 @@
 	return out, nil
 }
 
-// dropped are the fields that are not passed on: those of one connection, and
-// the caller's credentials, which are for nutmeglock alone.
-var dropped = []string{
+// droppedHeaders are the header fields that are not forwarded: first the nine hop-by-hop
+// fields, then those that are set anew, and the caller's credentials, which are for
+// nutmeglock only.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Host", "Authorization",
 }
 
-func sendable(header http.Header) http.Header {
+func forwardedHeader(header http.Header) http.Header {
 	out := header.Clone()
 	if out == nil {
 		out = http.Header{}
 	}
 	StripHopByHop(out)
-	for _, name := range dropped {
+	for _, name := range droppedHeaders {
 		out.Del(name)
 	}
 	if out.Get("User-Agent") == "" {
@@ -199,41 +201,41 @@
 	return out
 }
 
-// StripHopByHop removes the fields of a header that concern one connection.
+// StripHopByHop removes the hop-by-hop fields of a header.
 func StripHopByHop(header http.Header) {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			header.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range dropped[:9] {
+	for _, name := range droppedHeaders[:9] {
 		header.Del(name)
 	}
 }
 
-func refusedBy(answer *http.Response) Refused {
+func refusalOf(answer *http.Response) Refused {
 	if answer.StatusCode != http.StatusServiceUnavailable && answer.StatusCode != http.StatusTooManyRequests {
 		return ""
 	}
 	return Refused(answer.Header.Get(RefusedHeader))
 }
 
-func discard(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, maxRefusalBody)
+func drainAndClose(body io.ReadCloser) {
+	_, _ = io.CopyN(io.Discard, body, maxRefusalBodyBytes)
 	_ = body.Close()
 }
 
-// body turns a broken answer into *Error.
-type body struct {
+// answerBody returns *Error from Read if the answer is incomplete.
+type answerBody struct {
 	io.ReadCloser
 	address string
 }
 
-func (b *body) Read(p []byte) (int, error) {
+func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	facts := Facts{Connected: true, HeaderWhole: true, AnswerByte: true, AnswerHeader: true}
+	facts := Facts{Connected: true, HeaderSent: true, AnswerStarted: true, AnswerHeaderRead: true}
 	return n, &Error{Address: b.address, Facts: facts, Cause: err}
 }
--- a/attempt/conn.go
+++ b/attempt/conn.go
@@ -8,26 +8,26 @@
 	"github.com/rotisserie/eris"
 )
 
-var errSealed = eris.New("the exchange was given up")
+var errSealed = eris.New("the exchange has ended")
 
-// conn is a connection that knows how much of the current request it carried.
+// conn is a connection that records how much of the current request was written.
 type conn struct {
 	net.Conn
 
 	mu      sync.Mutex
-	current *record
+	current *writeRecord
 }
 
-// begin starts the record of a new request on the connection.
-func (c *conn) begin() *record {
-	r := &record{}
+// begin starts a writeRecord for a new request on the connection.
+func (c *conn) begin() *writeRecord {
+	r := &writeRecord{}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = r
 	return r
 }
 
-// Write passes bytes on unless the current request was sealed.
+// Write writes to the connection unless the record of the current request is sealed.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	r := c.current
@@ -35,71 +35,70 @@
 	if r == nil {
 		return c.Conn.Write(p)
 	}
-	if !r.start(p) {
+	if !r.beginWrite(p) {
 		return 0, errSealed
 	}
 	n, err := c.Conn.Write(p)
-	r.finish(p[:n])
+	r.endWrite(p[:n])
 	return n, err
 }
 
-// record is what one request wrote to its connection.
-type record struct {
+// writeRecord tracks what one request wrote to its connection.
+type writeRecord struct {
 	mu     sync.Mutex
 	sealed bool
-	// settled counts the writes that have returned, assumed also the one that
-	// is under way, as if all of it were written.
-	settled progress
-	assumed progress
+	// completed counts the writes that have returned, and upperBound also the one in
+	// progress, as if all its bytes were written.
+	completed  progress
+	upperBound progress
 }
 
-func (r *record) start(p []byte) bool {
+func (r *writeRecord) beginWrite(p []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.sealed {
 		return false
 	}
-	r.assumed = r.settled.plus(p)
+	r.upperBound = r.completed.add(p)
 	return true
 }
 
-func (r *record) finish(written []byte) {
+func (r *writeRecord) endWrite(written []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.settled = r.settled.plus(written)
-	r.assumed = r.settled
+	r.completed = r.completed.add(written)
+	r.upperBound = r.completed
 }
 
-// seal returns the most that was written and lets nothing follow.
+// seal returns an upper bound of what was written and makes later writes fail.
 //
-// When a context ends, net/http returns to its caller while the goroutine that
-// writes the request may not have started. A request called not-run on the
-// count alone would then be sent a moment later, seen as a run of a request
-// that the caller was told to repeat. After seal the late write fails.
-func (r *record) seal() progress {
+// When a context ends, net/http returns while the goroutine that writes the request
+// may not have started. A request reported as not-run from the count alone would then
+// be sent a moment later, and run in addition to the caller's retry.
+func (r *writeRecord) seal() progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sealed = true
-	return r.assumed
+	return r.upperBound
 }
 
-// progress follows a request's bytes to the end of its header.
+// progress counts a request's bytes and detects the end of its header.
 type progress struct {
-	written     int64
-	headerWhole bool
-	tail        string
+	written    int64
+	headerSent bool
+	tail       string
 }
 
 var headerEnd = []byte("\r\n\r\n")
 
-func (p progress) plus(b []byte) progress {
+func (p progress) add(b []byte) progress {
 	p.written += int64(len(b))
-	if p.headerWhole {
+	if p.headerSent {
 		return p
 	}
 	seen := append([]byte(p.tail), b...)
 	if bytes.Contains(seen, headerEnd) {
-		p.headerWhole = true
+		p.headerSent = true
 		p.tail = ""
 		return p
 	}
--- a/attempt/exchange.go
+++ b/attempt/exchange.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// exchange collects the facts of one Client.Do.
+// exchange collects the Facts of one Client.Do.
 type exchange struct {
-	mu         sync.Mutex
-	record     *record
-	bodyWhole  bool
-	answerByte bool
+	mu            sync.Mutex
+	record        *writeRecord
+	bodySent      bool
+	answerStarted bool
 }
 
 func (e *exchange) trace() *httptrace.ClientTrace {
@@ -21,10 +21,9 @@
 	}
 }
 
-// gotConn notes which connection carries the request. Should net/http choose a
-// second one after bytes went out on the first, the second is sealed: the
-// request would otherwise reach the upstream twice, which a caller would
-// notice as a doubled order.
+// gotConn records which connection carries the request. If net/http chooses a second
+// one after bytes were written to the first, the second is sealed: otherwise the
+// request could reach the upstream twice, and an order would be placed twice.
 func (e *exchange) gotConn(info httptrace.GotConnInfo) {
 	tracked, ok := info.Conn.(*conn)
 	if !ok {
@@ -43,26 +42,26 @@
 func (e *exchange) wroteRequest(info httptrace.WroteRequestInfo) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.bodyWhole = e.bodyWhole || info.Err == nil
+	e.bodySent = e.bodySent || info.Err == nil
 }
 
 func (e *exchange) gotFirstByte() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answerByte = true
+	e.answerStarted = true
 }
 
-// close ends the exchange and returns what is known of it.
-func (e *exchange) close() Facts {
+// finish ends the exchange and returns its Facts.
+func (e *exchange) finish() Facts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	facts := Facts{BodyWhole: e.bodyWhole, AnswerByte: e.answerByte}
+	facts := Facts{BodySent: e.bodySent, AnswerStarted: e.answerStarted}
 	if e.record == nil {
 		return facts
 	}
 	sent := e.record.seal()
 	facts.Connected = true
 	facts.Written = sent.written
-	facts.HeaderWhole = sent.headerWhole
+	facts.HeaderSent = sent.headerSent
 	return facts
 }
--- a/attempt/facts.go
+++ b/attempt/facts.go
@@ -2,39 +2,38 @@
 
 import "nutmeglock.example/nutmeglock/refusal"
 
-// Facts is what a router knows of an exchange that failed. Written bytes are
-// an upper bound: they were handed to the operating system and may not have
-// arrived.
+// Facts is what the router knows of a failed exchange. What was written is an upper
+// bound: it was passed to the operating system and may not have arrived.
 type Facts struct {
-	// Connected is true once a connection was there to write to.
+	// Connected is true once there was a connection.
 	Connected bool
 	// Written counts the bytes of the request, header included.
 	Written int64
-	// HeaderWhole is true once the request's header was written to its end.
-	HeaderWhole bool
-	// BodyWhole is true once the whole request was written.
-	BodyWhole bool
-	// AnswerByte is true once any byte came back.
-	AnswerByte bool
-	// AnswerHeader is true once the answer's header was read whole.
-	AnswerHeader bool
-	// Refused is the upstream's word that it did not run the request.
+	// HeaderSent is true once the whole request header was written.
+	HeaderSent bool
+	// BodySent is true once the whole request was written.
+	BodySent bool
+	// AnswerStarted is true once any byte of the answer was received.
+	AnswerStarted bool
+	// AnswerHeaderRead is true once the whole answer header was read.
+	AnswerHeaderRead bool
+	// Refused is set if the upstream refused the request without running it.
 	Refused Refused
 }
 
-// Outcome returns what a caller may be told of the request.
+// Outcome returns whether the upstream ran the request, as far as the facts prove it.
 //
-// A request of which the header is whole counts as possibly run even when its
-// body is not: a server calls its handler on the header alone, and the handler
-// may act before it reads the body. The answer's first bytes without a whole
-// header prove nothing, because the lost rest could have been a refusal.
+// A request whose whole header was sent may have run even if its body was not: a
+// server calls its handler once it has the header, and the handler may act before it
+// reads the body. An answer without a whole header proves nothing, because it could
+// have been a refusal.
 func (f Facts) Outcome() refusal.Outcome {
 	switch {
 	case f.Refused != "":
 		return refusal.NotRun
-	case f.AnswerHeader:
+	case f.AnswerHeaderRead:
 		return refusal.Run
-	case f.AnswerByte, f.HeaderWhole, f.BodyWhole:
+	case f.AnswerStarted, f.HeaderSent, f.BodySent:
 		return refusal.Unknown
 	default:
 		return refusal.NotRun
