--- a/route/route.go
+++ b/route/route.go
@@ -1,9 +1,8 @@
-// Package route holds the configuration that callers' requests are handled by:
-// which service a path belongs to, how long it may take, what may be repeated,
-// and which account a key belongs to.
+// Package route holds the configuration of request routing: the service and
+// timeout of each path, which requests may be retried, and the account of each key.
 //
-// A Table is immutable. A router swaps the whole table when a newer version
-// arrives, so that one request never sees parts of two versions.
+// A Table is immutable. A router replaces the whole table when a newer version
+// arrives, so that no request sees parts of two versions.
 package route
 
 import (
@@ -15,7 +14,7 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// Kind says what may be repeated of the requests of a route.
+// Kind determines whether and how the requests of a route may be retried.
 type Kind string
 
 const (
@@ -27,14 +26,14 @@
 	Streaming Kind = "streaming"
 )
 
-// Share is the part of a route's requests that goes to one service.
+// Share is the share of a route's requests that one service gets.
 type Share struct {
 	Service fleet.ServiceID
-	// Weight is relative to those of the route's other shares.
+	// Weight is relative to the weights of the route's other shares.
 	Weight int
 }
 
-// Route is how the requests below one path of one host are handled.
+// Route configures the requests whose path has a prefix at one host.
 type Route struct {
 	Name string
 	Host string
@@ -42,22 +41,20 @@
 	Prefix string
 	Kind   Kind
 	Shares []Share
-	// Timeout is the longest time from the arrival of a request to the end of
-	// its answer.
+	// Timeout bounds the time from the arrival of a request to the end of its answer.
 	Timeout time.Duration
-	// Target is the time to the answer, or to its first event, within which a
-	// caller is well served.
+	// Target is the target time to the answer, or to its first event.
 	Target time.Duration
-	// MaxPause is the longest pause between two events that a caller accepts.
+	// MaxPause is the longest acceptable pause between two events.
 	MaxPause time.Duration
-	// Attempts bounds the upstreams that may run one request.
+	// Attempts bounds the number of upstreams that may run one request.
 	Attempts int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another upstream after the last event.
+	// Resumable streams may continue at another upstream after the last event.
 	Resumable bool
-	// Cached requests say which parts their prompt has, and are faster where
-	// these parts are cached.
+	// Cached requests list the parts of their prompt, and are faster at upstreams that
+	// have these parts cached.
 	Cached bool
 }
 
@@ -66,8 +63,8 @@
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// ServiceOf returns the service that a request goes to. It depends on the
-// request's id only, so that each router and each attempt choose alike.
+// ServiceOf returns the service that gets a request. It depends only on the
+// request's id, so that every router and every attempt chooses the same one.
 func (r *Route) ServiceOf(id fleet.RequestID) fleet.ServiceID {
 	total := 0
 	for _, share := range r.Shares {
@@ -86,19 +83,18 @@
 	return ""
 }
 
-// Service is what the configuration says of one service.
+// Service is the configuration of one service.
 type Service struct {
 	ID fleet.ServiceID
-	// MaxConnections bounds the connections that one upstream accepts from all
-	// routers together.
+	// MaxConnections bounds the connections of all routers together to one upstream.
 	MaxConnections int
 	// Slots is how many requests a model engine runs at once; zero for other services.
 	Slots int
-	// CacheTokens is the memory of a model engine, in tokens; zero for other services.
+	// CacheTokens is the cache size of a model engine, in tokens; zero for other services.
 	CacheTokens int
 }
 
-// Limits bound what callers may send.
+// Limits bounds the requests and connections of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -121,27 +117,27 @@
 	Limits   Limits
 }
 
-// Table answers questions about one configuration. The nil Table knows nothing.
+// Table indexes one Configuration for lookups. The nil Table is empty.
 type Table struct {
-	version  fleet.Version
-	limits   Limits
-	hosts    map[string]map[string]*Route
-	services map[fleet.ServiceID]*Service
-	targets  map[fleet.ServiceID]time.Duration
-	accounts map[string]fleet.AccountID
-	keyed    bool
+	version     fleet.Version
+	limits      Limits
+	routes      map[string]map[string]*Route // by host and prefix
+	services    map[fleet.ServiceID]*Service
+	targets     map[fleet.ServiceID]time.Duration // see FirstEventTarget
+	accounts    map[string]fleet.AccountID        // by key
+	requiresKey bool
 }
 
 // NewTable returns the Table of a configuration.
 func NewTable(c Configuration) *Table {
 	t := &Table{
-		version:  c.Version,
-		limits:   c.Limits,
-		hosts:    make(map[string]map[string]*Route),
-		services: make(map[fleet.ServiceID]*Service, len(c.Services)),
-		targets:  make(map[fleet.ServiceID]time.Duration),
-		accounts: make(map[string]fleet.AccountID),
-		keyed:    len(c.Accounts) > 0,
+		version:     c.Version,
+		limits:      c.Limits,
+		routes:      make(map[string]map[string]*Route),
+		services:    make(map[fleet.ServiceID]*Service, len(c.Services)),
+		targets:     make(map[fleet.ServiceID]time.Duration),
+		accounts:    make(map[string]fleet.AccountID),
+		requiresKey: len(c.Accounts) > 0,
 	}
 	for i := range c.Routes {
 		t.add(&c.Routes[i])
@@ -159,22 +155,22 @@
 
 func (t *Table) add(r *Route) {
 	host := strings.ToLower(r.Host)
-	if t.hosts[host] == nil {
-		t.hosts[host] = make(map[string]*Route)
+	if t.routes[host] == nil {
+		t.routes[host] = make(map[string]*Route)
 	}
-	t.hosts[host][r.Prefix] = r
+	t.routes[host][r.Prefix] = r
 	if r.Kind != Streaming {
 		return
 	}
 	for _, share := range r.Shares {
-		least, known := t.targets[share.Service]
-		if !known || r.Target < least {
+		lowest, ok := t.targets[share.Service]
+		if !ok || r.Target < lowest {
 			t.targets[share.Service] = r.Target
 		}
 	}
 }
 
-// Version returns the version of the configuration, zero when there is none.
+// Version returns the version of the configuration, zero if there is none.
 func (t *Table) Version() fleet.Version {
 	if t == nil {
 		return 0
@@ -182,7 +178,7 @@
 	return t.version
 }
 
-// Limits returns what callers may send.
+// Limits returns the limits of the configuration, zero if there is none.
 func (t *Table) Limits() Limits {
 	if t == nil {
 		return Limits{}
@@ -190,14 +186,14 @@
 	return t.limits
 }
 
-// Find returns the route of a host with the longest prefix that begins path,
-// which is as the caller spelled it.
+// Find returns the route of a host with the longest prefix of path. The path is
+// matched as sent, without decoding escapes.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	if t == nil {
 		return nil, false
 	}
 	host, _, _ = strings.Cut(host, ":")
-	routes := t.hosts[strings.ToLower(host)]
+	routes := t.routes[strings.ToLower(host)]
 	for end := len(path); end > 0; end-- {
 		if path[end-1] != '/' {
 			continue
@@ -209,7 +205,7 @@
 	return nil, false
 }
 
-// Service returns what the configuration says of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(id fleet.ServiceID) (*Service, bool) {
 	if t == nil {
 		return nil, false
@@ -218,9 +214,9 @@
 	return s, ok
 }
 
-// FirstEventTarget returns the shortest time to the first event that a
-// streaming route of a service aims at; zero when it has none. All requests of
-// a model engine wait in one queue there, so the strictest route sets its length.
+// FirstEventTarget returns the lowest target time to the first event among the
+// streaming routes of a service; zero if it has none. All requests for a model engine
+// wait in one queue, so the strictest route determines the length of the queue.
 func (t *Table) FirstEventTarget(id fleet.ServiceID) time.Duration {
 	if t == nil {
 		return 0
@@ -228,8 +224,8 @@
 	return t.targets[id]
 }
 
-// Keyed reports whether requests need a key.
-func (t *Table) Keyed() bool { return t != nil && t.keyed }
+// Keyed reports whether requests need a key, which is so if there is any account.
+func (t *Table) Keyed() bool { return t != nil && t.requiresKey }
 
 // AccountOf returns the account that holds a key.
 func (t *Table) AccountOf(key string) (fleet.AccountID, bool) {
