--- a/resume/resume.go
+++ b/resume/resume.go
@@ -1,11 +1,11 @@
-// Package resume makes and reads the tokens with which a caller takes up a
+// Package resume issues and verifies the tokens with which a caller resumes a
 // broken stream at any router.
 //
-// No router remembers a stream: the token names the account, the upstream and
-// the stream, and a MAC under a key that all routers derive from the fleet key
-// proves that a router wrote it. A token alone opens nothing, because the
-// caller has to be of the account that it names. The offset is not part of it;
-// the caller says which event it has seen last.
+// Routers keep no state of streams: the token contains the account, the upstream
+// and the stream, and is authenticated by a MAC with a key that all routers derive
+// from the fleet key. A token is valid only for callers of the account in it. The
+// offset is not part of it; the caller sends the id of the last event that it
+// received.
 package resume
 
 import (
@@ -23,22 +23,21 @@
 )
 
 const (
-	// format is the first byte of a token; another format gets another.
-	format = 1
-	// macSize is the part of the MAC that is kept: 128 bits, as much as the
+	// formatVersion is the first byte of a token. It changes with the format.
+	formatVersion = 1
+	// macSize is the length of the truncated MAC in bytes: 128 bits, as many as the
 	// stream's id has.
 	macSize = 16
-	// keyInfo keeps this key apart from others derived from the fleet key.
+	// keyInfo separates this key from others that are derived from the fleet key.
 	keyInfo = "nutmeglock resume token 1"
-	// MaxToken bounds what is decoded, in bytes of text.
-	MaxToken = 1024
+	// MaxTokenLength bounds the length of an encoded token, in bytes.
+	MaxTokenLength = 1024
 )
 
-// Issuer issues and opens tokens. Create it with New. It is safe for
-// concurrent use.
+// Issuer issues and opens tokens. It is created by New and safe for concurrent use.
 type Issuer struct{ key []byte }
 
-// New returns an Issuer for a fleet. It fails when no key can be derived.
+// New returns an Issuer for a fleet. It fails if the key can't be derived.
 func New(fleetKey string) (*Issuer, error) {
 	key, err := hkdf.Key(sha256.New, []byte(fleetKey), nil, keyInfo, sha256.Size)
 	if err != nil {
@@ -47,32 +46,32 @@
 	return &Issuer{key: key}, nil
 }
 
-// Issue returns the text of a token. It fails when the token can't be encoded.
+// Issue returns an encoded token. It fails if the token can't be encoded.
 func (i *Issuer) Issue(token *schema.ResumeToken) (string, error) {
 	payload, err := proto.Marshal(token)
 	if err != nil {
 		return "", eris.Wrap(err, "encode resume token")
 	}
-	body := append([]byte{format}, payload...)
+	body := append([]byte{formatVersion}, payload...)
 	return base64.RawURLEncoding.EncodeToString(append(body, i.mac(body)...)), nil
 }
 
-// Open returns the token in a text that account presents at now. It fails with
-// *refusal.Error: bad-resume-token when it is no token of this fleet or names
-// another account, which look the same to a caller, and resume-expired.
+// Open decodes and verifies a token that a caller of account sent. It fails with
+// *refusal.Error: bad-resume-token if the token was not issued by this fleet or is for
+// another account, which a caller can't tell apart, and resume-expired.
 func (i *Issuer) Open(text, account string, now time.Time) (*schema.ResumeToken, error) {
-	bad := &refusal.Error{Reason: refusal.BadResumeToken, Outcome: refusal.NotRun, Detail: "The resume token is not valid."}
-	if len(text) > MaxToken {
-		return nil, bad
+	invalid := &refusal.Error{Reason: refusal.BadResumeToken, Outcome: refusal.NotRun, Detail: "The resume token is not valid."}
+	if len(text) > MaxTokenLength {
+		return nil, invalid
 	}
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(raw) < 1+macSize || raw[0] != format {
-		return nil, bad
+	if err != nil || len(raw) < 1+macSize || raw[0] != formatVersion {
+		return nil, invalid
 	}
 	body, mac := raw[:len(raw)-macSize], raw[len(raw)-macSize:]
 	token := &schema.ResumeToken{}
 	if !hmac.Equal(mac, i.mac(body)) || proto.Unmarshal(body[1:], token) != nil || token.GetAccount() != account {
-		return nil, bad
+		return nil, invalid
 	}
 	if now.UnixMilli() >= token.GetExpiresUnixMs() {
 		return nil, &refusal.Error{
--- a/resume/resume_test.go
+++ b/resume/resume_test.go
@@ -44,9 +44,9 @@
 	require.True(t, proto.Equal(token(), got))
 }
 
-// A token that was stolen, guessed, altered or kept too long would let a
-// caller read another account's stream.
-func TestTokensThatOpenNothing(t *testing.T) {
+// A token that was stolen, guessed, altered or has expired must not let a caller
+// read another account's stream.
+func TestInvalidTokensAreRefused(t *testing.T) {
 	t.Parallel()
 	i := issuer(t, "fleet")
 	text, err := i.Issue(token())
