--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,8 +1,8 @@
-// Package logging writes structured log lines without ever making a request wait.
+// Package logging writes structured log lines without blocking requests.
 //
-// It answers load: a router that waits for a slow reader of its log is slow
-// itself, just when there is most to log. Lines go through a bounded queue to
-// one goroutine; what doesn't fit is dropped, counted, and the count logged.
+// A router that waited for a slow reader of its log would be slow itself, most of
+// all under load, when it logs the most. So lines pass through a bounded queue to
+// one goroutine. Lines that don't fit are dropped and counted, and the count is logged.
 package logging
 
 import (
@@ -15,123 +15,123 @@
 )
 
 const (
-	// capacity is the lines that wait at most; at some 400 bytes they take 400 KB.
-	capacity = 1024
-	// perSecond bounds the lines of a second. A line costs about 5 µs with its
-	// write, so the log takes at most some 0.2 % of a processor.
-	perSecond = 400
-	// panicReserve is how many lines of a second may follow perSecond if they are about panics.
+	// queueCapacity bounds the queued lines. At some 400 bytes a line they take 400 KB.
+	queueCapacity = 1024
+	// maxLinesPerSecond bounds the lines written in a second. A line takes about 5 µs
+	// including its write, so logging uses at most some 0.2 % of a processor.
+	maxLinesPerSecond = 400
+	// panicReserve is how many lines about panics are allowed in a second beyond maxLinesPerSecond.
 	panicReserve = 50
-	// deferredPerSecond bounds the lines of a second that are deferred, since each is put together.
-	deferredPerSecond = 300
-	// gathering is how long lines are gathered before they are written together.
-	// Under load each write by itself wakes a thread and costs as much as the line.
-	// A process that is killed loses the lines of so long.
-	gathering = 10 * time.Millisecond
+	// maxDeferredPerSecond bounds the lines deferred in a second, because each of them has to be formatted.
+	maxDeferredPerSecond = 300
+	// batchDelay is how long lines are collected before they are written together.
+	// Under load a separate write for each line wakes a thread and costs as much as the
+	// line. A process that is killed loses the lines of that time.
+	batchDelay = 10 * time.Millisecond
 )
 
-// Priority says which lines are dropped first once many are written in a second.
+// Priority determines which lines are dropped first if too many are logged in a second.
 type Priority int
 
 const (
-	// Router is for what a router believes of itself, of others and of upstreams, which
-	// explains all other lines. It is the priority of a logger that Log returns.
+	// Router is for the state of the router, of other routers and of upstreams, which
+	// explains all other lines. It is the priority of the loggers that Log returns.
 	Router Priority = iota
-	// Failure is for requests that were sent to an upstream and got no whole answer.
+	// Failure is for requests that were sent to an upstream and got no complete answer.
 	Failure
-	// Request is for requests that ended well, and those that no upstream has seen. Under a
-	// flood they are by far the most.
+	// Request is for requests that succeeded, or were sent to no upstream. Under overload
+	// they are by far the most frequent.
 	Request
-	// Panic is for panics, which no other line may push out.
+	// Panic is for panics. They have room whatever else is logged.
 	Panic
 
-	priorities = iota
+	priorityCount = iota
 )
 
-// bounds is how many lines may have been written in a second before one of a priority, so
-// that a higher priority always has room left.
-var bounds = [priorities]int{Panic: perSecond + panicReserve, Router: perSecond, Failure: 300, Request: 150}
+// lineLimits are the numbers of queued lines in a second at which lines of each priority are
+// no longer queued, so that there is always room for a higher priority.
+var lineLimits = [priorityCount]int{Panic: maxLinesPerSecond + panicReserve, Router: maxLinesPerSecond, Failure: 300, Request: 150}
 
-// Writer queues whole lines for another writer. Make it by New.
+// Writer queues lines and writes them to another writer. Create it with New.
 type Writer struct {
 	out   io.Writer
 	lines chan []byte
 	done  chan struct{}
 
-	mu     sync.Mutex
-	second int64
-	// queued and deferrals count the lines of this second.
-	queued    int
-	deferrals int
-	// deferred holds lines of failures that had no room, until there is some again.
-	deferred       ring
+	mu sync.Mutex
+	// second is the current second in Unix time; queued and deferredCount count its lines.
+	second        int64
+	queued        int
+	deferredCount int
+	// deferred holds lines of priority Failure until there is room for them.
+	deferred       deferredLines
 	flushScheduled bool
-	dropped        [priorities]uint64
+	dropped        [priorityCount]uint64
 	closed         bool
 }
 
-// New returns a Writer in front of out.
+// New returns a Writer that writes to out.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, capacity), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Log returns a logger that writes lines of JSON to w.
+// Log returns a logger that writes JSON lines to w.
 func (w *Writer) Log(level slog.Level) *slog.Logger {
-	return slog.New(newBounded(w, Router, func(out io.Writer) slog.Handler {
+	return slog.New(newLimitedHandler(w, Router, func(out io.Writer) slog.Handler {
 		return slog.NewJSONHandler(out, &slog.HandlerOptions{Level: level})
 	}))
 }
 
-// WithPriority returns a logger whose lines have a priority. A logger that isn't a Writer's
-// is returned as it is.
+// WithPriority returns a logger whose lines have a priority. A logger that was not
+// created by Log is returned unchanged.
 func WithPriority(log *slog.Logger, priority Priority) *slog.Logger {
-	b, ok := log.Handler().(*bounded)
+	h, ok := log.Handler().(*limitedHandler)
 	if !ok {
 		return log
 	}
-	return slog.New(newBounded(b.writer, priority, b.build))
+	return slog.New(newLimitedHandler(h.writer, priority, h.build))
 }
 
-// bounded drops lines beyond the bound of a second before they are put together,
-// which costs more than all else that is done for them.
-type bounded struct {
+// limitedHandler drops lines beyond the limit of their priority before they are formatted,
+// which is the most expensive part of a line.
+type limitedHandler struct {
 	slog.Handler
 	writer   *Writer
 	priority Priority
-	// build returns the same handler for another output.
+	// build creates the wrapped handler for an output.
 	build func(out io.Writer) slog.Handler
 }
 
-func newBounded(w *Writer, priority Priority, build func(out io.Writer) slog.Handler) *bounded {
-	return &bounded{build(prioritised{w, priority}), w, priority, build}
+func newLimitedHandler(w *Writer, priority Priority, build func(out io.Writer) slog.Handler) *limitedHandler {
+	return &limitedHandler{build(priorityOutput{w, priority}), w, priority, build}
 }
 
-// Enabled reports whether a line of a level would be written now, or deferred.
-func (b *bounded) Enabled(ctx context.Context, level slog.Level) bool {
-	return b.Handler.Enabled(ctx, level) && b.writer.admits(b.priority)
+// Enabled reports whether a line of a level would be queued or deferred now.
+func (h *limitedHandler) Enabled(ctx context.Context, level slog.Level) bool {
+	return h.Handler.Enabled(ctx, level) && h.writer.accepts(h.priority)
 }
 
-// WithAttrs keeps the priority.
-func (b *bounded) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return newBounded(b.writer, b.priority, func(out io.Writer) slog.Handler { return b.build(out).WithAttrs(attrs) })
+// WithAttrs returns a handler with the same priority.
+func (h *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return newLimitedHandler(h.writer, h.priority, func(out io.Writer) slog.Handler { return h.build(out).WithAttrs(attrs) })
 }
 
-// WithGroup keeps the priority.
-func (b *bounded) WithGroup(name string) slog.Handler {
-	return newBounded(b.writer, b.priority, func(out io.Writer) slog.Handler { return b.build(out).WithGroup(name) })
+// WithGroup returns a handler with the same priority.
+func (h *limitedHandler) WithGroup(name string) slog.Handler {
+	return newLimitedHandler(h.writer, h.priority, func(out io.Writer) slog.Handler { return h.build(out).WithGroup(name) })
 }
 
-// prioritised queues lines of one priority.
-type prioritised struct {
+// priorityOutput queues the lines of one priority at a Writer.
+type priorityOutput struct {
 	writer   *Writer
 	priority Priority
 }
 
-// Write queues one line. It never waits, and fails never: a line that doesn't fit is deferred
-// or dropped, and counted then.
-func (p prioritised) Write(line []byte) (int, error) {
+// Write queues one line. It never blocks and never fails: a line that doesn't fit is
+// deferred, or dropped and counted.
+func (p priorityOutput) Write(line []byte) (int, error) {
 	p.writer.write(p.priority, append([]byte(nil), line...))
 	return len(line), nil
 }
@@ -139,19 +139,19 @@
 func (w *Writer) write(priority Priority, line []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.startSecond()
+	w.resetEachSecond()
 	switch {
 	case w.closed:
 		w.dropped[priority]++
-	case w.queued < bounds[priority] && w.enqueue(line):
-	case priority == Failure && w.deferrals < deferredPerSecond:
+	case w.queued < lineLimits[priority] && w.enqueue(line):
+	case priority == Failure && w.deferredCount < maxDeferredPerSecond:
 		w.deferLine(line)
 	default:
 		w.dropped[priority]++
 	}
 }
 
-// enqueue reports whether a line has fitted into the queue.
+// enqueue adds a line to the queue and reports whether there was room.
 func (w *Writer) enqueue(line []byte) bool {
 	select {
 	case w.lines <- line:
@@ -164,7 +164,7 @@
 
 // deferLine keeps a line until there is room.
 func (w *Writer) deferLine(line []byte) {
-	w.deferrals++
+	w.deferredCount++
 	w.dropped[Failure] += uint64(w.deferred.push(line))
 	if w.flushScheduled {
 		return
@@ -176,42 +176,42 @@
 // flushInterval is the time between two attempts to queue deferred lines.
 const flushInterval = 200 * time.Millisecond
 
-// flush queues deferred lines as far as there is room for their priority.
+// flush queues deferred lines while there is room for their priority.
 func (w *Writer) flush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return
 	}
-	w.startSecond()
-	for w.queued < bounds[Failure] && len(w.lines) < capacity {
+	w.resetEachSecond()
+	for w.queued < lineLimits[Failure] && len(w.lines) < queueCapacity {
 		line := w.deferred.pop()
 		if line == nil {
 			w.flushScheduled = false
 			return
 		}
-		w.enqueue(line) // only the goroutine that empties the queue runs beside this one
+		w.enqueue(line) // can't fail: w.mu is held, and run only empties the queue
 	}
 	time.AfterFunc(flushInterval, w.flush)
 }
 
-// admits reports whether a line would be queued or deferred now, and counts it as dropped if not.
-func (w *Writer) admits(priority Priority) bool {
+// accepts reports whether a line would be queued or deferred now; if not, it counts the line as dropped.
+func (w *Writer) accepts(priority Priority) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.startSecond()
-	if w.queued < bounds[priority] || (priority == Failure && w.deferrals < deferredPerSecond) {
+	w.resetEachSecond()
+	if w.queued < lineLimits[priority] || (priority == Failure && w.deferredCount < maxDeferredPerSecond) {
 		return true
 	}
 	w.dropped[priority]++
 	return false
 }
 
-// startSecond begins to count anew with each second.
-func (w *Writer) startSecond() {
+// resetEachSecond resets the counts at the beginning of each second.
+func (w *Writer) resetEachSecond() {
 	if second := time.Now().Unix(); second != w.second {
 		w.second = second
-		w.queued, w.deferrals = 0, 0
+		w.queued, w.deferredCount = 0, 0
 	}
 }
 
@@ -222,7 +222,7 @@
 	return w.dropped[priority]
 }
 
-// Close writes what is queued and deferred, and ends.
+// Close writes all queued and deferred lines and stops the Writer.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -235,9 +235,9 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	var logged [priorities]uint64
+	var logged [priorityCount]uint64
 	for line := range w.lines {
-		time.Sleep(gathering)
+		time.Sleep(batchDelay)
 		w.writeQueued(line)
 		if len(w.lines) == 0 {
 			logged = w.logDropped(logged)
@@ -249,8 +249,8 @@
 	w.logDropped(logged)
 }
 
-// logDropped writes how many lines were dropped so far, if that has changed.
-func (w *Writer) logDropped(logged [priorities]uint64) [priorities]uint64 {
+// logDropped logs the total of dropped lines if it has changed since logged.
+func (w *Writer) logDropped(logged [priorityCount]uint64) [priorityCount]uint64 {
 	w.mu.Lock()
 	dropped := w.dropped
 	w.mu.Unlock()
@@ -263,29 +263,29 @@
 	}
 	line := fmt.Sprintf(`{"level":"WARN","msg":"log lines dropped","total":%d,"router-lines":%d,"failure-lines":%d,"request-lines":%d,"panic-lines":%d}`+"\n",
 		total, dropped[Router], dropped[Failure], dropped[Request], dropped[Panic])
-	_, _ = io.WriteString(w.out, line) // nobody is left to tell
+	_, _ = io.WriteString(w.out, line) // a failure of the log can't be reported
 	return dropped
 }
 
-// writeQueued writes a line and those that are queued behind it.
+// writeQueued writes a line and the lines that are queued after it.
 func (w *Writer) writeQueued(line []byte) {
 	for line != nil {
 		var batch []byte
-		batch, line = w.gather(line)
-		_, _ = w.out.Write(batch) // nobody is left to tell
+		batch, line = w.nextBatch(line)
+		_, _ = w.out.Write(batch) // a failure of the log can't be reported
 	}
 }
 
-// atomicWrite is how many bytes a pipe takes whole or not at all. What reads the
-// log may lose the end of a longer write.
-const atomicWrite = 4096
+// maxAtomicWrite is the largest write to a pipe that is atomic, in bytes. A reader of the
+// log may lose the end of a longer one.
+const maxAtomicWrite = 4096
 
-// gather returns the lines that are queued and fit into one write, the first in
-// front, and a line that didn't fit any more.
-func (w *Writer) gather(batch []byte) (lines, next []byte) {
+// nextBatch appends to batch the queued lines that fit into one write. It also returns the
+// first line that did not fit, nil if there is none.
+func (w *Writer) nextBatch(batch []byte) (lines, next []byte) {
 	for range len(w.lines) {
 		line := <-w.lines
-		if len(batch)+len(line) > atomicWrite {
+		if len(batch)+len(line) > maxAtomicWrite {
 			return batch, line
 		}
 		batch = append(batch, line...)
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -15,31 +15,31 @@
 	"nutmeglock.example/nutmeglock/logging"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
-	mu  sync.Mutex
-	out bytes.Buffer
-	let chan struct{}
+// blockedOutput is an output whose writes block until release is closed.
+type blockedOutput struct {
+	mu      sync.Mutex
+	out     bytes.Buffer
+	release chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedOutput) Write(p []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(p)
 }
 
-func (s *stuck) text() string {
+func (s *blockedOutput) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.String()
 }
 
-// What reads the log stands still. A router that waited for it would stand
-// still too, and callers would see it; lines are dropped and counted instead.
+// The reader of the log stops reading. A router must not wait for it, since that would
+// delay callers; lines are dropped and counted instead.
 func TestStuckReaderDelaysNobody(t *testing.T) {
 	t.Parallel()
-	out := &stuck{let: make(chan struct{})}
+	out := &blockedOutput{release: make(chan struct{})}
 	w := logging.New(out)
 	log := w.Log(slog.LevelInfo)
 	begin := time.Now()
@@ -48,7 +48,7 @@
 	}
 	require.Less(t, time.Since(begin), 5*time.Second)
 	require.Greater(t, w.Dropped(logging.Router), uint64(3_000))
-	close(out.let)
+	close(out.release)
 	w.Close()
 	require.Contains(t, out.out.String(), "log lines dropped")
 }
@@ -77,8 +77,8 @@
 	w.Close()
 }
 
-// Guards against a flood of lines about refusals that pushes out why requests broke off, and
-// what the router believed then.
+// Guards against a flood of lines about refusals that displaces the lines about failed
+// requests and about the state of the router.
 func TestLinesOfHigherPriorityHaveRoom(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
@@ -97,17 +97,17 @@
 	require.Contains(t, out.String(), "overload changed")
 	require.Contains(t, out.String(), `"router":"r"`)
 	require.GreaterOrEqual(t, strings.Count(out.String(), "attempt failed"), 100)
-	require.LessOrEqual(t, strings.Count(out.String(), "\n"), 2*400+1, "the bound of all lines holds over the end of a second")
+	require.LessOrEqual(t, strings.Count(out.String(), "\n"), 2*400+1, "the limit on all lines holds across the end of a second")
 	require.Positive(t, w.Dropped(logging.Request))
 }
 
-// Guards against failures of which nobody hears because too many came in one second: they are
-// written later.
+// Guards against failures that are not logged because there were too many in one second: they
+// are written later.
 func TestFailuresBeyondTheBoundWaitForRoom(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{let: make(chan struct{})}
-		close(out.let)
+		out := &blockedOutput{release: make(chan struct{})}
+		close(out.release)
 		w := logging.New(out)
 		log := w.Log(slog.LevelInfo).With("router", "r")
 		failures := logging.WithPriority(log, logging.Failure)
@@ -116,7 +116,7 @@
 		}
 		require.Zero(t, w.Dropped(logging.Failure))
 		time.Sleep(50 * time.Millisecond)
-		require.Equal(t, 300, strings.Count(out.text(), "attempt failed"), "the bound on a second holds")
+		require.Equal(t, 300, strings.Count(out.text(), "attempt failed"), "the limit per second holds")
 		time.Sleep(1500 * time.Millisecond)
 		w.Close()
 		require.Equal(t, 500, strings.Count(out.text(), `"router":"r"`))
@@ -125,7 +125,8 @@
 	})
 }
 
-// Guards against memory that grows with the failures, and losses that are not told apart.
+// Guards against memory that grows with the failures, and against dropped lines that are not
+// counted by priority.
 func TestNewestFailuresAreKeptAndLossesCounted(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -133,13 +134,13 @@
 		w := logging.New(&out)
 		failures := logging.WithPriority(w.Log(slog.LevelInfo), logging.Failure)
 		cause := strings.Repeat("x", 4_000)
-		for i := range 700 { // 300 are written, 300 wait, of which 256 KiB are kept
+		for i := range 700 { // 300 are written, 300 are deferred, of which 256 KiB are kept
 			failures.Warn("attempt failed", "number", i, "cause", cause)
 		}
 		w.Close()
 		require.Positive(t, w.Dropped(logging.Failure))
 		require.Zero(t, w.Dropped(logging.Request))
-		require.NotContains(t, out.String(), `"number":310`, "an older one goes")
+		require.NotContains(t, out.String(), `"number":310`, "older lines are dropped")
 		require.Contains(t, out.String(), `"number":599`)
 		require.Contains(t, out.String(), fmt.Sprintf(`"failure-lines":%d,"request-lines":0`, w.Dropped(logging.Failure)))
 	})
--- a/logging/ring.go
+++ b/logging/ring.go
@@ -1,33 +1,33 @@
 package logging
 
-// ringBytes bounds the deferred lines, in bytes.
-const ringBytes = 256 << 10
+// maxDeferredBytes bounds the total length of the deferred lines, in bytes.
+const maxDeferredBytes = 256 << 10
 
-// ring keeps the newest deferred lines. Its zero value is empty.
-type ring struct {
+// deferredLines is a queue that keeps the newest lines. Its zero value is empty.
+type deferredLines struct {
 	lines [][]byte
 	bytes int
 }
 
-// push adds a line, and returns how many older ones had to go.
-func (r *ring) push(line []byte) (lost int) {
-	r.lines = append(r.lines, line)
-	r.bytes += len(line)
-	for r.bytes > ringBytes && len(r.lines) > 1 {
-		r.pop()
-		lost++
+// push adds a line and returns how many older ones were dropped to make room.
+func (d *deferredLines) push(line []byte) (dropped int) {
+	d.lines = append(d.lines, line)
+	d.bytes += len(line)
+	for d.bytes > maxDeferredBytes && len(d.lines) > 1 {
+		d.pop()
+		dropped++
 	}
-	return lost
+	return dropped
 }
 
 // pop removes the oldest line. It returns nil if there is none.
-func (r *ring) pop() []byte {
-	if len(r.lines) == 0 {
+func (d *deferredLines) pop() []byte {
+	if len(d.lines) == 0 {
 		return nil
 	}
-	line := r.lines[0]
-	r.lines[0] = nil
-	r.lines = r.lines[1:]
-	r.bytes -= len(line)
+	line := d.lines[0]
+	d.lines[0] = nil
+	d.lines = d.lines[1:]
+	d.bytes -= len(line)
 	return line
 }
