--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -14,8 +14,8 @@
 	"nutmeglock.example/nutmeglock/explain"
 )
 
-// Each case is a log whose name is a request's id, beside the story expected.
-func TestStories(t *testing.T) {
+// Each case is a log, named after the request's id, and the expected explanation.
+func TestExplanations(t *testing.T) {
 	t.Parallel()
 	logs, err := filepath.Glob("testdata/*.log")
 	require.NoError(t, err)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestUnknownRequestHasNoStory(t *testing.T) {
+func TestUnknownRequestHasNoExplanation(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
 	e := explain.Explainer{Request: "none", Out: &out}
@@ -47,64 +47,65 @@
 	require.Empty(t, out.String())
 }
 
-// endless repeats a line until so many bytes were read.
-type endless struct {
-	unit string
-	left int
-	at   int
+// repeatingReader repeats a line until remaining bytes have been read.
+type repeatingReader struct {
+	line      string
+	remaining int
+	offset    int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	if e.left <= 0 {
+func (r *repeatingReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, e.unit[e.at:])
-	e.at = (e.at + n) % len(e.unit)
-	e.left -= n
+	n := copy(p, r.line[r.offset:])
+	r.offset = (r.offset + n) % len(r.line)
+	r.remaining -= n
 	return n, nil
 }
 
-// A log of an hour is larger than memory. Reading it must not keep it.
+// The log of an hour is larger than memory. Reading it must not retain it.
 func TestLargeLogIsReadAsAStream(t *testing.T) { //nolint:paralleltest // it measures the memory of the process
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	e := explain.Explainer{Request: "x", Out: &bytes.Buffer{}}
-	unit := `{"time":"2026-01-01T00:00:00Z","msg":"upstream changed","router":"r","upstream":"u"}` + "\n"
-	require.NoError(t, e.Read(&endless{unit: unit, left: 20 << 20}))
+	line := `{"time":"2026-01-01T00:00:00Z","msg":"upstream changed","router":"r","upstream":"u"}` + "\n"
+	require.NoError(t, e.Read(&repeatingReader{line: line, remaining: 20 << 20}))
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	require.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(2<<20))
 	require.Zero(t, e.Found())
 }
 
-const sums = `{"time":"2026-12-03T14:19:40Z","msg":"requests refused","router":"edge-1","reason":"router-overloaded","account":"ada","route":"r","count":1950,"first":["a1","a2"],"longest-ms":0.4}
+const refusalSummaries = `{"time":"2026-12-03T14:19:40Z","msg":"requests refused","router":"edge-1","reason":"router-overloaded","account":"ada","route":"r","count":1950,"first":["a1","a2"],"longest-ms":0.4}
 {"time":"2026-12-03T14:19:41Z","msg":"requests refused","router":"edge-2","reason":"no-upstream","account":"bob","route":"q","count":7,"first":["b1"],"longest-ms":120}
 `
 
-// Guards against a refused request of which nothing is told, because its line was summed.
-func TestSumsOfRefusalsAreTold(t *testing.T) {
+// Guards against a refused request without an explanation, because only a summary of several
+// refusals was logged.
+func TestSummariesOfRefusalsAreExplained(t *testing.T) {
 	t.Parallel()
 	var named, other bytes.Buffer
 	e := explain.Explainer{Request: "a2", Out: &named}
-	require.NoError(t, e.Read(strings.NewReader(sums)))
+	require.NoError(t, e.Read(strings.NewReader(refusalSummaries)))
 	require.Equal(t, 1, e.Found())
 	require.Contains(t, named.String(), "edge-1 refused, one of several without lines of their own: router-overloaded")
 	e = explain.Explainer{Request: "c3", Out: &other}
-	require.NoError(t, e.Read(strings.NewReader(sums)))
+	require.NoError(t, e.Read(strings.NewReader(refusalSummaries)))
 	require.Zero(t, e.Found())
 	require.NoError(t, e.Suggest())
 	require.Contains(t, other.String(), "14:19:40.000 edge-1 refused 1950 requests without lines of their own: router-overloaded, route r, account ada")
 	require.Contains(t, other.String(), "edge-2 refused 7 requests")
 }
 
-// Guards against memory that grows with the logs that are read.
-func TestSumsThatAreKeptAreBounded(t *testing.T) {
+// Guards against memory that grows with the size of the logs.
+func TestKeptSummariesAreBounded(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
 	e := explain.Explainer{Request: "none", Out: &out}
 	for range 1000 {
-		require.NoError(t, e.Read(strings.NewReader(sums)))
+		require.NoError(t, e.Read(strings.NewReader(refusalSummaries)))
 	}
 	require.NoError(t, e.Suggest())
 	require.LessOrEqual(t, strings.Count(out.String(), "\n"), 12)
--- a/explain/sums.go
+++ b/explain/sums.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// maxSums bounds the sums that are told of a request without lines.
-const maxSums = 12
+// maxSummaries bounds the summaries that are printed for a request without lines.
+const maxSummaries = 12
 
-// summed tells of refusals without lines of their own, of one kind and second.
-func (l *line) summed() string {
+// describeSummary describes a summary of refused requests of one kind and second.
+func (l *logLine) describeSummary() string {
 	return fmt.Sprintf("refused %d requests without lines of their own: %s, route %s, account %s, after %.1f ms at most",
 		l.Count, l.Reason, l.Route, l.Account, l.Longest)
 }
 
-// takeSum keeps a line that stands for many refusals, and tells it if it names the request.
-func (e *Explainer) takeSum(l *line) error {
+// addSummary keeps a line that summarises several refusals, or prints it if it has the id of the
+// request.
+func (e *Explainer) addSummary(l *logLine) error {
 	if slices.Contains(l.FirstIDs, e.Request) {
 		e.found++
 		return e.print(l, "refused, one of several without lines of their own: "+l.Reason)
 	}
-	e.sums = append(e.sums, *l)
-	if len(e.sums) > 2*maxSums {
-		e.dropSmall()
+	e.summaries = append(e.summaries, *l)
+	if len(e.summaries) > 2*maxSummaries {
+		e.keepLargest()
 	}
 	return nil
 }
 
-// dropSmall keeps the sums that stand for the most requests, in the order of their times.
-func (e *Explainer) dropSmall() {
-	slices.SortStableFunc(e.sums, func(a, b line) int { return b.Count - a.Count })
-	e.sums = e.sums[:min(len(e.sums), maxSums)]
-	slices.SortStableFunc(e.sums, func(a, b line) int { return a.Time.Compare(b.Time) })
+// keepLargest keeps the summaries of the most requests, sorted by time.
+func (e *Explainer) keepLargest() {
+	slices.SortStableFunc(e.summaries, func(a, b logLine) int { return b.Count - a.Count })
+	e.summaries = e.summaries[:min(len(e.summaries), maxSummaries)]
+	slices.SortStableFunc(e.summaries, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 }
 
-// Suggest writes the largest sums that a request without lines may be part of. It is called
-// once all logs are read.
+// Suggest prints the largest summaries, which may include a request without lines. It is
+// called after all logs were read.
 func (e *Explainer) Suggest() error {
-	e.dropSmall()
-	for i := range e.sums {
-		if err := e.print(&e.sums[i], e.sums[i].summed()); err != nil {
+	e.keepLargest()
+	for i := range e.summaries {
+		if err := e.print(&e.summaries[i], e.summaries[i].describeSummary()); err != nil {
 			return err
 		}
 	}
