--- a/metric/handler.go
+++ b/metric/handler.go
@@ -11,12 +11,12 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Handler serves the metrics of gatherers as text, those of the first one first, and of
-// each its smallest families first and its histograms last.
+// Handler serves the metrics of gatherers as text, in the order of the gatherers. Within
+// each of them the smallest families come first and the histograms last.
 //
-// Collectors may keep only the beginning of a page, of which the Go runtime's own
-// figures, sorted by name, would fill the most: an operator would find nothing there of
-// what a router refused.
+// A collector may keep only the beginning of a page. With families sorted by name the Go
+// runtime's metrics would fill most of it, and an operator would not find there what a
+// router refused.
 func Handler(gatherers ...prometheus.Gatherer) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		var page bytes.Buffer
@@ -26,7 +26,7 @@
 				http.Error(w, err.Error(), http.StatusInternalServerError)
 				return
 			}
-			slices.SortStableFunc(families, byUse)
+			slices.SortStableFunc(families, compareFamilies)
 			for _, family := range families {
 				if _, err := expfmt.MetricFamilyToText(&page, family); err != nil {
 					http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -35,24 +35,24 @@
 			}
 		}
 		w.Header().Set("Content-Type", string(expfmt.NewFormat(expfmt.TypeTextPlain)))
-		_, _ = w.Write(page.Bytes()) // a collector that has left asks again
+		_, _ = w.Write(page.Bytes()) // a collector that disconnected will scrape again
 	})
 }
 
-// byUse orders families by what they tell in a few lines.
-func byUse(a, b *dto.MetricFamily) int {
-	return cmp.Or(cmp.Compare(histograms(a), histograms(b)), cmp.Compare(lines(a), lines(b)))
+// compareFamilies orders histograms last, and other families by their number of lines.
+func compareFamilies(a, b *dto.MetricFamily) int {
+	return cmp.Or(cmp.Compare(histogramRank(a), histogramRank(b)), cmp.Compare(lineCount(a), lineCount(b)))
 }
 
-func histograms(family *dto.MetricFamily) int {
+func histogramRank(family *dto.MetricFamily) int {
 	if family.GetType() == dto.MetricType_HISTOGRAM {
 		return 1
 	}
 	return 0
 }
 
-// lines returns how many lines a family takes.
-func lines(family *dto.MetricFamily) int {
+// lineCount returns about how many lines a family takes on the page.
+func lineCount(family *dto.MetricFamily) int {
 	n := 0
 	for _, m := range family.GetMetric() {
 		n += 1 + len(m.GetHistogram().GetBucket()) + len(m.GetSummary().GetQuantile())
--- a/metric/handler_test.go
+++ b/metric/handler_test.go
@@ -13,12 +13,12 @@
 	"nutmeglock.example/nutmeglock/metric"
 )
 
-// keptOfAPage is how much of a page of metrics the users' collector keeps, in bytes.
-const keptOfAPage = 4000
+// collectorPageLimit is how much of a metrics page the users' collector keeps, in bytes.
+const collectorPageLimit = 4000
 
-// After an incident nothing was known of what routers had refused: of each page of
-// metrics the collector had kept 4,000 bytes, and the Go runtime's figures, which sort
-// first by name, had filled them.
+// After an incident there was no record of what routers had refused: the collector keeps
+// 4,000 bytes of each metrics page, and the Go runtime's metrics, which come first by
+// name, had filled them.
 func TestOwnMetricsComeFirst(t *testing.T) {
 	t.Parallel()
 	own, process := prometheus.NewRegistry(), prometheus.NewRegistry()
@@ -32,7 +32,7 @@
 	recorder := httptest.NewRecorder()
 	metric.Handler(own, process).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	page := recorder.Body.String()
-	kept := page[:keptOfAPage]
+	kept := page[:collectorPageLimit]
 	for _, line := range []string{
 		`nutmeglock_note_version 0`, `nutmeglock_panics_total 3`, `nutmeglock_refusals_total{reason="router-overloaded"} 17`,
 		`nutmeglock_refused_tokens_total{account="ada",reason="router-overloaded"} 1234`, `nutmeglock_service_tokens_total{account="ada"} 99`,
