--- a/attempt/conn.go
+++ b/attempt/conn.go
@@ -86,7 +86,8 @@
 type progress struct {
 	written    int64
 	headerSent bool
-	tail       string
+	// tail is the last bytes of an incomplete header, which may be part of headerEnd.
+	tail string
 }
 
 var headerEnd = []byte("\r\n\r\n")
