--- a/attempt/client.go
+++ b/attempt/client.go
@@ -72,11 +72,11 @@
 	}
 	response, err := c.transportFor(request).RoundTrip(out) //nolint:bodyclose // the answer's reader closes it
 	if err != nil {
-		return nil, &Error{Address: address, Facts: x.end(), Cause: err}
+		return nil, &Error{Address: address, Facts: x.close(), Cause: err}
 	}
 	if refused := refusalOf(response); refused != "" {
 		drainAndClose(response.Body)
-		facts := x.end()
+		facts := x.close()
 		facts.Refused = refused
 		return nil, &Error{Address: address, Facts: facts, Cause: eris.Errorf("upstream refused: %s", refused)}
 	}
--- a/attempt/exchange.go
+++ b/attempt/exchange.go
@@ -51,8 +51,8 @@
 	e.answerStarted = true
 }
 
-// end ends the exchange and returns its Facts.
-func (e *exchange) end() Facts {
+// close ends the exchange and returns its Facts.
+func (e *exchange) close() Facts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	facts := Facts{BodySent: e.bodySent, AnswerStarted: e.answerStarted}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -71,7 +71,8 @@
 	joinsAt time.Time
 	// disconnectedAt is when the connection was lost; zero if there never was one.
 	disconnectedAt time.Time
-	// lastSeenAt is when the router was last listed, connected or disconnected, or last announced whether it is leaving.
+	// lastSeenAt is when the router was last listed, connected or disconnected, or
+	// last announced whether it is leaving.
 	lastSeenAt  time.Time
 	connectedAt time.Time
 	disconnects int
