--- a/explain/explain.go
+++ b/explain/explain.go
@@ -25,7 +25,7 @@
 	maxLine = 1 << 20
 )
 
-// logLine holds the fields of a log line that are used here.
+// logLine holds the fields of a log line that are used here. Durations are in milliseconds.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -42,35 +42,35 @@
 	Longest  float64  `json:"longest-ms"`
 	FirstIDs []string `json:"first"`
 
-	Value        string  `json:"value"`
+	PanicValue   string  `json:"value"`
 	EndedBy      string  `json:"ended-by"`
 	Decision     string  `json:"decision"`
 	Silent       float64 `json:"silent-ms"`
 	SilenceLimit float64 `json:"silence-limit-ms"`
 	Latency      float64 `json:"latency-ms"`
 
-	Upstream   string  `json:"upstream"`
-	Sent       bool    `json:"sent"`
-	NotRun     bool    `json:"not-run"`
-	Attempt    int     `json:"attempt"`
-	Sends      int     `json:"sends"`
-	Runs       int     `json:"runs"`
-	Events     int     `json:"events"`
-	Unread     int     `json:"unread-tokens"`
-	Waited     float64 `json:"waited-ms"`
-	Age        float64 `json:"age-ms"`
-	First      float64 `json:"first-ms"`
-	Total      float64 `json:"total-ms"`
-	Retry      float64 `json:"retry-after-ms"`
-	Late       bool    `json:"late"`
-	Version    uint64  `json:"configuration"`
-	Draining   bool    `json:"draining"`
-	Gone       bool    `json:"gone"`
-	Connected  bool    `json:"connected"`
-	Other      string  `json:"other"`
-	Table      string  `json:"table"`
-	From       string  `json:"from"`
-	NewVersion uint64  `json:"version"`
+	Upstream    string  `json:"upstream"`
+	Sent        bool    `json:"sent"`
+	NotRun      bool    `json:"not-run"`
+	Attempt     int     `json:"attempt"`
+	Sends       int     `json:"sends"`
+	Runs        int     `json:"runs"`
+	Events      int     `json:"events"`
+	Unread      int     `json:"unread-tokens"`
+	Waited      float64 `json:"waited-ms"`
+	Age         float64 `json:"age-ms"`
+	FirstByte   float64 `json:"first-ms"`
+	Total       float64 `json:"total-ms"`
+	RetryAfter  float64 `json:"retry-after-ms"`
+	Late        bool    `json:"late"`
+	Version     uint64  `json:"configuration"`
+	Draining    bool    `json:"draining"`
+	Gone        bool    `json:"gone"`
+	Connected   bool    `json:"connected"`
+	OtherRouter string  `json:"other"`
+	Table       string  `json:"table"`
+	From        string  `json:"from"`
+	NewVersion  uint64  `json:"version"`
 }
 
 // routerEvents maps the messages about changes of a router's state to their descriptions.
@@ -84,7 +84,7 @@
 	"upstream taken out":        func(l *logLine) string { return "upstream " + l.Upstream + " taken out, its requests fail" },
 	"dependency lost":           func(l *logLine) string { return "store lost (" + l.Table + ")" },
 	"dependency regained":       func(l *logLine) string { return "store regained (" + l.Table + ")" },
-	"router connection changed": func(l *logLine) string { return fmt.Sprintf("router %s connected: %t", l.Other, l.Connected) },
+	"router connection changed": func(l *logLine) string { return fmt.Sprintf("router %s connected: %t", l.OtherRouter, l.Connected) },
 	"stopping":                  func(*logLine) string { return "this router stops" },
 	"started":                   func(*logLine) string { return "this router starts" },
 }
@@ -193,7 +193,7 @@
 	case "request answered":
 		return l.describeAnswer()
 	case "panic":
-		return "a fault of the router ended it: " + l.Value + "; the log line has the stack"
+		return "a fault of the router ended it: " + l.PanicValue + "; the log line has the stack"
 	}
 	return l.Message
 }
@@ -202,8 +202,8 @@
 	text := fmt.Sprintf("refused: %s (%s) after %.1f ms, of which %.1f in the queue; %d sent, %d may have run, %d events passed",
 		l.Reason, l.Outcome, l.Age, l.Waited, l.Sends, l.Runs, l.Events)
 	text += fmt.Sprintf("; route %s, account %s, configuration %d", l.Route, l.Account, l.Version)
-	if l.Retry > 0 {
-		text += fmt.Sprintf("; asked back after %.0f ms", l.Retry)
+	if l.RetryAfter > 0 {
+		text += fmt.Sprintf("; asked back after %.0f ms", l.RetryAfter)
 	}
 	return text + causeText(l.Detail, l.Cause)
 }
@@ -250,5 +250,5 @@
 		timing = "late"
 	}
 	return fmt.Sprintf("answered %s by %s: first byte after %.1f ms, of which %.1f in the queue, end after %.1f ms; %d sent, %d tokens unread there",
-		timing, l.Upstream, l.First, l.Waited, l.Total, l.Sends, l.Unread)
+		timing, l.Upstream, l.FirstByte, l.Waited, l.Total, l.Sends, l.Unread)
 }
--- a/follow/sources.go
+++ b/follow/sources.go
@@ -60,7 +60,7 @@
 // Next returns a router to ask now for a version after held, or none, and how long to
 // wait before Next is called again; zero means until a call ends or a router announces a
 // newer version. The call counts as in flight until End.
-func (s *Sources) Next(now time.Time, held uint64) (router fleet.RouterID, again time.Duration) {
+func (s *Sources) Next(now time.Time, held uint64) (router fleet.RouterID, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	calls, latest := s.callsInFlight(held)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -47,7 +47,7 @@
 
 // The list lags: it still shows a router that is gone, and does not yet show one
 // that is connected. The router's own connections take precedence.
-func TestOwnEvidenceGoesBeforeTheList(t *testing.T) {
+func TestConnectionsTakePrecedenceOverTheList(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
 	m.Disconnected(at(3), "c")
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -155,19 +155,19 @@
 	if d.entries == nil {
 		d.entries = make(map[fleet.UpstreamID]entry)
 	}
-	before, known := d.entries[c.Upstream.ID]
-	if known && (c.Revision < before.change.Revision || (c.Revision == before.change.Revision && !before.removalPending)) {
+	previous, known := d.entries[c.Upstream.ID]
+	if known && (c.Revision < previous.change.Revision || (c.Revision == previous.change.Revision && !previous.removalPending)) {
 		return nil
 	}
-	if c.Gone && !confirmed && known && !before.change.Gone && d.mayReturn(now, before) {
-		before.removalPending = true
-		before.removeAt = d.removalTime(now)
-		before.change.Revision = c.Revision
-		d.entries[c.Upstream.ID] = before
+	if c.Gone && !confirmed && known && !previous.change.Gone && d.mayReturn(now, previous) {
+		previous.removalPending = true
+		previous.removeAt = d.removalTime(now)
+		previous.change.Revision = c.Revision
+		d.entries[c.Upstream.ID] = previous
 		return nil
 	}
 	if c.Gone && known {
-		c.Upstream = before.change.Upstream
+		c.Upstream = previous.change.Upstream
 	}
 	d.entries[c.Upstream.ID] = entry{change: c}
 	d.latest = max(d.latest, c.Revision)
