--- a/deployment/absurd_test.go
+++ b/deployment/absurd_test.go
@@ -18,19 +18,20 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// absurdDepth bounds how deep messages of a test are nested.
-const absurdDepth = 4
+// maxMessageDepth bounds the nesting of generated messages.
+const maxMessageDepth = 4
 
-// names are those of the services, upstreams and accounts that the state of a test has, and others.
-var names = []string{"", "s", "u0", "u1", "ada", "r1", "\x00\xff", "10.0.0.1:80", "streaming", "h", "/a/"}
+// sampleStrings are the values of generated string fields: identifiers that occur in the state of
+// a test, and others.
+var sampleStrings = []string{"", "s", "u0", "u1", "ada", "r1", "\x00\xff", "10.0.0.1:80", "streaming", "h", "/a/"}
 
-// absurd draws a message whose fields are absent or have any content.
-func absurd[M proto.Message](t *rapid.T, message M) M {
-	draw(t, message.ProtoReflect(), absurdDepth)
+// arbitrary fills a message with arbitrary fields, some of them absent.
+func arbitrary[M proto.Message](t *rapid.T, message M) M {
+	fillMessage(t, message.ProtoReflect(), maxMessageDepth)
 	return message
 }
 
-func draw(t *rapid.T, message protoreflect.Message, depth int) {
+func fillMessage(t *rapid.T, message protoreflect.Message, depth int) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
@@ -38,23 +39,23 @@
 			continue
 		}
 		if field.IsList() {
-			drawList(t, message.Mutable(field).List(), field, depth)
+			fillList(t, message.Mutable(field).List(), field, depth)
 			continue
 		}
 		if field.Message() != nil {
 			if depth > 0 {
-				draw(t, message.Mutable(field).Message(), depth-1)
+				fillMessage(t, message.Mutable(field).Message(), depth-1)
 			}
 			continue
 		}
-		message.Set(field, scalar(t, field))
+		message.Set(field, drawScalar(t, field))
 	}
 }
 
-func drawList(t *rapid.T, list protoreflect.List, field protoreflect.FieldDescriptor, depth int) {
+func fillList(t *rapid.T, list protoreflect.List, field protoreflect.FieldDescriptor, depth int) {
 	if field.Message() == nil {
 		for range rapid.IntRange(0, 2).Draw(t, "values") {
-			list.Append(scalar(t, field))
+			list.Append(drawScalar(t, field))
 		}
 		return
 	}
@@ -62,16 +63,16 @@
 		return
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "messages") {
-		draw(t, list.AppendMutable().Message(), depth-1)
+		fillMessage(t, list.AppendMutable().Message(), depth-1)
 	}
 }
 
-func scalar(t *rapid.T, field protoreflect.FieldDescriptor) protoreflect.Value {
+func drawScalar(t *rapid.T, field protoreflect.FieldDescriptor) protoreflect.Value {
 	switch field.Kind() {
 	case protoreflect.BoolKind:
 		return protoreflect.ValueOfBool(rapid.Bool().Draw(t, "bool"))
 	case protoreflect.StringKind:
-		return protoreflect.ValueOfString(rapid.SampledFrom(names).Draw(t, "string"))
+		return protoreflect.ValueOfString(rapid.SampledFrom(sampleStrings).Draw(t, "string"))
 	case protoreflect.BytesKind:
 		return protoreflect.ValueOfBytes(rapid.SliceOfN(rapid.Byte(), 0, 16).Draw(t, "bytes"))
 	case protoreflect.DoubleKind:
@@ -88,9 +89,9 @@
 	panic(fmt.Sprintf("fields of kind %v are not drawn", field.Kind()))
 }
 
-// ready gives a router a configuration and upstreams.
-func (n *node) ready(upstreams int) {
-	n.state.Configure(configuration(1), "test")
+// makeReady gives a router a configuration and a number of upstreams.
+func (n *node) makeReady(upstreams int) {
+	n.state.Configure(testConfiguration(1), "test")
 	var list []registry.Change
 	for i := range upstreams {
 		list = append(list, registry.Change{Revision: registry.Revision(i + 1), Upstream: registry.Upstream{
@@ -100,8 +101,8 @@
 	n.state.ReplaceUpstreams(list, registry.Revision(upstreams+1), "test")
 }
 
-// ask asks for a turn, and gives it back.
-func (n *node) ask() {
+// requestTurn requests a turn and releases it.
+func (n *node) requestTurn() {
 	pool := n.state.Pool("s")
 	if pool == nil {
 		return
@@ -112,50 +113,51 @@
 	}
 }
 
-// Guards against a router that ends, or stops to serve, because of what another one sent.
-func TestRouterOutlivesAnyMessageOfAnother(t *testing.T) {
+// Guards against a router that crashes, or loses its configuration, because of a message from
+// another router.
+func TestRouterSurvivesArbitraryMessages(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		n := unconnected("self")
-		n.ready(rapid.IntRange(0, 3).Draw(t, "upstreams"))
+		n := newUnconnectedNode("self")
+		n.makeReady(rapid.IntRange(0, 3).Draw(t, "upstreams"))
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				n.state.ReceiveUpstreams(absurd(t, &schema.Knowledge{}).GetUpstreams(), registry.Revision(rapid.Uint64().Draw(t, "complete")), "test")
+				n.state.ApplyUpstreamsFromPeer(arbitrary(t, &schema.Knowledge{}).GetUpstreams(), registry.Revision(rapid.Uint64().Draw(t, "complete")), "test")
 			case 1:
-				n.state.Configure(deployment.DecodeConfiguration(absurd(t, &schema.Configuration{})), "test")
+				n.state.Configure(deployment.DecodeConfiguration(arbitrary(t, &schema.Configuration{})), "test")
 			case 2:
-				n.ask()
+				n.requestTurn()
 			default:
-				n.mesh.Receive(rapid.SampledFrom([]fleet.RouterID{"r1", "r2", ""}).Draw(t, "router"), absurd(t, &schema.Batch{}))
+				n.mesh.Receive(rapid.SampledFrom([]fleet.RouterID{"r1", "r2", ""}).Draw(t, "router"), arbitrary(t, &schema.Batch{}))
 			}
 		}
 		require.NotNil(t, n.state.Table())
 	})
 }
 
-// Guards against a router that ends because of the parameters of another one's call.
-func FuzzQuestion(f *testing.F) {
+// Guards against a router that crashes because of the parameters of another router's call.
+func FuzzKnowledgeRequest(f *testing.F) {
 	f.Add(`{"configuration-version":1,"upstream-revision":0,"configuration-encoding":"deflate"}`)
 	f.Add(`{"upstream-revision":18446744073709551615}`)
 	f.Add(`{"configuration-version":-1}`)
 	f.Add(`null`)
 	f.Add(``)
 	n := newNode(f, "self")
-	n.ready(2)
-	f.Fuzz(func(t *testing.T, question string) {
-		_, _ = n.mesh.Answer(question) // an error is as good as an answer
+	n.makeReady(2)
+	f.Fuzz(func(t *testing.T, request string) {
+		_, _ = n.mesh.AnswerKnowledgeRequest(request) // must not panic; an error is fine
 	})
 }
 
-// Guards against a router that ends because of a message that can be read only in part.
+// Guards against a router that crashes because of a malformed message.
 func FuzzBatch(f *testing.F) {
 	f.Add([]byte{})
 	seed, err := proto.Marshal(&schema.Batch{TurnAsks: []*schema.TurnAsk{{Id: 1, Service: "s", Input: 5}}, TurnNotes: []*schema.TurnNote{{Id: 1}}})
 	require.NoError(f, err)
 	f.Add(seed)
 	n := newNode(f, "self")
-	n.ready(2)
+	n.makeReady(2)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var batch schema.Batch
 		if proto.Unmarshal(data, &batch) == nil {
@@ -164,12 +166,12 @@
 	})
 }
 
-// Guards against a router that ends, or takes memory without bound, because of a configuration
-// that another one sent.
+// Guards against a router that crashes, or allocates unbounded memory, because of a compressed
+// configuration from another router.
 func FuzzConfiguration(f *testing.F) {
-	plain, err := deployment.Deflate(deployment.EncodeConfiguration(configuration(1)))
+	compressed, err := deployment.Deflate(deployment.EncodeConfiguration(testConfiguration(1)))
 	require.NoError(f, err)
-	f.Add(plain)
+	f.Add(compressed)
 	f.Add([]byte{0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		message, err := deployment.Inflate(data)
--- a/deployment/codec.go
+++ b/deployment/codec.go
@@ -6,7 +6,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// encodeConfiguration returns a configuration as routers tell it each other.
+// encodeConfiguration converts a configuration to the message that routers send each other.
 func encodeConfiguration(c route.Configuration) *schema.Configuration {
 	out := &schema.Configuration{
 		Version: uint64(c.Version), MaxHeaderBytes: uint32(c.Limits.MaxHeaderBytes), MaxBodyBytes: uint32(c.Limits.MaxBodyBytes),
--- a/deployment/crashes.go
+++ b/deployment/crashes.go
@@ -16,199 +16,207 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// crashCounters is how many routers count the crashes under one request, so that one
-// that is cut off or has just started is not alone.
-const crashCounters = 3
+// countingRoutersPerRequest is the number of routers that count the crashes under one request. It
+// is above one because a counting router may be disconnected or have just started.
+const countingRoutersPerRequest = 3
 
 // checkTimeout bounds a check of whether an upstream can be reached.
 const checkTimeout = 400 * time.Millisecond
 
-// checkPauses are the times between two looks at an upstream whose connection broke. One
-// that starts again at once can be reached, and is known to have ended by its new entry.
-var checkPauses = []time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, time.Second}
+// checkDelays are the pauses before each check of an upstream whose connection broke. An
+// upstream that restarts at once can be reached; its new entry shows that it crashed.
+var checkDelays = []time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, time.Second}
 
-// crashes connects this router's watch for requests that crash upstreams with those of
-// the other routers.
-type crashes struct {
+// crashMonitor detects requests that crash upstreams, together with the crash monitors of the
+// other routers.
+type crashMonitor struct {
 	self    fleet.RouterID
-	watch   quarantine.Watch
-	routers func() []fleet.RouterID
-	send    func(to fleet.RouterID, batch *schema.Batch)
-	// entry returns the latest change of an upstream's entry.
-	entry func(id fleet.UpstreamID) (registry.Change, bool)
-	// check returns an error if an upstream can't be reached.
-	check func(ctx context.Context, address string) error
-	// keep keeps a verdict of this router at the platform.
-	keep func(v quarantine.Verdict)
-	log  *slog.Logger
+	tracker quarantine.Watch
+	// otherRouters returns the other routers that are connected.
+	otherRouters func() []fleet.RouterID
+	send         func(to fleet.RouterID, batch *schema.Batch)
+	// upstreamEntry returns the latest change of an upstream's entry.
+	upstreamEntry func(id fleet.UpstreamID) (registry.Change, bool)
+	// checkReachable returns an error if an upstream can't be reached.
+	checkReachable func(ctx context.Context, address string) error
+	// saveVerdict stores a verdict of this router at the platform.
+	saveVerdict func(v quarantine.Verdict)
+	log         *slog.Logger
 	// guard contains panics; nil lets them pass.
 	guard *recovery.Guard
 
 	mu sync.Mutex
-	// checked holds the requests that broke at each upstream that is being looked at.
-	checked map[turn.Instance][]broken
+	// pendingChecks holds the broken requests of each upstream that is being checked.
+	pendingChecks map[turn.Instance][]brokenRequest
 }
 
-// broken is a request whose upstream ended the connection.
-type broken struct {
-	request      quarantine.Fingerprint
-	began, ended time.Time
+// brokenRequest is a request during whose run the upstream closed the connection.
+type brokenRequest struct {
+	request             quarantine.Fingerprint
+	startedAt, brokenAt time.Time
 }
 
-var _ forward.Quarantine = (*crashes)(nil)
+var _ forward.Quarantine = (*crashMonitor)(nil)
 
 // Refuses returns for how long a request is refused, zero if it isn't.
-func (c *crashes) Refuses(now time.Time, request quarantine.Fingerprint) time.Duration {
-	return c.watch.Refuses(now, request)
+func (c *crashMonitor) Refuses(now time.Time, request quarantine.Fingerprint) time.Duration {
+	return c.tracker.Refuses(now, request)
 }
 
-// IsOnProbation reports whether a request was refused of late.
-func (c *crashes) IsOnProbation(now time.Time, request quarantine.Fingerprint) bool {
-	return c.watch.IsOnProbation(now, request)
+// IsOnProbation reports whether a request was refused recently.
+func (c *crashMonitor) IsOnProbation(now time.Time, request quarantine.Fingerprint) bool {
+	return c.tracker.IsOnProbation(now, request)
 }
 
-// Served notes that an upstream has answered a request.
-func (c *crashes) Served(now time.Time, request quarantine.Fingerprint) {
-	if v, some := c.watch.Served(now, request); some {
+// Served records that an upstream has answered a request.
+func (c *crashMonitor) Served(now time.Time, request quarantine.Fingerprint) {
+	if v, ok := c.tracker.Served(now, request); ok {
 		c.broadcast(v)
 	}
 }
 
-// Broken notes that an upstream ended its connection while it ran a request. That is a
-// crash only if the upstream has ended: one that is faulty resets connections and lives on.
-func (c *crashes) Broken(request quarantine.Fingerprint, upstream registry.Upstream, began time.Time) {
+// Broken records that an upstream closed its connection while it ran a request. That is a
+// crash only if the upstream's process has ended: a faulty upstream may reset connections and
+// keep running.
+func (c *crashMonitor) Broken(request quarantine.Fingerprint, upstream registry.Upstream, startedAt time.Time) {
 	instance := turn.InstanceOf(upstream)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list, looking := c.checked[instance]
-	if c.checked == nil {
-		c.checked = make(map[turn.Instance][]broken)
+	requests, checking := c.pendingChecks[instance]
+	if c.pendingChecks == nil {
+		c.pendingChecks = make(map[turn.Instance][]brokenRequest)
 	}
-	c.checked[instance] = append(list, broken{request: request, began: began, ended: time.Now()})
-	if !looking {
-		go c.lookGuarded(upstream)
+	c.pendingChecks[instance] = append(requests, brokenRequest{request: request, startedAt: startedAt, brokenAt: time.Now()})
+	if !checking {
+		go c.checkUpstreamGuarded(upstream)
 	}
 }
 
-// lookGuarded drops what broke at an upstream if looking at it panics, so that it is looked at
-// the next time.
-func (c *crashes) lookGuarded(upstream registry.Upstream) {
-	if c.guard.Run(recovery.Crash, func() { c.look(upstream) }, "upstream", upstream.ID) {
-		c.forget(turn.InstanceOf(upstream))
+// checkUpstreamGuarded runs checkUpstream. After a panic it drops the upstream's pending check,
+// so that the next broken request starts a new one.
+func (c *crashMonitor) checkUpstreamGuarded(upstream registry.Upstream) {
+	if c.guard.Run(recovery.Crash, func() { c.checkUpstream(upstream) }, "upstream", upstream.ID) {
+		c.takePendingCheck(turn.InstanceOf(upstream))
 	}
 }
 
-// look finds out whether an upstream has ended, and reports the requests that broke there.
-func (c *crashes) look(upstream registry.Upstream) {
+// checkUpstream finds out whether an upstream has crashed, and if so reports its broken requests.
+func (c *crashMonitor) checkUpstream(upstream registry.Upstream) {
 	instance := turn.InstanceOf(upstream)
-	ended := false
-	for _, pause := range checkPauses {
-		time.Sleep(pause)
-		if c.hasLeft(instance) {
+	crashed := false
+	for _, delay := range checkDelays {
+		time.Sleep(delay)
+		if c.isLeaving(instance) {
 			break
 		}
-		if ended = c.hasEnded(upstream); ended {
+		if crashed = c.isDownOrRestarted(upstream); crashed {
 			break
 		}
 	}
-	list := c.forget(instance)
-	if !ended {
+	requests := c.takePendingCheck(instance)
+	if !crashed {
 		return
 	}
-	for _, b := range list {
-		c.crashed(b, instance)
+	for _, b := range requests {
+		c.reportCrash(b, instance)
 	}
 }
 
-// forget returns the requests that broke at an upstream, and drops them.
-func (c *crashes) forget(instance turn.Instance) []broken {
+// takePendingCheck removes and returns the broken requests of an upstream.
+func (c *crashMonitor) takePendingCheck(instance turn.Instance) []brokenRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.checked[instance]
-	delete(c.checked, instance)
-	return list
+	requests := c.pendingChecks[instance]
+	delete(c.pendingChecks, instance)
+	return requests
 }
 
-// hasLeft reports whether an upstream was leaving, which ends connections as well.
-func (c *crashes) hasLeft(instance turn.Instance) bool {
-	known, some := c.entry(instance.ID)
-	return some && known.Upstream.Life == instance.Life && (known.Gone || known.Upstream.Draining)
+// isLeaving reports whether an upstream is draining or has been removed. Then it closes
+// connections without a crash.
+func (c *crashMonitor) isLeaving(instance turn.Instance) bool {
+	known, ok := c.upstreamEntry(instance.ID)
+	return ok && known.Upstream.Life == instance.Life && (known.Gone || known.Upstream.Draining)
 }
 
-func (c *crashes) hasEnded(upstream registry.Upstream) bool {
-	if known, some := c.entry(upstream.ID); some && known.Upstream.Life != upstream.Life {
+// isDownOrRestarted reports whether an upstream can't be reached or has started anew.
+func (c *crashMonitor) isDownOrRestarted(upstream registry.Upstream) bool {
+	if known, ok := c.upstreamEntry(upstream.ID); ok && known.Upstream.Life != upstream.Life {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
-	return c.check(ctx, upstream.Address) != nil
+	return c.checkReachable(ctx, upstream.Address) != nil
 }
 
-// crashed reports a request to the routers that count.
-func (c *crashes) crashed(b broken, upstream turn.Instance) {
+// reportCrash reports a crash under a request to the routers that count its crashes.
+func (c *crashMonitor) reportCrash(b brokenRequest, upstream turn.Instance) {
 	now := time.Now()
-	report, verdict := c.watch.Crashed(now, quarantine.Crash{
-		Request: b.request, Upstream: upstream, Began: now.Sub(b.began), Ended: now.Sub(b.ended),
+	report, verdict := c.tracker.Crashed(now, quarantine.Crash{
+		Request: b.request, Upstream: upstream, Began: now.Sub(b.startedAt), Ended: now.Sub(b.brokenAt),
 	})
 	if verdict.Standing == quarantine.Refused {
 		c.broadcast(verdict)
 		return
 	}
 	batch := &schema.Batch{CrashReports: []*schema.CrashReport{encodeCrash(report)}}
-	for _, router := range c.counters(b.request) {
+	for _, router := range c.countingRouters(b.request) {
 		if router == c.self {
-			c.report(now, report)
+			c.countCrash(now, report)
 			continue
 		}
 		c.send(router, batch)
 	}
 }
 
-// counters returns the routers that count the crashes under a request.
-func (c *crashes) counters(request quarantine.Fingerprint) []fleet.RouterID {
+// countingRouters returns the routers that count the crashes under a request, chosen by
+// rendezvous hashing.
+func (c *crashMonitor) countingRouters(request quarantine.Fingerprint) []fleet.RouterID {
 	key := rendezvous.KeyOfNumber("crash", uint64(request))
-	ranked := rendezvous.Rank(key, append(c.routers(), c.self))
-	return ranked[:min(len(ranked), crashCounters)]
+	ranked := rendezvous.Rank(key, append(c.otherRouters(), c.self))
+	return ranked[:min(len(ranked), countingRoutersPerRequest)]
 }
 
-func (c *crashes) report(now time.Time, crash quarantine.Crash) {
-	if v, some := c.watch.Report(now, crash); some {
+// countCrash counts a reported crash, and broadcasts the verdict if there is one.
+func (c *crashMonitor) countCrash(now time.Time, crash quarantine.Crash) {
+	if v, ok := c.tracker.Report(now, crash); ok {
 		c.broadcast(v)
 	}
 }
 
-// broadcast tells all other routers a verdict that holds here already.
-func (c *crashes) broadcast(v quarantine.Verdict) {
-	c.note(v, c.self)
-	c.keep(v)
+// broadcast logs and stores a verdict that is already in force here, and sends it to all other
+// routers.
+func (c *crashMonitor) broadcast(v quarantine.Verdict) {
+	c.logVerdict(v, c.self)
+	c.saveVerdict(v)
 	batch := &schema.Batch{RequestVerdicts: []*schema.RequestVerdict{encodeVerdict(v)}}
-	for _, router := range c.routers() {
+	for _, router := range c.otherRouters() {
 		c.send(router, batch)
 	}
 }
 
-// receive handles the reports and verdicts of another router.
-func (c *crashes) receive(from fleet.RouterID, batch *schema.Batch) {
+// receive handles the crash reports and verdicts of another router.
+func (c *crashMonitor) receive(from fleet.RouterID, batch *schema.Batch) {
 	now := time.Now()
 	for _, report := range batch.GetCrashReports() {
-		c.report(now, decodeCrash(report))
+		c.countCrash(now, decodeCrash(report))
 	}
 	for _, received := range batch.GetRequestVerdicts() {
 		v := decodeVerdict(received)
-		objection, objects, changed := c.watch.Receive(now, v)
+		objection, objects, changed := c.tracker.Receive(now, v)
 		switch {
 		case objects:
 			c.broadcast(objection)
 		case changed:
-			c.note(v, from)
+			c.logVerdict(v, from)
 		}
 	}
 }
 
-// greet tells a router that has just connected what is refused.
-func (c *crashes) greet(router fleet.RouterID) {
+// sendRefusedRequests sends the verdicts on all refused requests to a router that has just
+// connected.
+func (c *crashMonitor) sendRefusedRequests(router fleet.RouterID) {
 	batch := &schema.Batch{}
-	for _, v := range c.watch.Refused(time.Now()) {
+	for _, v := range c.tracker.Refused(time.Now()) {
 		batch.RequestVerdicts = append(batch.RequestVerdicts, encodeVerdict(v))
 	}
 	if len(batch.GetRequestVerdicts()) > 0 {
@@ -216,7 +224,7 @@
 	}
 }
 
-func (c *crashes) note(v quarantine.Verdict, from fleet.RouterID) {
+func (c *crashMonitor) logVerdict(v quarantine.Verdict, from fleet.RouterID) {
 	switch v.Standing {
 	case quarantine.Refused:
 		c.log.Warn("request quarantined", "fingerprint", v.Request, "from", from, "left-s", v.Left.Seconds(), "first-crash-ms", v.Since.Milliseconds())
--- a/deployment/crashes_test.go
+++ b/deployment/crashes_test.go
@@ -13,89 +13,92 @@
 )
 
 const (
-	// crashing is the fingerprint of a request that may crash upstreams.
-	crashing = quarantine.Fingerprint(7)
-	// checkTime is for all looks at an upstream whose connection broke.
-	checkTime = 1500 * time.Millisecond
+	// crashingRequest is the fingerprint of a request that may crash upstreams.
+	crashingRequest = quarantine.Fingerprint(7)
+	// maxCheckTime is enough for all checks of an upstream whose connection broke.
+	maxCheckTime = 1500 * time.Millisecond
 )
 
-func (n *node) refuses() bool { return n.mesh.Quarantine().Refuses(time.Now(), crashing) > 0 }
+func (n *node) refusesCrashingRequest() bool {
+	return n.mesh.Quarantine().Refuses(time.Now(), crashingRequest) > 0
+}
 
-// breakOff ends the connections of so many upstreams, one after the other, under the request.
-func (n *node) breakOff(count int, pause time.Duration) {
+// breakConnections reports broken connections of count upstreams during crashingRequest, one after
+// the other.
+func (n *node) breakConnections(count int, pause time.Duration) {
 	for i := range count {
-		n.breakOffNumber(i)
+		n.breakConnection(i)
 		time.Sleep(pause)
 	}
 }
 
-func (n *node) breakOffNumber(i int) {
-	began := time.Now()
+func (n *node) breakConnection(i int) {
+	startedAt := time.Now()
 	time.Sleep(time.Millisecond)
-	n.mesh.Quarantine().Broken(crashing, numbered(i), began)
+	n.mesh.Quarantine().Broken(crashingRequest, testUpstream(i), startedAt)
 }
 
-func numbered(i int) registry.Upstream {
+func testUpstream(i int) registry.Upstream {
 	return registry.Upstream{
 		ID: fleet.UpstreamID(fmt.Sprintf("u%d", i)), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 8, Life: 1,
 	}
 }
 
-// Guards against a router that goes on to send a request that crashes upstreams, since it
-// neither saw the crashes nor was connected when the others were told.
+// Guards against a router that keeps sending a request that crashes upstreams because it neither
+// saw the crashes nor was connected when the verdict was broadcast.
 func TestRequestThatCrashesUpstreamsIsRefusedAtAllRouters(t *testing.T) {
 	t.Parallel()
 	one, two, late := newNode(t, "one"), newNode(t, "two"), newNode(t, "late")
 	one.connect(t, map[fleet.RouterID]string{"two": two.address})
-	one.breakOff(2, settleTime)
-	require.False(t, one.refuses())
-	one.breakOff(3, settleTime)
-	require.Eventually(t, one.refuses, updateBound, time.Millisecond)
-	require.Eventually(t, two.refuses, updateBound, time.Millisecond)
+	one.breakConnections(2, propagationTime)
+	require.False(t, one.refusesCrashingRequest())
+	one.breakConnections(3, propagationTime)
+	require.Eventually(t, one.refusesCrashingRequest, maxUpdateTime, time.Millisecond)
+	require.Eventually(t, two.refusesCrashingRequest, maxUpdateTime, time.Millisecond)
 	late.connect(t, map[fleet.RouterID]string{"two": two.address})
-	require.Eventually(t, late.refuses, updateBound, time.Millisecond)
+	require.Eventually(t, late.refusesCrashingRequest, maxUpdateTime, time.Millisecond)
 }
 
-// Guards against a sound request being refused because faulty upstreams reset its connections.
+// Guards against refusing a harmless request because faulty upstreams reset its connections.
 func TestUpstreamThatLivesOnHasNotCrashed(t *testing.T) {
 	t.Parallel()
 	n := newNode(t, "one")
-	n.alive = make(map[string]bool)
+	n.reachable = make(map[string]bool)
 	for i := range 4 {
-		n.alive[numbered(i).Address] = true
+		n.reachable[testUpstream(i).Address] = true
 	}
-	n.breakOff(4, settleTime)
-	time.Sleep(checkTime)
-	require.False(t, n.refuses())
+	n.breakConnections(4, propagationTime)
+	time.Sleep(maxCheckTime)
+	require.False(t, n.refusesCrashingRequest())
 }
 
-// Guards against an upstream that starts again faster than it is looked at, and seems to
-// have lived on.
+// Guards against overlooking the crash of an upstream that restarts before it is checked, and so
+// can be reached.
 func TestUpstreamWithANewLifeHasCrashed(t *testing.T) {
 	t.Parallel()
 	n := newNode(t, "one")
-	n.alive = make(map[string]bool)
+	n.reachable = make(map[string]bool)
 	for i := range 3 {
-		n.alive[numbered(i).Address] = true
-		n.breakOffNumber(i)
-		again := numbered(i)
-		again.Life++
-		n.state.ApplyUpstreams([]registry.Change{{Upstream: again, Revision: registry.Revision(1 + i)}}, "test")
-		time.Sleep(checkTime)
+		n.reachable[testUpstream(i).Address] = true
+		n.breakConnection(i)
+		restarted := testUpstream(i)
+		restarted.Life++
+		n.state.ApplyUpstreams([]registry.Change{{Upstream: restarted, Revision: registry.Revision(1 + i)}}, "test")
+		time.Sleep(maxCheckTime)
 	}
-	require.True(t, n.refuses())
+	require.True(t, n.refusesCrashingRequest())
 }
 
-// Guards against a sound request being refused because upstreams that drained ended under it.
+// Guards against refusing a harmless request because draining upstreams ended while they ran it.
 func TestUpstreamThatDrainedHasNotCrashed(t *testing.T) {
 	t.Parallel()
 	n := newNode(t, "one")
 	for i := range 4 {
-		leaving := numbered(i)
+		leaving := testUpstream(i)
 		leaving.Draining = true
 		n.state.ApplyUpstreams([]registry.Change{{Upstream: leaving, Revision: registry.Revision(1 + i)}}, "test")
-		n.breakOffNumber(i)
-		time.Sleep(settleTime)
+		n.breakConnection(i)
+		time.Sleep(propagationTime)
 	}
-	require.False(t, n.refuses())
+	require.False(t, n.refusesCrashingRequest())
 }
--- a/deployment/encoding.go
+++ b/deployment/encoding.go
@@ -14,24 +14,24 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// deflated names the encoding of a schema.Configuration that is compressed by DEFLATE.
-const deflated = "deflate"
+// deflateEncoding is the name of the encoding of a schema.Configuration compressed with DEFLATE.
+const deflateEncoding = "deflate"
 
-// maxConfiguration bounds a configuration that another router sent, in bytes.
-const maxConfiguration = 32 << 20
+// maxConfigurationBytes bounds the decompressed size of a configuration from another router.
+const maxConfigurationBytes = 32 << 20
 
-// encodingCache holds the latest configuration as other routers get it. Its zero
-// value is empty. It is safe for concurrent use.
+// encodingCache holds the latest configuration encoded for other routers. Its zero value is
+// empty. It is safe for concurrent use.
 //
-// In a large fleet most routers ask the same few for a new configuration at the same
-// moment. Encoding it for each of them takes those few seconds of processor time.
+// In a large fleet, most routers request a new configuration from the same few at the same
+// moment. Encoding it for each request would cost these few seconds of processor time.
 type encodingCache struct {
 	mu      sync.Mutex
 	version fleet.Version
 	data    []byte
 }
 
-// encode returns a configuration deflated, or a newer one that was encoded before.
+// encode returns a compressed configuration: the given one, or a newer one encoded before.
 func (e *encodingCache) encode(c route.Configuration) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,7 +69,7 @@
 // inflate is the inverse of deflate.
 func inflate(data []byte) (*schema.Configuration, error) {
 	reader := flate.NewReader(bytes.NewReader(data))
-	plain, err := io.ReadAll(io.LimitReader(reader, maxConfiguration))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxConfigurationBytes))
 	if err != nil {
 		return nil, eris.Wrap(err, "decompressing a configuration")
 	}
--- a/deployment/export_test.go
+++ b/deployment/export_test.go
@@ -10,32 +10,32 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// What the tests of the package see besides its public parts.
+// Unexported functions that the tests in package deployment_test use.
 var (
 	EncodeConfiguration = encodeConfiguration
 	DecodeConfiguration = decodeConfiguration
 	Deflate             = deflate
 	Inflate             = inflate
-	NewListener         = newListener
+	NewYieldingListener = newYieldingListener
 	NewMesh             = newMesh
 )
 
-// Mesh is mesh.
+// Mesh exports mesh.
 type Mesh = mesh
 
 // Peers returns the connections to the other routers.
 func (m *mesh) Peers() *peer.Peers { return m.peers }
 
-// Receive is receive.
+// Receive handles a batch of messages from another router.
 func (m *mesh) Receive(from fleet.RouterID, batch *schema.Batch) { m.receive(from, batch) }
 
-// Learned is learned.
-func (m *mesh) Learned(from string) { m.learned(from) }
+// AnnounceUpdate announces an update that has taken effect at this router.
+func (m *mesh) AnnounceUpdate(source string) { m.announceUpdate(source) }
 
-// Quarantine returns what is known of requests that crash upstreams.
-func (m *mesh) Quarantine() forward.Quarantine { return &m.crashes }
+// Quarantine returns the mesh's detection of requests that crash upstreams.
+func (m *mesh) Quarantine() forward.Quarantine { return &m.crashMonitor }
 
-// Answer answers a question of another router.
-func (m *mesh) Answer(question string) (any, error) {
-	return m.answer(context.Background(), json.RawMessage(question))
+// AnswerKnowledgeRequest answers another router's request for newer versions.
+func (m *mesh) AnswerKnowledgeRequest(request string) (any, error) {
+	return m.answerKnowledgeRequest(context.Background(), json.RawMessage(request))
 }
--- a/deployment/knowledge.go
+++ b/deployment/knowledge.go
@@ -13,94 +13,98 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// knowledgeMethod asks another router for what is newer there.
+// knowledgeMethod is the method by which a router asks another one for newer versions.
 const knowledgeMethod = "deployment.knowledge"
 
-// nothing in a question stands for a kind of knowledge that isn't asked for.
-const nothing = math.MaxUint64
+// notRequested in place of a version in a request excludes this kind of knowledge from the
+// answer.
+const notRequested = math.MaxUint64
 
-// question is what a router holds that asks for what is newer.
-type question struct {
-	Configuration uint64 `json:"configuration-version"`
-	Upstreams     uint64 `json:"upstream-revision"`
-	// Encoding is how the router that asks can read a configuration; empty means as
-	// part of Knowledge.
-	Encoding string `json:"configuration-encoding,omitempty"`
+// knowledgeRequest asks for what is newer than the versions that the requesting router holds.
+type knowledgeRequest struct {
+	ConfigurationVersion uint64 `json:"configuration-version"`
+	UpstreamRevision     uint64 `json:"upstream-revision"`
+	// ConfigurationEncoding is the encoding in which the requesting router can read a
+	// configuration; empty means as part of Knowledge.
+	ConfigurationEncoding string `json:"configuration-encoding,omitempty"`
 }
 
-// answerBody carries a schema.Knowledge.
-type answerBody struct {
+// knowledgeResponse is the answer to a knowledgeRequest.
+type knowledgeResponse struct {
+	// Knowledge is an encoded schema.Knowledge.
 	Knowledge []byte `json:"knowledge"`
-	// Configuration is a schema.Configuration in the encoding that was asked for.
+	// Configuration is a schema.Configuration in the requested encoding.
 	Configuration []byte `json:"configuration,omitempty"`
 }
 
-// fetchConfiguration takes the configuration of another router.
-func (m *mesh) fetchConfiguration(ctx context.Context, from fleet.RouterID, held uint64) (int, error) {
-	var body answerBody
-	q := question{Configuration: held, Upstreams: nothing, Encoding: deflated}
-	if err := m.peers.Call(ctx, from, knowledgeMethod, q, &body); err != nil {
+// fetchConfiguration fetches and applies the configuration of another router if it is newer
+// than the held version. It returns the size of the answer in bytes.
+func (m *mesh) fetchConfiguration(ctx context.Context, from fleet.RouterID, heldVersion uint64) (int, error) {
+	var response knowledgeResponse
+	request := knowledgeRequest{ConfigurationVersion: heldVersion, UpstreamRevision: notRequested, ConfigurationEncoding: deflateEncoding}
+	if err := m.peers.Call(ctx, from, knowledgeMethod, request, &response); err != nil {
 		return 0, err
 	}
-	configuration, err := body.configuration()
+	configuration, err := response.configurationMessage()
 	if configuration != nil {
-		m.state.Configure(decodeConfiguration(configuration), fromRouter(from))
+		m.state.Configure(decodeConfiguration(configuration), routerSource(from))
 	}
-	return len(body.Knowledge) + len(body.Configuration), err
+	return len(response.Knowledge) + len(response.Configuration), err
 }
 
-// fetchUpstreams takes the changes of the list of upstreams from another router.
-func (m *mesh) fetchUpstreams(ctx context.Context, from fleet.RouterID, held uint64) (int, error) {
-	var body answerBody
-	q := question{Configuration: nothing, Upstreams: held}
-	if err := m.peers.Call(ctx, from, knowledgeMethod, q, &body); err != nil {
+// fetchUpstreams fetches and applies the changes of the list of upstreams after the held
+// revision from another router. It returns the size of the answer in bytes.
+func (m *mesh) fetchUpstreams(ctx context.Context, from fleet.RouterID, heldRevision uint64) (int, error) {
+	var response knowledgeResponse
+	request := knowledgeRequest{ConfigurationVersion: notRequested, UpstreamRevision: heldRevision}
+	if err := m.peers.Call(ctx, from, knowledgeMethod, request, &response); err != nil {
 		return 0, err
 	}
 	var knowledge schema.Knowledge
-	if err := proto.Unmarshal(body.Knowledge, &knowledge); err != nil {
-		return len(body.Knowledge), eris.Wrap(err, "decoding changes of the list of upstreams")
+	if err := proto.Unmarshal(response.Knowledge, &knowledge); err != nil {
+		return len(response.Knowledge), eris.Wrap(err, "decoding changes of the list of upstreams")
 	}
-	m.state.ReceiveUpstreams(knowledge.GetUpstreams(), registry.Revision(knowledge.GetUpstreamRevision()), fromRouter(from))
-	return len(body.Knowledge), nil
+	m.state.ApplyUpstreamsFromPeer(knowledge.GetUpstreams(), registry.Revision(knowledge.GetUpstreamRevision()), routerSource(from))
+	return len(response.Knowledge), nil
 }
 
-// fromRouter names another router as a source in log lines.
-func fromRouter(id fleet.RouterID) string { return "router " + string(id) }
+// routerSource returns the source in log lines of an update from another router.
+func routerSource(id fleet.RouterID) string { return "router " + string(id) }
 
-// configuration returns the configuration of an answer, nil when it has none.
-func (b *answerBody) configuration() (*schema.Configuration, error) {
-	if len(b.Configuration) > 0 {
-		return inflate(b.Configuration)
+// configurationMessage returns the decoded configuration of an answer, nil if it has none.
+func (r *knowledgeResponse) configurationMessage() (*schema.Configuration, error) {
+	if len(r.Configuration) > 0 {
+		return inflate(r.Configuration)
 	}
 	var knowledge schema.Knowledge
-	err := proto.Unmarshal(b.Knowledge, &knowledge)
+	err := proto.Unmarshal(r.Knowledge, &knowledge)
 	return knowledge.GetConfiguration(), eris.Wrap(err, "decoding another router's knowledge")
 }
 
-// answer returns to another router what is newer here.
-func (m *mesh) answer(_ context.Context, params json.RawMessage) (any, error) {
-	var q question
-	if err := json.Unmarshal(params, &q); err != nil {
-		return nil, eris.Wrap(err, "decoding a question")
+// answerKnowledgeRequest returns what is newer here than the versions in another router's request.
+func (m *mesh) answerKnowledgeRequest(_ context.Context, params json.RawMessage) (any, error) {
+	var request knowledgeRequest
+	if err := json.Unmarshal(params, &request); err != nil {
+		return nil, eris.Wrap(err, "decoding a request for knowledge")
 	}
-	var body answerBody
-	knowledge := m.state.updates(registry.Revision(q.Upstreams))
-	held := m.state.held()
+	var response knowledgeResponse
+	knowledge := m.state.knowledgeAfter(registry.Revision(request.UpstreamRevision))
+	current := m.state.currentConfiguration()
 	switch {
-	case uint64(held.Version) <= q.Configuration:
-	case q.Encoding == deflated:
-		data, err := m.encodings.encode(held)
+	case uint64(current.Version) <= request.ConfigurationVersion:
+	case request.ConfigurationEncoding == deflateEncoding:
+		data, err := m.encodingCache.encode(current)
 		if err != nil {
 			return nil, err
 		}
-		body.Configuration = data
+		response.Configuration = data
 	default:
-		knowledge.Configuration = encodeConfiguration(held)
+		knowledge.Configuration = encodeConfiguration(current)
 	}
 	data, err := proto.Marshal(knowledge)
 	if err != nil {
 		return nil, eris.Wrap(err, "encoding knowledge")
 	}
-	body.Knowledge = data
-	return body, nil
+	response.Knowledge = data
+	return response, nil
 }
--- a/deployment/listener.go
+++ b/deployment/listener.go
@@ -10,18 +10,18 @@
 	"nutmeglock.example/nutmeglock/socket"
 )
 
-// listener accepts a caller's connection only after all else that can run has run. On a
-// router short of processor time new connections wait in the kernel's queue, and requests in
-// hand, answers of homes and callers that leave are attended to first.
-type listener struct {
+// yieldingListener yields to all other runnable goroutines before it accepts a caller's
+// connection. When processor time is short, new connections so wait in the kernel's queue, and
+// requests in flight, answers of homes and callers that disconnect are handled first.
+type yieldingListener struct {
 	net.Listener
-	raw   syscall.RawConn
-	queue *overload.Standing
+	raw         syscall.RawConn
+	acceptQueue *overload.Standing
 }
 
-// newListener returns a listener that tells whether its queue is empty.
-func newListener(inner net.Listener, queue *overload.Standing) (net.Listener, error) {
-	l := &listener{Listener: inner, queue: queue}
+// newYieldingListener returns a listener that reports to acceptQueue whether connections wait.
+func newYieldingListener(inner net.Listener, acceptQueue *overload.Standing) (net.Listener, error) {
+	l := &yieldingListener{Listener: inner, acceptQueue: acceptQueue}
 	conn, ok := inner.(syscall.Conn)
 	if !ok {
 		return l, nil
@@ -35,12 +35,12 @@
 }
 
 // Accept waits for the next connection.
-func (l *listener) Accept() (net.Conn, error) {
+func (l *yieldingListener) Accept() (net.Conn, error) {
 	runtime.Gosched()
-	l.queue.Observe(time.Now(), !l.isWaiting())
+	l.acceptQueue.Observe(time.Now(), !l.hasPendingConnection())
 	conn, err := l.Listener.Accept()
-	l.queue.Observe(time.Now(), false)
+	l.acceptQueue.Observe(time.Now(), false)
 	return conn, err
 }
 
-func (l *listener) isWaiting() bool { return l.raw != nil && socket.Waiting(l.raw) }
+func (l *yieldingListener) hasPendingConnection() bool { return l.raw != nil && socket.Waiting(l.raw) }
--- a/deployment/listener_test.go
+++ b/deployment/listener_test.go
@@ -18,54 +18,55 @@
 )
 
 const (
-	// oneProcessor is set in the process of a test that runs with a single processor.
-	oneProcessor = "NUTMEGLOCK_TEST_ONE_PROCESSOR"
-	// waitingConnections wait to be accepted when the test begins.
-	waitingConnections = 100
-	// stepsInHand is how often a request in hand needs the processor until it is answered.
-	stepsInHand = 10
+	// singleProcessorEnv is the environment variable that marks the subprocess that runs with a
+	// single processor.
+	singleProcessorEnv = "NUTMEGLOCK_TEST_ONE_PROCESSOR"
+	// pendingConnections is the number of connections that wait to be accepted at the start.
+	pendingConnections = 100
+	// stepsPerRequest is how often a request in flight has to be scheduled until it is answered.
+	stepsPerRequest = 10
 )
 
-// Guards against a flood of new connections that delays requests in hand.
+// Guards against a flood of new connections that delays the requests in flight.
 func TestRequestsInHandGoBeforeNewConnections(t *testing.T) {
 	t.Parallel()
-	if os.Getenv(oneProcessor) != "" {
+	if os.Getenv(singleProcessorEnv) != "" {
 		t.Log("accepted", acceptedBeforeAnswer(t))
 		return
 	}
 	command := exec.CommandContext(t.Context(), os.Args[0], "-test.run", "^"+t.Name()+"$", "-test.v")
-	command.Env = append(os.Environ(), oneProcessor+"=1", "GOMAXPROCS=1")
+	command.Env = append(os.Environ(), singleProcessorEnv+"=1", "GOMAXPROCS=1")
 	out, err := command.CombinedOutput()
 	require.NoError(t, err, string(out))
 	_, text, found := strings.Cut(string(out), "accepted ")
 	require.True(t, found, string(out))
 	accepted, err := strconv.Atoi(strings.Fields(text)[0])
 	require.NoError(t, err)
-	require.LessOrEqual(t, accepted, 2*stepsInHand)
+	require.LessOrEqual(t, accepted, 2*stepsPerRequest)
 }
 
-// acceptedBeforeAnswer returns how many connections were accepted until a request was answered.
+// acceptedBeforeAnswer returns the number of connections accepted until a request was answered.
 func acceptedBeforeAnswer(t *testing.T) int {
 	t.Helper()
 	inner, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = inner.Close() }()
-	for range waitingConnections {
+	for range pendingConnections {
 		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
 		require.NoError(t, err)
 		defer conn.Close()
 	}
-	listener, err := deployment.NewListener(inner, &overload.Standing{})
+	listener, err := deployment.NewYieldingListener(inner, &overload.Standing{})
 	require.NoError(t, err)
 	ctx, answered := context.WithCancel(t.Context())
 	go func() {
-		for range stepsInHand {
+		for range stepsPerRequest {
 			runtime.Gosched()
 		}
 		answered()
 	}()
 	accepted := 0
-	for ; ctx.Err() == nil && accepted < waitingConnections; accepted++ {
+	for ; ctx.Err() == nil && accepted < pendingConnections; accepted++ {
 		conn, err := listener.Accept()
 		require.NoError(t, err)
 		defer conn.Close()
@@ -73,13 +74,13 @@
 	return accepted
 }
 
-// Guards against a router that doesn't know that callers wait for it to accept them.
-func TestListenerTellsWhetherItsQueueStands(t *testing.T) {
+// Guards against a router that doesn't notice that connections wait to be accepted.
+func TestListenerReportsWhetherItsQueueIsEmpty(t *testing.T) {
 	t.Parallel()
 	inner, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var queue overload.Standing
-	listener, err := deployment.NewListener(inner, &queue)
+	listener, err := deployment.NewYieldingListener(inner, &queue)
 	require.NoError(t, err)
 	for range 3 {
 		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
--- a/deployment/members.go
+++ b/deployment/members.go
@@ -14,15 +14,16 @@
 	"nutmeglock.example/nutmeglock/registry"
 )
 
-// Member is a router's entry in the fleet's list.
+// Member is a router's entry in the fleet's list of routers.
 type Member struct {
 	ID fleet.RouterID
-	// Address is where other routers connect to.
+	// Address is the address that other routers connect to.
 	Address string
-	Gone    bool
+	// Gone is set if the entry was removed.
+	Gone bool
 }
 
-// Members is the fleet's list of routers, which lasts at the platform.
+// Members is the fleet's list of routers, stored at the platform.
 type Members interface {
 	follow.Feed[Member, registry.Revision]
 	// Register writes an entry.
@@ -32,78 +33,78 @@
 }
 
 const (
-	// memberWait is how long one call waits for a change of the list of routers.
-	// Routers that start connect to the others themselves, so news here is
-	// never urgent.
-	memberWait = 20 * time.Second
-	// memberStart is how long after its start a router doesn't look at the list again:
-	// all routers of a fleet start together, and each entry would be told to all.
-	memberStart = 3 * time.Second
-	// memberCalm is the same later on in a large fleet.
-	memberCalm = 30 * time.Second
-	// memberPatience is how long the first look at the list waits for the own entry
-	// to be written, which takes some milliseconds. A store that takes no entry may
-	// tell the others all the same.
-	memberPatience = 500 * time.Millisecond
-	// withdrawTimeout bounds the removal of the own entry at a shutdown. An entry
-	// that stays costs the others an attempt to connect now and then.
+	// memberPollWait is how long one call waits for a change of the list of routers.
+	// Starting routers connect to the others themselves, so changes are never urgent.
+	memberPollWait = 20 * time.Second
+	// memberStartupPollInterval is how long after its start a router doesn't poll the list again:
+	// all routers of a fleet start together, and the store would send each entry to all.
+	memberStartupPollInterval = 3 * time.Second
+	// memberPollInterval is the pause between polls later on in a large fleet.
+	memberPollInterval = 30 * time.Second
+	// registrationWait is how long the first read of the list waits for the router's own entry
+	// to be written, which takes a few milliseconds. A store that refuses the entry may still
+	// return those of other routers.
+	registrationWait = 500 * time.Millisecond
+	// withdrawTimeout bounds the removal of the router's own entry at shutdown. An entry that
+	// remains costs the other routers an occasional attempt to connect.
 	withdrawTimeout = time.Second
 )
 
-// memberMemory is how long a router is tried that has withdrawn. Most that stop
-// are started again at the same address within seconds.
-const memberMemory = time.Minute
+// withdrawnMemberRetention is how long routers try to connect to one that has withdrawn. Most
+// routers that stop are restarted at the same address within seconds.
+const withdrawnMemberRetention = time.Minute
 
-// memberList follows the list of routers.
+// memberFollower follows the list of routers.
 //
-// It looks at the list once its own entry is in it. Of two routers that start
-// together, the one whose entry is later then finds the other, and connects to it,
-// so neither has to look again. At 91 routers, each that looked three times before
-// made 270 calls to the store in the first seconds.
-type memberList struct {
+// It first reads the list when the router's own entry is in it. Of two routers that start
+// together, the one that registered later then finds the other and connects to it, so
+// neither has to read the list again. With three reads each, 91 routers would make 270 calls to
+// the store in the first seconds.
+type memberFollower struct {
 	follow.Follower[Member, registry.Revision]
-	started    time.Time
+	startedAt  time.Time
 	isLarge    func() bool
 	registered chan struct{}
-	// missed is set while the first look came before the own entry.
-	missed atomic.Bool
+	// readBeforeRegistration is set if the list was first read before the router's own entry was
+	// written, until it is read again.
+	readBeforeRegistration atomic.Bool
 }
 
-func (l *memberList) run(ctx context.Context) error {
+func (f *memberFollower) run(ctx context.Context) error {
 	select {
-	case <-l.registered:
-	case <-time.After(memberPatience):
-		l.missed.Store(true)
+	case <-f.registered:
+	case <-time.After(registrationWait):
+		f.readBeforeRegistration.Store(true)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return l.Run(ctx)
+	return f.Run(ctx)
 }
 
-// rest returns how long the list need not be looked at.
-func (l *memberList) rest() time.Duration {
+// pollInterval returns how long the list need not be polled.
+func (f *memberFollower) pollInterval() time.Duration {
 	select {
-	case <-l.registered:
-		if l.missed.CompareAndSwap(true, false) {
+	case <-f.registered:
+		if f.readBeforeRegistration.CompareAndSwap(true, false) {
 			return 0
 		}
 	default:
 	}
 	switch {
-	case time.Since(l.started) < memberStart:
-		return memberStart
-	case l.isLarge():
-		return memberCalm
+	case time.Since(f.startedAt) < memberStartupPollInterval:
+		return memberStartupPollInterval
+	case f.isLarge():
+		return memberPollInterval
 	default:
 		return 0
 	}
 }
 
-// memberSink tells the mesh which routers to connect to.
+// memberSink sets the routers to connect to.
 //
-// A router that starts while the store refuses it knows nobody, and can serve
-// nobody, unless the others remember where it was and connect to it. So a router
-// that withdrew, or has no entry any more, is tried for a while.
+// A router that starts while the store refuses its calls knows no other router and can't serve,
+// unless the others remember its address and connect to it. So they keep trying a router that
+// withdrew, or lost its entry, for a while.
 type memberSink struct {
 	self  fleet.RouterID
 	peers *peer.Peers
@@ -111,11 +112,11 @@
 
 	mu        sync.Mutex
 	addresses map[fleet.RouterID]string
-	// left is when a router withdrew.
-	left map[fleet.RouterID]time.Time
+	// leftAt holds when each router without an entry withdrew or lost it.
+	leftAt map[fleet.RouterID]time.Time
 }
 
-// Replace takes the whole list.
+// Replace replaces the whole list.
 func (s *memberSink) Replace(rows []Member, as registry.Revision) {
 	s.mu.Lock()
 	listed := make(map[fleet.RouterID]bool, len(rows))
@@ -124,14 +125,14 @@
 	}
 	for id := range s.addresses {
 		if !listed[id] {
-			s.leave(id)
+			s.markLeft(id)
 		}
 	}
 	s.mu.Unlock()
 	s.Apply(rows, as)
 }
 
-// Apply takes changes of the list.
+// Apply applies changes of the list.
 func (s *memberSink) Apply(rows []Member, _ registry.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,55 +143,56 @@
 		switch {
 		case m.ID == s.self:
 		case m.Gone:
-			s.leave(m.ID)
+			s.markLeft(m.ID)
 		default:
 			s.addresses[m.ID] = m.Address
-			delete(s.left, m.ID)
+			delete(s.leftAt, m.ID)
 		}
 	}
-	s.forget(time.Now())
+	s.dropExpired(time.Now())
 	s.peers.Target(maps.Clone(s.addresses))
-	s.state.SetRouters(len(s.addresses) + 1)
+	s.state.SetRouterCount(len(s.addresses) + 1)
 }
 
-// leave notes that a router has no entry any more.
-func (s *memberSink) leave(id fleet.RouterID) {
-	if s.left == nil {
-		s.left = make(map[fleet.RouterID]time.Time)
+// markLeft records that a router has no entry any more.
+func (s *memberSink) markLeft(id fleet.RouterID) {
+	if s.leftAt == nil {
+		s.leftAt = make(map[fleet.RouterID]time.Time)
 	}
-	if _, known := s.left[id]; !known {
-		s.left[id] = time.Now()
+	if _, known := s.leftAt[id]; !known {
+		s.leftAt[id] = time.Now()
 	}
 }
 
-// forget drops the routers that left long ago and aren't connected.
-func (s *memberSink) forget(now time.Time) {
+// dropExpired drops the routers whose retention has expired and that aren't connected.
+func (s *memberSink) dropExpired(now time.Time) {
 	connected := s.peers.Routers()
-	for id, at := range s.left {
-		if now.Sub(at) >= memberMemory && !slices.Contains(connected, id) {
-			delete(s.left, id)
+	for id, at := range s.leftAt {
+		if now.Sub(at) >= withdrawnMemberRetention && !slices.Contains(connected, id) {
+			delete(s.leftAt, id)
 			delete(s.addresses, id)
 		}
 	}
 }
 
-// heard takes the address of a router that has connected. Such a router may
-// have no entry, if the store refused it.
-func (s *memberSink) heard(c peer.Change) {
+// handleConnectionChange records the address of a router that has connected. It may have no
+// entry, if the store refused it.
+func (s *memberSink) handleConnectionChange(c peer.Change) {
 	if !c.Connected {
 		return
 	}
 	s.Apply([]Member{{ID: c.Router, Address: c.Address}}, 0)
 }
 
-// Lost and Regained change nothing: routers connect to whom they know.
+// Lost and Regained do nothing: routers stay connected to those they know.
 func (*memberSink) Lost(error) {}
 func (*memberSink) Regained()  {}
 
-// register writes the own entry, trying until it is written or ctx ends.
+// register writes the router's own entry, retrying until it is written, and returns when ctx
+// ends.
 func (r *Router) register(ctx context.Context) error {
 	own := Member{ID: r.options.Self, Address: r.options.PeerAddress}
-	written := persist(ctx, func(ctx context.Context) error { return r.options.Members.Register(ctx, own) },
+	written := retryUntilSuccess(ctx, func(ctx context.Context) error { return r.options.Members.Register(ctx, own) },
 		func(err error) { r.options.Log.Warn("not registered", "error", err) })
 	if written {
 		r.options.Log.Info("registered", "address", own.Address)
@@ -200,7 +202,7 @@
 	return ctx.Err()
 }
 
-// withdraw removes the own entry.
+// withdraw removes the router's own entry.
 func (r *Router) withdraw() {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
--- a/deployment/mesh.go
+++ b/deployment/mesh.go
@@ -20,99 +20,99 @@
 )
 
 const (
-	// patience is how long a router waits for an announced update to come from the
-	// store before it asks the other router. The store sends it to all routers within
-	// some milliseconds, so in calm nobody asks.
-	patience = 150 * time.Millisecond
-	// restPatience is the most that a router waits that doesn't follow the store.
-	restPatience = 30 * time.Millisecond
-	// gossipInterval and gossipRouters are how often a router of a large fleet announces
-	// its versions to how many others.
+	// followerPullDelay is how long a router that follows the store waits for an announced
+	// update to arrive from there before it asks another router. The store normally delivers
+	// within a few milliseconds, so no router has to ask.
+	followerPullDelay = 150 * time.Millisecond
+	// maxNonFollowerPullDelay bounds the same delay for a router that doesn't follow the store.
+	maxNonFollowerPullDelay = 30 * time.Millisecond
+	// gossipInterval is how often a router of a large fleet announces its versions, and
+	// gossipFanout the number of routers that it announces them to.
 	gossipInterval = time.Second
-	gossipRouters  = 3
-	// reportInterval is the least time between two reports of what this router
-	// has at the upstreams. A prompt is read in some 50 to 300 ms; with older
-	// reports routers send to an engine that the others have just filled.
+	gossipFanout   = 3
+	// reportInterval is the minimum time between two reports of this router's load on the
+	// upstreams. An engine reads a prompt in about 50 to 300 ms; with older reports, routers
+	// would send requests to an engine that others have just filled.
 	reportInterval = 50 * time.Millisecond
-	// mostQueueWait bounds what connections that wait to be accepted count for.
-	mostQueueWait = 40 * time.Millisecond
-	// refreshInterval is when a report is repeated that has not changed, well
-	// within the time for which it counts.
-	refreshInterval = 500 * time.Millisecond
+	// maxQueueWait caps the wait that a non-empty accept queue counts as.
+	maxQueueWait = 40 * time.Millisecond
+	// reportRefreshInterval is how often an unchanged report is repeated. It is well below
+	// the time after which the receivers discard a report.
+	reportRefreshInterval = 500 * time.Millisecond
 )
 
-// mesh connects the state of a router with those of the others, so that an update
-// reaches all of them even if the store serves only some.
+// mesh synchronises a router's state with the other routers, so that an update reaches
+// all of them even if the store serves only some.
 type mesh struct {
 	state *State
 	peers *peer.Peers
 	homes *home.Homes
-	// group says whether this router follows the store for others.
+	// group decides whether this router follows the store on behalf of others.
 	group *follow.Group
-	// overload tells whether this router has too little processor time, by how long
-	// its goroutines wait for it.
+	// overload detects a shortage of processor time by how long goroutines wait to run.
 	overload   overload.Detector
 	scheduling overload.Scheduling
-	// latency is the latest scheduling latency in nanoseconds.
+	// latency is the latest measured scheduling latency in nanoseconds.
 	latency atomic.Int64
 	shedder overload.Shedder[fleet.AccountID]
-	// queue is that of connections that wait to be accepted.
-	queue overload.Standing
-	// inHand returns how many requests of callers are in hand; nil when it isn't known.
-	inHand func() int
-	// crashes finds requests that crash upstreams, and quarantines keeps what it found.
-	crashes     crashes
-	quarantines quarantineKeeper
-	// encodings holds the configuration as other routers get it.
-	encodings encodingCache
-	log       *slog.Logger
+	// acceptQueue measures the queue of connections that wait to be accepted.
+	acceptQueue overload.Standing
+	// requestsInFlight returns the number of callers' requests in flight; nil if unknown.
+	requestsInFlight func() int
+	// crashMonitor finds requests that crash upstreams, and quarantinePersister stores its
+	// verdicts.
+	crashMonitor        crashMonitor
+	quarantinePersister quarantinePersister
+	// encodingCache holds the configuration encoded for other routers.
+	encodingCache encodingCache
+	log           *slog.Logger
 
-	// configurations and upstreams take from other routers what is newer there.
-	configurations puller
-	upstreams      puller
+	// configurationPuller and upstreamPuller fetch newer versions from other routers.
+	configurationPuller puller
+	upstreamPuller      puller
 
-	mu       sync.Mutex
-	reported time.Time
-	last     []byte
-	// blind is set while no router that follows the store for this one can read it.
-	blind bool
+	mu             sync.Mutex
+	lastReportTime time.Time
+	lastReport     []byte
+	// followersLostStore is set while none of the routers that this one relies on can read the
+	// store.
+	followersLostStore bool
 }
 
-// newMesh returns a mesh. Check returns an error if an upstream can't be reached.
-func newMesh(state *State, options peer.Options, check func(ctx context.Context, address string) error) *mesh {
+// newMesh returns a mesh. checkReachable returns an error if an upstream can't be reached.
+func newMesh(state *State, options peer.Options, checkReachable func(ctx context.Context, address string) error) *mesh {
 	m := &mesh{state: state, peers: peer.New(options), log: options.Logger}
 	m.homes = &home.Homes{Self: options.Self, Send: m.peers.Send, Pool: state.Pool, Log: options.Logger, Guard: options.Guard}
 	m.group = &follow.Group{Self: options.Self}
-	m.crashes = crashes{
-		self: options.Self, routers: m.peers.Routers, send: m.peers.Send, entry: state.Upstream, check: check,
-		keep: m.quarantines.keep, log: options.Logger, guard: options.Guard,
+	m.crashMonitor = crashMonitor{
+		self: options.Self, otherRouters: m.peers.Routers, send: m.peers.Send, upstreamEntry: state.Upstream, checkReachable: checkReachable,
+		saveVerdict: m.quarantinePersister.enqueue, log: options.Logger, guard: options.Guard,
 	}
-	m.configurations = puller{
-		name: "configuration", held: m.configurationHeld, fetch: m.fetchConfiguration, timer: timer.System{}, log: options.Logger,
+	m.configurationPuller = puller{
+		name: "configuration", heldVersion: m.configurationVersion, fetch: m.fetchConfiguration, timer: timer.System{}, log: options.Logger,
 		guard: options.Guard,
 	}
-	m.upstreams = puller{
-		name: "upstreams", held: m.upstreamsHeld, fetch: m.fetchUpstreams, timer: timer.System{}, log: options.Logger,
+	m.upstreamPuller = puller{
+		name: "upstreams", heldVersion: m.upstreamRevision, fetch: m.fetchUpstreams, timer: timer.System{}, log: options.Logger,
 		guard: options.Guard,
 	}
 	state.homes = m.homes
-	m.peers.Handle(knowledgeMethod, m.answer)
+	m.peers.Handle(knowledgeMethod, m.answerKnowledgeRequest)
 	m.peers.OnBatch(m.receive)
-	m.peers.OnChange(m.changed)
+	m.peers.OnChange(m.handleConnectionChange)
 	return m
 }
 
-// announcement returns the versions that this router holds.
+// announcement returns the versions that this router holds and its relation to the store.
 func (m *mesh) announcement() *schema.Announcement {
 	own := m.group.Own()
 	return &schema.Announcement{
-		ConfigurationVersion: m.configurationHeld(), UpstreamRevision: m.upstreamsHeld(),
+		ConfigurationVersion: m.configurationVersion(), UpstreamRevision: m.upstreamRevision(),
 		Follows: own.Follows, StoreLost: own.Lost,
 	}
 }
 
-// announce tells all routers which versions this router holds, and whether it follows
-// the store.
+// announce sends the announcement to all routers.
 func (m *mesh) announce() { m.announceTo(m.peers.Routers()) }
 
 func (m *mesh) announceTo(routers []fleet.RouterID) {
@@ -122,50 +122,51 @@
 	}
 }
 
-// learned announces what has taken effect here. In a large fleet a router doesn't
-// announce what came from another one, which has announced it to all.
-func (m *mesh) learned(from string) {
-	if from == fromStore || m.group.Rest() == 0 {
+// announceUpdate announces an update that has taken effect here. A router that doesn't follow
+// the store doesn't announce updates from other routers, which have announced them to all.
+func (m *mesh) announceUpdate(source string) {
+	if source == storeSource || m.group.Rest() == 0 {
 		m.announce()
 	}
 }
 
-// storeLost notes whether this router can read the store.
-func (m *mesh) storeLost(lost bool) {
+// setStoreLost records and announces whether this router has lost the store.
+func (m *mesh) setStoreLost(lost bool) {
 	m.group.SetLost(lost)
 	m.announce()
 }
 
-// gossip announces this router's versions to some others, for routers that are connected
-// with none that follows the store, and for announcements lost with a connection.
+// gossip announces this router's versions to a few random routers. It reaches routers that
+// aren't connected to any follower of the store, and replaces announcements lost with a
+// connection.
 func (m *mesh) gossip() {
 	routers := m.peers.Routers()
 	rand.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
-	m.announceTo(routers[:min(len(routers), gossipRouters)])
-	m.checkBlind()
+	m.announceTo(routers[:min(len(routers), gossipFanout)])
+	m.updateFollowersLostStore()
 }
 
-// checkBlind notes whether the routers that follow the store can read it: entries that
-// vanish while they can't may return.
-func (m *mesh) checkBlind() {
-	blind := m.group.IsBlind()
+// updateFollowersLostStore records whether any router that follows the store can read it. While
+// none can, entries that vanish may return.
+func (m *mesh) updateFollowersLostStore() {
+	lost := m.group.IsBlind()
 	m.mu.Lock()
-	changed := m.blind != blind
-	m.blind = blind
+	changed := m.followersLostStore != lost
+	m.followersLostStore = lost
 	m.mu.Unlock()
 	switch {
 	case !changed:
-	case blind:
+	case lost:
 		m.log.Warn("dependency lost", "dependency", "store", "table", "all", "error", "the routers that follow it can't read it")
-		m.state.LoseUpstreams()
+		m.state.SetUpstreamsUnavailable()
 	default:
 		m.log.Info("dependency regained", "dependency", "store", "table", "all")
-		m.state.RegainUpstreams()
+		m.state.SetUpstreamsAvailable()
 	}
 }
 
-// changed takes note of a connection that came or went.
-func (m *mesh) changed(c peer.Change) {
+// handleConnectionChange handles a connection to another router that was opened or lost.
+func (m *mesh) handleConnectionChange(c peer.Change) {
 	m.log.Info("router connection changed", "other", c.Router, "address", c.Address, "incarnation", c.Incarnation, "connected", c.Connected)
 	routers := m.peers.Routers()
 	m.homes.SetRouters(routers)
@@ -173,142 +174,145 @@
 	m.state.setGrouped(m.homes.Decide())
 	if !c.Connected {
 		m.homes.Lost(c.Router)
-		m.configurations.forget(c.Router)
-		m.upstreams.forget(c.Router)
+		m.configurationPuller.forget(c.Router)
+		m.upstreamPuller.forget(c.Router)
 		return
 	}
 	m.peers.Send(c.Router, &schema.Batch{Announcement: m.announcement()})
-	m.crashes.greet(c.Router)
+	m.crashMonitor.sendRefusedRequests(c.Router)
 	m.mu.Lock()
-	m.last = nil // the next report goes to all
+	m.lastReport = nil // so that the next report is sent even if it is unchanged
 	m.mu.Unlock()
 }
 
-// receive handles a batch of another router.
+// receive handles a batch of messages from another router.
 func (m *mesh) receive(from fleet.RouterID, batch *schema.Batch) {
 	m.homes.Hear(from, batch)
-	m.crashes.receive(from, batch)
+	m.crashMonitor.receive(from, batch)
 	if a := batch.GetAnnouncement(); a != nil {
 		m.handleAnnouncement(from, a)
 	}
 	if m.homes.Decide() {
-		return // a report from before the fleet was large
+		return // the reports were sent before the fleet became large
 	}
 	for _, work := range batch.GetLoads() {
-		m.state.observe(from, work)
+		m.state.observeServiceWork(from, work)
 	}
 }
 
 func (m *mesh) handleAnnouncement(from fleet.RouterID, a *schema.Announcement) {
 	m.group.Hear(from, follow.Standing{Follows: a.GetFollows(), Lost: a.GetStoreLost()})
-	m.checkBlind()
-	m.configurations.announce(from, a.GetConfigurationVersion(), m.patience())
-	m.upstreams.announce(from, a.GetUpstreamRevision(), m.patience())
+	m.updateFollowersLostStore()
+	m.configurationPuller.handleAnnouncement(from, a.GetConfigurationVersion(), m.pullDelay())
+	m.upstreamPuller.handleAnnouncement(from, a.GetUpstreamRevision(), m.pullDelay())
 	own := m.announcement()
 	if own.GetConfigurationVersion() > a.GetConfigurationVersion() || own.GetUpstreamRevision() > a.GetUpstreamRevision() {
-		m.sendUpdate(from, own)
+		m.announceIfGrouped(from, own)
 	}
 }
 
-// sendUpdate announces newer versions to a router that announced older ones. In a
-// small fleet each router has announced them to all already.
-func (m *mesh) sendUpdate(router fleet.RouterID, own *schema.Announcement) {
+// announceIfGrouped announces newer versions to a router that announced older ones. In a
+// small fleet, each router has already announced them to all.
+func (m *mesh) announceIfGrouped(router fleet.RouterID, own *schema.Announcement) {
 	if m.homes.Decide() {
 		m.peers.Send(router, &schema.Batch{Announcement: own})
 	}
 }
 
-// patience returns how long to wait for an announced update to come from the store. A
-// router that doesn't follow the store asks soon, at a random time.
-func (m *mesh) patience() time.Duration {
+// pullDelay returns how long to wait for an announced update to arrive from the store. A
+// router that doesn't follow the store asks another router after a short random delay.
+func (m *mesh) pullDelay() time.Duration {
 	if m.group.Rest() > 0 {
-		return rand.N(restPatience)
+		return rand.N(maxNonFollowerPullDelay)
 	}
-	return patience
+	return followerPullDelay
 }
 
-func (m *mesh) configurationHeld() uint64 { return uint64(m.state.Table().Version()) }
+func (m *mesh) configurationVersion() uint64 { return uint64(m.state.Table().Version()) }
 
-func (m *mesh) upstreamsHeld() uint64 { return uint64(m.state.Settled()) }
+func (m *mesh) upstreamRevision() uint64 { return uint64(m.state.SettledRevision()) }
 
-// Run reports what this router has at the upstreams until ctx ends, unless homes
-// decide: then nobody needs reports.
+// Run sends load reports and checks for overload until ctx ends. In a large fleet, where homes
+// grant the turns, it gossips instead of sending reports, which no router needs then.
 func (m *mesh) Run(ctx context.Context) error {
-	pause := time.NewTimer(reportInterval)
-	defer pause.Stop()
-	gossip := time.NewTicker(gossipInterval)
-	defer gossip.Stop()
+	reportTimer := time.NewTimer(reportInterval)
+	defer reportTimer.Stop()
+	gossipTicker := time.NewTicker(gossipInterval)
+	defer gossipTicker.Stop()
 	for {
 		select {
-		case <-gossip.C:
+		case <-gossipTicker.C:
 			m.logAdmission()
 			if m.homes.Decide() {
 				m.gossip()
 			}
-		case now := <-pause.C:
-			m.notice(now)
+		case now := <-reportTimer.C:
+			m.checkOverload(now)
 			if !m.homes.Decide() {
 				m.report(now, m.peers.Routers())
 			}
-			pause.Reset(reportInterval)
+			reportTimer.Reset(reportInterval)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// notice looks whether the router has enough processor time.
-func (m *mesh) notice(now time.Time) {
+// checkOverload measures whether the router has enough processor time, and adapts shedding
+// and overload.
+func (m *mesh) checkOverload(now time.Time) {
 	latency := m.scheduling.Wait()
 	m.latency.Store(int64(latency))
-	// A queue may stand long and be short, so it counts for no more than a moderate wait.
-	wait := max(latency, min(m.queue.For(now), mostQueueWait))
+	// A queue that is non-empty for long may still be short, so it counts as a moderate wait
+	// at most.
+	wait := max(latency, min(m.acceptQueue.For(now), maxQueueWait))
 	if m.shedder.Observe(now, wait) {
 		m.log.Warn("shedding changed", "shedding", m.shedder.IsShedding(), "wait-ms", wait.Milliseconds())
 	}
-	beyondShedding := wait
+	overloadWait := wait
 	if !m.shedder.IsExhausted() {
-		// What refusing some can mend is no reason to give all callers away: the
-		// balancer would bring the whole flood to the next small router.
-		beyondShedding = 0
+		// As long as shedding suffices, the router must not send all its callers away: the
+		// balancer would move the whole flood to the next small router.
+		overloadWait = 0
 	}
-	if !m.overload.Observe(now, beyondShedding) {
+	if !m.overload.Observe(now, overloadWait) {
 		return
 	}
 	m.log.Warn("overload changed", "overloaded", m.overload.IsOverloaded(), "wait-ms", wait.Milliseconds(),
 		"mean-wait-ms", m.overload.Wait().Milliseconds())
 }
 
-// schedulingLatency returns how long one in ten goroutines waited for the processor of late.
+// schedulingLatency returns the latest wait for the processor that one goroutine in ten
+// exceeded.
 func (m *mesh) schedulingLatency() time.Duration { return time.Duration(m.latency.Load()) }
 
-// logAdmission notes what was admitted in the last second if some was refused.
+// logAdmission logs the requests admitted in the last second while the router sheds load.
 func (m *mesh) logAdmission() {
-	counted := m.shedder.Admission()
-	if !m.shedder.IsShedding() || m.inHand == nil {
+	admission := m.shedder.Admission()
+	if !m.shedder.IsShedding() || m.requestsInFlight == nil {
 		return
 	}
-	m.log.Info("admission limited", "rate", counted.Rate, "requests", counted.Requests, "admitted", counted.Admitted,
-		"in-hand", m.inHand(), "queue-ms", m.queue.For(time.Now()).Milliseconds(),
+	m.log.Info("admission limited", "rate", admission.Rate, "requests", admission.Requests, "admitted", admission.Admitted,
+		"in-hand", m.requestsInFlight(), "queue-ms", m.acceptQueue.For(time.Now()).Milliseconds(),
 		"mean-wait-ms", m.overload.Wait().Milliseconds(), "memory-mb", overload.Memory()>>20)
 }
 
-// report sends a report when it differs from the last one, or that is old.
+// report sends a load report if it differs from the last one or the last one is old.
 func (m *mesh) report(now time.Time, routers []fleet.RouterID) {
-	batch := &schema.Batch{Loads: m.state.work(now)}
+	batch := &schema.Batch{Loads: m.state.serviceWork(now)}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(batch)
 	if err != nil {
 		m.log.Error("report could not be encoded", "error", err)
 		return
 	}
 	m.mu.Lock()
-	same := string(data) == string(m.last) && now.Sub(m.reported) < refreshInterval
-	if !same {
-		m.last = data
-		m.reported = now
+	unchanged := string(data) == string(m.lastReport) && now.Sub(m.lastReportTime) < reportRefreshInterval
+	if !unchanged {
+		m.lastReport = data
+		m.lastReportTime = now
 	}
 	m.mu.Unlock()
-	if same || len(data) == 0 {
+	if unchanged || len(data) == 0 {
 		return
 	}
 	for _, router := range routers {
--- a/deployment/mesh_test.go
+++ b/deployment/mesh_test.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	// updateBound is the users' strictest bound on the time to put a change in force.
-	updateBound = 2 * time.Second
-	// settleTime is for an announcement on loopback to arrive. It is shorter than the
-	// time that a router waits for the store before it asks another router.
-	settleTime = 50 * time.Millisecond
+	// maxUpdateTime is the strictest bound of the users on the time until a change is in force.
+	maxUpdateTime = 2 * time.Second
+	// propagationTime is enough for an announcement over loopback. It is shorter than the time
+	// that a router waits for the store before it asks another router.
+	propagationTime = 50 * time.Millisecond
 )
 
-// node is a router's knowledge with its connections to other routers.
+// node is a router's state and mesh without its servers for callers.
 type node struct {
 	address string
 	state   *deployment.State
 	mesh    *deployment.Mesh
-	// alive are the addresses of upstreams that can be reached; nil none.
-	alive map[string]bool
+	// reachable holds the addresses of the upstreams that can be reached; nil means none.
+	reachable map[string]bool
 }
 
 func (n *node) check(_ context.Context, address string) error {
-	if n.alive[address] {
+	if n.reachable[address] {
 		return nil
 	}
 	return &upstream.Error{Address: address}
 }
 
-// unconnected returns a router that is connected to no other and listens nowhere.
-func unconnected(id fleet.RouterID) *node { return nodeAt(id, "", nil) }
+// newUnconnectedNode returns a router without connections and without a listener.
+func newUnconnectedNode(id fleet.RouterID) *node { return newNodeAt(id, "", nil) }
 
-func nodeAt(id fleet.RouterID, address string, listener net.Listener) *node {
+func newNodeAt(id fleet.RouterID, address string, listener net.Listener) *node {
 	n := &node{address: address}
 	n.state = deployment.NewState(deployment.StateOptions{
-		Log: slog.New(slog.DiscardHandler), OnChange: func(from string) { n.mesh.Learned(from) },
+		Log: slog.New(slog.DiscardHandler), OnChange: func(source string) { n.mesh.AnnounceUpdate(source) },
 	})
 	n.mesh = deployment.NewMesh(n.state, peer.Options{
 		Self: id, Incarnation: 1, Address: address, Key: []byte("one fleet"), Listener: listener,
@@ -64,7 +64,7 @@
 	tb.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(tb, err)
-	n := nodeAt(id, listener.Addr().String(), listener)
+	n := newNodeAt(id, listener.Addr().String(), listener)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.mesh.Peers().Run(ctx) }()
@@ -75,16 +75,16 @@
 	return n
 }
 
-// connect connects a router to others, each at an address.
+// connect connects the node to other routers by their addresses.
 func (n *node) connect(t *testing.T, addresses map[fleet.RouterID]string) {
 	t.Helper()
 	n.mesh.Peers().Target(addresses)
 	require.Eventually(t, func() bool { return len(n.mesh.Peers().Routers()) == len(addresses) }, 5*time.Second, time.Millisecond)
 }
 
-// withRoutes returns version 2 of the configuration, with so many routes more.
-func withRoutes(routes int) route.Configuration {
-	c := configuration(2)
+// configurationWithRoutes returns version 2 of the configuration with additional routes.
+func configurationWithRoutes(routes int) route.Configuration {
+	c := testConfiguration(2)
 	for i := range routes {
 		added := c.Routes[0]
 		added.Name = fmt.Sprintf("added-%d", i)
@@ -94,52 +94,52 @@
 	return c
 }
 
-func draining(revision registry.Revision) []registry.Change {
+func drainingChange(revision registry.Revision) []registry.Change {
 	return []registry.Change{{
 		Upstream: registry.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", Slots: 8, Draining: true}, Revision: revision,
 	}}
 }
 
-// readFromSilent returns a router, and another one that it is connected to beside a third
-// that has announced a large configuration and fallen silent.
-func readFromSilent(t *testing.T) (reader, sound *node) {
+// newReaderWithSilentSource returns a router that is connected to a responsive one and to a third
+// that has announced a large configuration and then stopped responding.
+func newReaderWithSilentSource(t *testing.T) (reader, responsive *node) {
 	t.Helper()
-	reader, sound = newNode(t, "reader"), newNode(t, "sound")
+	reader, responsive = newNode(t, "reader"), newNode(t, "responsive")
 	silent := newNode(t, "silent")
-	link := newPauser(t, silent.address)
-	reader.connect(t, map[fleet.RouterID]string{"silent": link.address, "sound": sound.address})
-	silent.state.Configure(withRoutes(1400), "store")
-	time.Sleep(settleTime)
-	link.pause()
-	return reader, sound
+	proxy := newPausableProxy(t, silent.address)
+	reader.connect(t, map[fleet.RouterID]string{"silent": proxy.address, "responsive": responsive.address})
+	silent.state.Configure(configurationWithRoutes(1400), "store")
+	time.Sleep(propagationTime)
+	proxy.pause()
+	return reader, responsive
 }
 
-// Guards against a router that waits for one silent source of a new configuration though
-// another router has announced the same.
+// Guards against a router that keeps waiting for a silent source of a new configuration though
+// another router has announced the same version.
 func TestConfigurationIsTakenFromAnotherSourceThanASilentOne(t *testing.T) {
 	t.Parallel()
-	reader, sound := readFromSilent(t)
-	sound.state.Configure(withRoutes(1400), "store")
-	require.Eventually(t, func() bool { return reader.state.Table().Version() == 2 }, updateBound, time.Millisecond)
+	reader, responsive := newReaderWithSilentSource(t)
+	responsive.state.Configure(configurationWithRoutes(1400), "store")
+	require.Eventually(t, func() bool { return reader.state.Table().Version() == 2 }, maxUpdateTime, time.Millisecond)
 }
 
-// Guards against an upstream's draining that waits for the transfer of a configuration.
+// Guards against an upstream's draining state being delayed by the transfer of a configuration.
 func TestDrainingIsNotDelayedByATransferOfTheConfiguration(t *testing.T) {
 	t.Parallel()
-	reader, sound := readFromSilent(t)
-	sound.state.ApplyUpstreams(draining(7), "store")
-	require.Eventually(t, func() bool { return reader.state.Settled() == 7 }, updateBound, time.Millisecond)
+	reader, responsive := newReaderWithSilentSource(t)
+	responsive.state.ApplyUpstreams(drainingChange(7), "store")
+	require.Eventually(t, func() bool { return reader.state.SettledRevision() == 7 }, maxUpdateTime, time.Millisecond)
 }
 
-// Guards against a source that works anew for each router that asks it for the same
-// configuration: in a large fleet many ask at once.
-func TestWorkOfAnAnswerDoesNotGrowWithTheConfigurationWhenItIsRepeated(t *testing.T) { //nolint:paralleltest // counts allocations
-	const question = `{"configuration-version":1,"upstream-revision":0,"configuration-encoding":"deflate"}`
+// Guards against encoding the same configuration again for each router that requests it: in a
+// large fleet many request it at once.
+func TestRepeatedKnowledgeRequestDoesNotEncodeTheConfigurationAgain(t *testing.T) { //nolint:paralleltest // counts allocations
+	const request = `{"configuration-version":1,"upstream-revision":0,"configuration-encoding":"deflate"}`
 	allocations := func(routes int) float64 {
 		source := newNode(t, "source")
-		source.state.Configure(withRoutes(routes), "test")
+		source.state.Configure(configurationWithRoutes(routes), "test")
 		return testing.AllocsPerRun(20, func() {
-			_, err := source.mesh.Answer(question)
+			_, err := source.mesh.AnswerKnowledgeRequest(request)
 			require.NoError(t, err)
 		})
 	}
@@ -148,13 +148,13 @@
 	require.Less(t, large, 2*small+10)
 }
 
-// Guards against a fleet of two versions of this program in which the older routers can't
+// Guards against a fleet with two versions of this program in which the older routers can't
 // read the configuration that the newer ones send.
 func TestRouterThatReadsNoCompressedConfigurationGetsAPlainOne(t *testing.T) {
 	t.Parallel()
 	source := newNode(t, "source")
-	source.state.Configure(withRoutes(3), "test")
-	answer, err := source.mesh.Answer(`{"configuration-version":1,"upstream-revision":0}`)
+	source.state.Configure(configurationWithRoutes(3), "test")
+	answer, err := source.mesh.AnswerKnowledgeRequest(`{"configuration-version":1,"upstream-revision":0}`)
 	require.NoError(t, err)
 	text, err := json.Marshal(answer)
 	require.NoError(t, err)
@@ -163,5 +163,5 @@
 	require.Empty(t, body.Configuration)
 	var knowledge schema.Knowledge
 	require.NoError(t, proto.Unmarshal(body.Knowledge, &knowledge))
-	require.Equal(t, withRoutes(3), deployment.DecodeConfiguration(knowledge.GetConfiguration()))
+	require.Equal(t, configurationWithRoutes(3), deployment.DecodeConfiguration(knowledge.GetConfiguration()))
 }
--- a/deployment/pauser_test.go
+++ b/deployment/pauser_test.go
@@ -8,51 +8,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pauser is a loopback proxy whose connections can fall silent without a reset.
-type pauser struct {
+// pausableProxy is a TCP proxy on loopback that can stop forwarding without closing connections.
+type pausableProxy struct {
 	address string
 	target  string
 
 	mu sync.Mutex
-	// carrying is closed while bytes are carried.
-	carrying chan struct{}
-	conns    []net.Conn
+	// forwarding is a closed channel while bytes are forwarded, an open one while paused.
+	forwarding chan struct{}
+	conns      []net.Conn
 }
 
-func newPauser(t *testing.T, target string) *pauser {
+func newPausableProxy(t *testing.T, target string) *pausableProxy {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p := &pauser{address: listener.Addr().String(), target: target, carrying: make(chan struct{})}
-	close(p.carrying)
+	p := &pausableProxy{address: listener.Addr().String(), target: target, forwarding: make(chan struct{})}
+	close(p.forwarding)
 	go p.accept(listener)
 	t.Cleanup(func() {
 		_ = listener.Close()
-		p.end()
+		p.closeAll()
 	})
 	return p
 }
 
-func (p *pauser) accept(listener net.Listener) {
+func (p *pausableProxy) accept(listener net.Listener) {
 	for {
 		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		other, err := net.Dial("tcp", p.target)
+		upstream, err := net.Dial("tcp", p.target)
 		if err != nil {
 			_ = c.Close()
 			return
 		}
 		p.mu.Lock()
-		p.conns = append(p.conns, c, other)
+		p.conns = append(p.conns, c, upstream)
 		p.mu.Unlock()
-		go p.carry(c, other)
-		go p.carry(other, c)
+		go p.forward(c, upstream)
+		go p.forward(upstream, c)
 	}
 }
 
-func (p *pauser) carry(to, from net.Conn) {
+func (p *pausableProxy) forward(to, from net.Conn) {
 	defer to.Close()
 	buffer := make([]byte, 4096)
 	for {
@@ -61,32 +61,32 @@
 			return
 		}
 		p.mu.Lock()
-		carrying := p.carrying
+		forwarding := p.forwarding
 		p.mu.Unlock()
-		<-carrying
+		<-forwarding
 		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// pause stops all bytes in both directions.
-func (p *pauser) pause() {
+// pause stops forwarding in both directions.
+func (p *pausableProxy) pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.carrying = make(chan struct{})
+	p.forwarding = make(chan struct{})
 }
 
-// end closes all connections and lets what was paused go on to its end.
-func (p *pauser) end() {
+// closeAll closes all connections and ends a pause, so that the forwarding goroutines return.
+func (p *pausableProxy) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
 		_ = c.Close()
 	}
 	select {
-	case <-p.carrying:
+	case <-p.forwarding:
 	default:
-		close(p.carrying)
+		close(p.forwarding)
 	}
 }
--- a/deployment/persist.go
+++ b/deployment/persist.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// persistTimeout bounds one call to the platform, persistPause and
-	// maxPersistPause the time between two.
-	persistTimeout  = 1500 * time.Millisecond
-	persistPause    = 200 * time.Millisecond
-	maxPersistPause = 2 * time.Second
+	// retryCallTimeout bounds one call to the platform. The pause between two calls grows from
+	// initialRetryPause to maxRetryPause.
+	retryCallTimeout  = 1500 * time.Millisecond
+	initialRetryPause = 200 * time.Millisecond
+	maxRetryPause     = 2 * time.Second
 )
 
-// persist makes a call until it succeeds or ctx ends, and reports whether it succeeded.
-// Each error goes to failed.
-func persist(ctx context.Context, call func(context.Context) error, failed func(error)) bool {
-	pause := persistPause
+// retryUntilSuccess repeats a call until it succeeds or ctx ends, and reports whether it
+// succeeded. It passes each error to onError.
+func retryUntilSuccess(ctx context.Context, call func(context.Context) error, onError func(error)) bool {
+	pause := initialRetryPause
 	for ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(ctx, persistTimeout)
-		err := call(bounded)
+		callCtx, cancel := context.WithTimeout(ctx, retryCallTimeout)
+		err := call(callCtx)
 		cancel()
 		if err == nil {
 			return true
 		}
-		failed(err)
+		onError(err)
 		select {
 		case <-time.After(pause/2 + rand.N(pause)):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, maxPersistPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 	return false
 }
--- a/deployment/puller.go
+++ b/deployment/puller.go
@@ -15,16 +15,16 @@
 // pullTimeout bounds one call to another router.
 const pullTimeout = time.Second
 
-// puller keeps one kind of knowledge as new as other routers announce it. Each kind has
-// its own, so that a small and urgent update doesn't wait for a large one.
+// puller fetches the versions of one kind of knowledge that other routers announce. Each kind
+// has a puller of its own, so that a small, urgent update doesn't wait for a large one.
 type puller struct {
-	// name is what the log calls this kind of knowledge.
+	// name identifies this kind of knowledge in the log.
 	name string
-	// held returns the version that this router has.
-	held func() uint64
-	// fetch asks another router for what is newer than a version there, takes it, and
+	// heldVersion returns the version that this router has.
+	heldVersion func() uint64
+	// fetch requests what is newer than a version from another router, applies it, and
 	// returns the size of the answer in bytes.
-	fetch func(ctx context.Context, from fleet.RouterID, held uint64) (int, error)
+	fetch func(ctx context.Context, from fleet.RouterID, heldVersion uint64) (int, error)
 	timer timer.Service
 	log   *slog.Logger
 	// guard contains panics; nil lets them pass.
@@ -33,15 +33,15 @@
 	sources follow.Sources
 
 	mu sync.Mutex
-	// due is when the next look is scheduled, zero for none.
-	due time.Time
+	// nextPull is when the next pull is scheduled, zero for none.
+	nextPull time.Time
 }
 
-// announce notes that another router has a version. Unless this router has it by then,
-// it asks after a delay.
-func (p *puller) announce(router fleet.RouterID, version uint64, delay time.Duration) {
+// handleAnnouncement records that another router has a version. If this router's version is
+// older, it schedules a pull after a delay, in case no update arrives before.
+func (p *puller) handleAnnouncement(router fleet.RouterID, version uint64, delay time.Duration) {
 	p.sources.Announce(router, version)
-	if version > p.held() {
+	if version > p.heldVersion() {
 		p.schedule(delay)
 	}
 }
@@ -49,50 +49,52 @@
 // forget drops a router that is no longer connected.
 func (p *puller) forget(router fleet.RouterID) { p.sources.Forget(router) }
 
-// schedule makes pull look after a delay, unless it does so earlier.
+// schedule schedules a pull after a delay, unless an earlier one is already scheduled.
 func (p *puller) schedule(delay time.Duration) {
 	due := p.timer.Now().Add(delay)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.due.IsZero() && !due.Before(p.due) {
+	if !p.nextPull.IsZero() && !due.Before(p.nextPull) {
 		return
 	}
-	p.due = due
-	p.timer.After(delay, func(time.Time) { p.look(due) })
+	p.nextPull = due
+	p.timer.After(delay, func(time.Time) { p.pullScheduled(due) })
 }
 
-func (p *puller) look(due time.Time) {
+// pullScheduled runs the pull that was scheduled for due.
+func (p *puller) pullScheduled(due time.Time) {
 	p.mu.Lock()
-	if p.due.Equal(due) {
-		p.due = time.Time{}
+	if p.nextPull.Equal(due) {
+		p.nextPull = time.Time{}
 	}
 	p.mu.Unlock()
 	p.pull()
 }
 
-// pull asks the next source, if there is one.
+// pull requests an update from the next source, if there is one.
 func (p *puller) pull() {
-	held := p.held()
-	router, again := p.sources.Next(p.timer.Now(), held)
-	if again > 0 {
-		p.schedule(again)
+	heldVersion := p.heldVersion()
+	router, delay := p.sources.Next(p.timer.Now(), heldVersion)
+	if delay > 0 {
+		p.schedule(delay)
 	}
 	if router != "" {
-		go p.call(router, held)
+		go p.pullFrom(router, heldVersion)
 	}
 }
 
-func (p *puller) call(router fleet.RouterID, held uint64) {
+// pullFrom fetches an update from a router, then pulls again in case there is a newer version.
+func (p *puller) pullFrom(router fleet.RouterID, heldVersion uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
-	begun := p.timer.Now()
+	start := p.timer.Now()
 	size := 0
 	err := p.guard.Do(recovery.Update, func() (err error) {
-		size, err = p.fetch(ctx, router, held)
+		size, err = p.fetch(ctx, router, heldVersion)
 		return err
 	}, "other", router, "update", p.name)
-	p.log.Info("asked another router", "other", router, "update", p.name, "error", err, "before", held, "now", p.held(),
-		"bytes", size, "waited-ms", p.timer.Now().Sub(begun).Milliseconds())
+	p.log.Info("asked another router", "other", router, "update", p.name, "error", err, "before", heldVersion, "now", p.heldVersion(),
+		"bytes", size, "waited-ms", p.timer.Now().Sub(start).Milliseconds())
 	p.sources.End(router)
 	p.pull()
 }
--- a/deployment/quarantines.go
+++ b/deployment/quarantines.go
@@ -8,84 +8,86 @@
 	"nutmeglock.example/nutmeglock/quarantine"
 )
 
-// Quarantines keeps at the platform which requests are refused because they crash
-// upstreams, so that it lasts while no router runs.
+// Quarantines stores at the platform which requests are refused because they crash upstreams,
+// so that they are still refused after all routers have restarted.
 type Quarantines interface {
-	// Load returns what was kept.
+	// Load returns the stored entries.
 	Load(ctx context.Context) ([]quarantine.Entry, error)
-	// Save keeps an entry in place of an earlier one of the same request.
+	// Save stores an entry and replaces an earlier one for the same request.
 	Save(ctx context.Context, e quarantine.Entry) error
-	// Drop removes the entry of a request.
+	// Drop removes the entry for a request.
 	Drop(ctx context.Context, request quarantine.Fingerprint) error
 }
 
-// unkept bounds the verdicts that wait to be kept.
-const unkept = 64
+// maxPendingVerdicts bounds the verdicts that wait to be stored.
+const maxPendingVerdicts = 64
 
-// quarantineKeeper loads what was kept when the router starts, and keeps what it finds.
-type quarantineKeeper struct {
+// quarantinePersister loads the stored quarantine entries when the router starts, and stores the
+// verdicts of this router.
+type quarantinePersister struct {
 	store    Quarantines
-	watch    *quarantine.Watch
+	tracker  *quarantine.Watch
 	log      *slog.Logger
 	verdicts chan quarantine.Verdict
 }
 
-func (k *quarantineKeeper) open(store Quarantines, watch *quarantine.Watch, log *slog.Logger) {
-	k.store = store
-	k.watch = watch
-	k.log = log
-	k.verdicts = make(chan quarantine.Verdict, unkept)
+func (p *quarantinePersister) setUp(store Quarantines, tracker *quarantine.Watch, log *slog.Logger) {
+	p.store = store
+	p.tracker = tracker
+	p.log = log
+	p.verdicts = make(chan quarantine.Verdict, maxPendingVerdicts)
 }
 
-// keep keeps a verdict of this router later. It never waits.
-func (k *quarantineKeeper) keep(v quarantine.Verdict) {
-	if k.verdicts == nil || v.Standing == quarantine.Suspected {
+// enqueue queues a verdict of this router to be stored. It doesn't block: if the queue is full,
+// the verdict isn't stored.
+func (p *quarantinePersister) enqueue(v quarantine.Verdict) {
+	if p.verdicts == nil || v.Standing == quarantine.Suspected {
 		return
 	}
 	select {
-	case k.verdicts <- v:
+	case p.verdicts <- v:
 	default:
-		k.log.Warn("verdict not kept, too many wait", "fingerprint", v.Request)
+		p.log.Warn("verdict not stored, queue full", "fingerprint", v.Request)
 	}
 }
 
-// run loads what was kept, and keeps verdicts until ctx ends.
-func (k *quarantineKeeper) run(ctx context.Context) error {
-	k.persist(ctx, "load", k.load)
+// run loads the stored entries, then stores verdicts until ctx ends.
+func (p *quarantinePersister) run(ctx context.Context) error {
+	p.retryStoreCall(ctx, "load", p.load)
 	for {
 		select {
-		case v := <-k.verdicts:
-			k.persist(ctx, "save", func(ctx context.Context) error { return k.save(ctx, v) })
+		case v := <-p.verdicts:
+			p.retryStoreCall(ctx, "save", func(ctx context.Context) error { return p.save(ctx, v) })
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// persist makes a call until it succeeds or ctx ends.
-func (k *quarantineKeeper) persist(ctx context.Context, operation string, call func(context.Context) error) {
-	persist(ctx, call, func(err error) {
-		k.log.Warn("quarantine not persisted", "operation", operation, "error", err)
+// retryStoreCall repeats a call to the store until it succeeds or ctx ends.
+func (p *quarantinePersister) retryStoreCall(ctx context.Context, operation string, call func(context.Context) error) {
+	retryUntilSuccess(ctx, call, func(err error) {
+		p.log.Warn("quarantine not persisted", "operation", operation, "error", err)
 	})
 }
 
-func (k *quarantineKeeper) load(ctx context.Context) error {
-	kept, err := k.store.Load(ctx)
+func (p *quarantinePersister) load(ctx context.Context) error {
+	entries, err := p.store.Load(ctx)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	k.watch.Restore(now, kept)
-	if len(kept) == 0 {
+	p.tracker.Restore(now, entries)
+	if len(entries) == 0 {
 		return nil
 	}
-	k.log.Info("quarantine loaded", "requests", len(kept))
+	p.log.Info("quarantine loaded", "requests", len(entries))
 	return nil
 }
 
-func (k *quarantineKeeper) save(ctx context.Context, v quarantine.Verdict) error {
+func (p *quarantinePersister) save(ctx context.Context, v quarantine.Verdict) error {
 	if v.Standing == quarantine.Unremarkable {
-		return k.store.Drop(ctx, v.Request)
+		return p.store.Drop(ctx, v.Request)
 	}
-	return k.store.Save(ctx, quarantine.Entry{Request: v.Request, Until: time.Now().Add(v.Left), Term: v.Term})
+	return p.store.Save(ctx, quarantine.Entry{Request: v.Request, Until: time.Now().Add(v.Left), Term: v.Term})
 }
--- a/deployment/router.go
+++ b/deployment/router.go
@@ -30,67 +30,69 @@
 )
 
 const (
-	// headerTimeout bounds the arrival of a caller's header.
+	// headerTimeout bounds the time in which a request's header has to arrive.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's idle connection stays open. Callers may
-	// use one again after nearly as long as the configuration lets it idle, and
-	// a request that crosses the close is lost, so this is well above that.
+	// idleTimeout is how long a caller's idle connection stays open. It is well above the
+	// idle timeout of the configuration: callers may reuse a connection until shortly before
+	// that, and a request sent while the router closes the connection is lost.
 	idleTimeout = 2 * time.Minute
-	// noProbes spares four system calls for each connection of a caller. One whose
-	// caller has gone without a word ends with its idle time, or when an answer
-	// isn't acknowledged.
-	noProbes = -1
-	// sweepInterval is how often idle connections to upstreams are looked over.
+	// keepAliveDisabled turns TCP keep-alive off, which saves four system calls per connection
+	// of a caller. The connection of a caller that vanished ends at its idle timeout, or when
+	// an answer isn't acknowledged.
+	keepAliveDisabled = -1
+	// sweepInterval is how often idle connections to upstreams are checked for expiry.
 	sweepInterval = time.Second
-	// summaryInterval is how often refusals beyond the bound on lines are noted together.
+	// summaryInterval is how often the refusals that had no log line of their own are logged
+	// as a summary.
 	summaryInterval = time.Second
-	// maxCallerHeader bounds a caller's header, in bytes.
-	maxCallerHeader = 64 << 10
-	// startCalm is how long after its start a router that can serve relies on what it
-	// has read. Routers connect to each other within about a second, and may then be
-	// told by others; the users' strictest bound on news is 2 s.
-	startCalm = 1500 * time.Millisecond
-	// peerBackoff bounds the time between two attempts to connect to a router, and
-	// so how long after the end of a cut the two hear each other again.
-	peerBackoff = time.Second
+	// maxCallerHeaderBytes bounds a caller's header, in bytes.
+	maxCallerHeaderBytes = 64 << 10
+	// startupPollInterval is how long after its start a router that can serve doesn't poll the
+	// store. Routers connect to each other within about a second and then also get updates
+	// from one another. The strictest bound of the users on the delay of an update is 2 s.
+	startupPollInterval = 1500 * time.Millisecond
+	// maxPeerBackoff bounds the time between two attempts to connect to a router, and so the
+	// time to reconnect after a network partition.
+	maxPeerBackoff = time.Second
 )
 
-// Options are what a Router is made of. All are needed but Recovery.
+// Options configure a Router. All are required but Recovery.
 type Options struct {
 	Self       fleet.RouterID
 	DataCenter fleet.DataCenterID
-	// CallerAddress, ReadyAddress and MetricsAddress are where the router listens.
+	// CallerAddress, ReadyAddress and MetricsAddress are the addresses that the router listens on.
 	CallerAddress  string
 	ReadyAddress   string
 	MetricsAddress string
-	// ReadyPath is what the balancer asks for.
-	ReadyPath      string
-	Dialect        forward.Dialect
+	// ReadyPath is the path of the balancer's readiness check.
+	ReadyPath string
+	Dialect   forward.Dialect
+	// Echoed returns the request ID that an upstream's answer carries, empty if it has none.
 	Echoed         func(http.Header) fleet.RequestID
 	Configurations follow.Feed[route.Configuration, registry.Revision]
 	Upstreams      follow.Feed[registry.Change, registry.Revision]
 	Members        Members
 	Quarantines    Quarantines
-	// PeerAddress is where the other routers connect to, FleetKey what they
-	// prove to each other that they are of one fleet by.
+	// PeerAddress is the address that other routers connect to. FleetKey is the shared key by
+	// which routers authenticate each other as members of one fleet.
 	PeerAddress string
 	FleetKey    []byte
-	// RetryRatio bounds the retries of a service in relation to its requests, and
-	// RetryBurst those of the whole fleet beyond that.
+	// RetryRatio bounds the retries of a service relative to its requests, and RetryBurst the
+	// retries of the whole fleet beyond that.
 	RetryRatio float64
 	RetryBurst float64
-	// Recovery is how soon after a disturbance of the store what it tells has to be in
-	// force, zero means follow.DefaultRecovery.
+	// Recovery is the time after a disturbance of the store within which its updates have to
+	// be in force; zero means follow.DefaultRecovery.
 	Recovery time.Duration
-	// MaxConnections is how many connections of callers are kept; answers beyond
-	// it close theirs.
+	// MaxConnections is the number of callers' connections above which each answer closes its
+	// connection.
 	MaxConnections int
-	// Grace is the time between the request to stop and the end of the process.
+	// Grace is the time from the request to stop until the process has to end.
 	Grace time.Duration
 	Log   *slog.Logger
 }
 
-// Router serves the callers of a deployment. Make it by New.
+// Router serves the callers of a deployment. Create it with New.
 type Router struct {
 	options Options
 	state   *State
@@ -98,82 +100,82 @@
 	handler *forward.Handler
 	client  *upstream.Client
 	metrics *metric.Set
-	// guard contains panics, and failed gets those after which the router has to stop.
-	guard  *recovery.Guard
-	failed chan error
-	// figures serves the metrics.
-	figures  http.Handler
-	stopping atomic.Bool
-	stopOnce sync.Once
-	// started is when the router was made.
-	started time.Time
-	// registered is closed once the own entry is in the list of routers.
+	// guard contains panics, and failures receives those after which the router has to stop.
+	guard          *recovery.Guard
+	failures       chan error
+	metricsHandler http.Handler
+	stopping       atomic.Bool
+	stopOnce       sync.Once
+	// startedAt is when the router was created.
+	startedAt time.Time
+	// registered is closed once the router's own entry is in the list of routers.
 	registered chan struct{}
-	// connections is how many connections of callers are open.
-	connections atomic.Int64
-	actors      []actor
+	// openConnections is the number of open connections of callers.
+	openConnections atomic.Int64
+	actors          []actor
 }
 
+// actor is a part of the router that runs until its context ends.
 type actor struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
-// New returns a Router whose addresses are open.
+// New returns a Router that listens on its addresses.
 func New(ctx context.Context, options Options) (*Router, error) {
-	own, process := prometheus.NewRegistry(), prometheus.NewRegistry()
-	process.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	r := &Router{options: options, figures: metric.Handler(own, process), metrics: metric.New(own), started: time.Now(), registered: make(chan struct{})}
-	r.failed = make(chan error, 1)
+	routerMetrics, processMetrics := prometheus.NewRegistry(), prometheus.NewRegistry()
+	processMetrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	r := &Router{options: options, metricsHandler: metric.Handler(routerMetrics, processMetrics), metrics: metric.New(routerMetrics), startedAt: time.Now(), registered: make(chan struct{})}
+	r.failures = make(chan error, 1)
 	r.guard = &recovery.Guard{Log: logging.WithPriority(options.Log, logging.Panic), Count: r.metrics.Panics.Inc, End: r.fail}
 	r.state = NewState(StateOptions{
 		DataCenter: options.DataCenter, RetryRatio: options.RetryRatio, RetryBurst: options.RetryBurst, Log: options.Log,
-		Guard: r.guard, OnChange: r.changed,
+		Guard: r.guard, OnChange: r.handleStateChange,
 	})
 	r.client = &upstream.Client{Echoed: options.Echoed, Opened: r.metrics.Connections.Inc}
 	r.handler = &forward.Handler{
 		Dialect: options.Dialect, State: r.state, Client: r.client, Metrics: r.metrics,
 		Log: logging.WithPriority(options.Log, logging.Failure), Routine: logging.WithPriority(options.Log, logging.Request),
-		Crowded: r.isCrowded, Guard: r.guard,
+		Crowded: r.shouldCloseConnections, Guard: r.guard,
 	}
-	if err := r.connect(ctx); err != nil {
+	if err := r.connectPeers(ctx); err != nil {
 		return nil, err
 	}
-	r.mesh.inHand = r.handler.InHand
+	r.mesh.requestsInFlight = r.handler.InHand
 	r.handler.Takes = r.mesh.shedder.Takes
 	r.handler.Shed = r.mesh.homes.Shed
 	r.handler.Latency = r.mesh.schedulingLatency
-	r.handler.Quarantine = &r.mesh.crashes
-	r.follow()
+	r.handler.Quarantine = &r.mesh.crashMonitor
+	r.addFollowers()
 	return r, r.listen(ctx)
 }
 
-// fail makes the router stop in order, because its state can't be relied on.
+// fail makes the router shut down in order because its state may be corrupt.
 func (r *Router) fail(err error) {
 	select {
-	case r.failed <- err:
-	default: // it stops already
+	case r.failures <- err:
+	default: // it is stopping already
 	}
 }
 
 // awaitFailure returns the first error after which the router has to stop.
 func (r *Router) awaitFailure(ctx context.Context) error {
 	select {
-	case err := <-r.failed:
+	case err := <-r.failures:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// changed tells the other routers that something has taken effect here.
-func (r *Router) changed(from string) {
+// handleStateChange announces an update that has taken effect here to the other routers.
+func (r *Router) handleStateChange(source string) {
 	r.metrics.NoteVersion.Set(float64(r.state.Table().Version()))
-	r.mesh.learned(from)
+	r.mesh.announceUpdate(source)
 }
 
-// connect makes the connections to the other routers.
-func (r *Router) connect(ctx context.Context) error {
+// connectPeers sets up the mesh with the other routers, and adds its actors.
+func (r *Router) connectPeers(ctx context.Context) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", r.options.PeerAddress)
 	if err != nil {
 		return eris.Wrapf(err, "listening for routers on %s", r.options.PeerAddress)
@@ -181,88 +183,89 @@
 	r.mesh = newMesh(r.state, peer.Options{
 		Self: r.options.Self, DataCenter: r.options.DataCenter, Incarnation: fleet.IncarnationAt(time.Now()),
 		Address: r.options.PeerAddress, Key: r.options.FleetKey, Listener: listener,
-		Metrics: r.metrics, Logger: r.options.Log, Guard: r.guard, MaxBackoff: peerBackoff,
+		Metrics: r.metrics, Logger: r.options.Log, Guard: r.guard, MaxBackoff: maxPeerBackoff,
 	}, r.client.Check)
-	r.mesh.quarantines.open(r.options.Quarantines, &r.mesh.crashes.watch, r.options.Log)
+	r.mesh.quarantinePersister.setUp(r.options.Quarantines, &r.mesh.crashMonitor.tracker, r.options.Log)
 	members := &memberSink{self: r.options.Self, peers: r.mesh.peers, state: r.state}
-	r.mesh.peers.OnChange(members.heard)
-	list := &memberList{started: r.started, isLarge: r.mesh.homes.Decide, registered: r.registered}
-	list.Follower = follow.Follower[Member, registry.Revision]{
+	r.mesh.peers.OnChange(members.handleConnectionChange)
+	memberList := &memberFollower{startedAt: r.startedAt, isLarge: r.mesh.homes.Decide, registered: r.registered}
+	memberList.Follower = follow.Follower[Member, registry.Revision]{
 		Name: "routers", Feed: r.options.Members, Sink: members, Log: r.options.Log,
-		Wait: memberWait, Rest: list.rest,
+		Wait: memberPollWait, Rest: memberList.pollInterval,
 	}
 	r.actors = append(r.actors,
 		actor{"router connections", r.mesh.peers.Run}, actor{"reports", r.mesh.Run},
-		actor{"router list", list.run}, actor{"registration", r.register}, actor{"quarantine", r.mesh.quarantines.run})
+		actor{"router list", memberList.run}, actor{"registration", r.register}, actor{"quarantine", r.mesh.quarantinePersister.run})
 	return nil
 }
 
-// follow adds the actors that keep the state up to date.
-func (r *Router) follow() {
+// addFollowers adds the actors that keep the state up to date, and those that run periodically.
+func (r *Router) addFollowers() {
 	configurations := &follow.Follower[route.Configuration, registry.Revision]{
 		Name: "configuration", Feed: r.options.Configurations, Sink: configurationSink{r.state}, Log: r.options.Log,
-		Wait: follow.WaitFor(r.options.Recovery), Rest: r.rest,
+		Wait: follow.WaitFor(r.options.Recovery), Rest: r.pollInterval,
 	}
 	upstreams := &follow.Follower[registry.Change, registry.Revision]{
 		Name: "upstreams", Feed: r.options.Upstreams, Sink: upstreamSink{r.state, r.mesh}, Log: r.options.Log,
-		Wait: follow.WaitFor(r.options.Recovery), Rest: r.rest,
+		Wait: follow.WaitFor(r.options.Recovery), Rest: r.pollInterval,
 	}
 	r.actors = append(r.actors,
 		actor{"configuration follower", configurations.Run},
 		actor{"upstream follower", upstreams.Run},
-		actor{"connection sweep", r.sweep}, actor{"refusal summaries", r.logRefusals})
+		actor{"connection sweep", r.sweepConnections}, actor{"refusal summaries", r.logRefusals})
 }
 
-// rest returns how long the store's tables need not be looked at.
+// pollInterval returns how long the router need not poll the tables of the store.
 //
-// A fleet starts together with its upstreams, and each router would be told of each
-// that comes until it is connected to those that follow the store for all: 430 calls of
-// 91 routers in three seconds. So one that can serve doesn't look for a moment.
-func (r *Router) rest() time.Duration {
-	if r.state.Ready() && time.Since(r.started) < startCalm {
-		return startCalm
+// A fleet starts together with its upstreams. Until a router is connected to those that
+// follow the store for all, it would get each new upstream from the store: 430 calls from
+// 91 routers in three seconds. So a router that can serve doesn't poll for a moment.
+func (r *Router) pollInterval() time.Duration {
+	if r.state.Ready() && time.Since(r.startedAt) < startupPollInterval {
+		return startupPollInterval
 	}
 	return r.mesh.group.Rest()
 }
 
 func (r *Router) listen(ctx context.Context) error {
-	ready := echo.New()
-	ready.GET(r.options.ReadyPath, r.ready)
+	readiness := echo.New()
+	readiness.GET(r.options.ReadyPath, r.serveReadiness)
 	metrics := echo.New()
-	metrics.GET("/metrics", echo.WrapHandler(r.figures))
+	metrics.GET("/metrics", echo.WrapHandler(r.metricsHandler))
 	callers := r.newServer(r.handler)
 	callers.ConnState = r.countConnection
 	callers.ConnContext = forward.WithCaller
 	for _, l := range []struct {
 		name, address string
 		server        *http.Server
-		queue         *overload.Standing
+		acceptQueue   *overload.Standing
 	}{
-		{"callers", r.options.CallerAddress, callers, &r.mesh.queue},
-		{"readiness", r.options.ReadyAddress, r.newServer(ready), nil},
+		{"callers", r.options.CallerAddress, callers, &r.mesh.acceptQueue},
+		{"readiness", r.options.ReadyAddress, r.newServer(readiness), nil},
 		{"metrics", r.options.MetricsAddress, r.newServer(metrics), nil},
 	} {
-		opened, err := open(ctx, l.address, l.queue)
+		listener, err := openListener(ctx, l.address, l.acceptQueue)
 		if err != nil {
 			return eris.Wrapf(err, "listening for %s on %s", l.name, l.address)
 		}
-		r.actors = append(r.actors, actor{l.name, serve(l.server, opened)})
+		r.actors = append(r.actors, actor{l.name, serve(l.server, listener)})
 	}
 	return nil
 }
 
-// open listens on an address. Connections give way to what is in hand if queue isn't nil.
-func open(ctx context.Context, address string, queue *overload.Standing) (net.Listener, error) {
-	opened, err := (&net.ListenConfig{KeepAlive: noProbes}).Listen(ctx, "tcp", address)
-	if err != nil || queue == nil {
-		return opened, err
+// openListener listens on an address. If acceptQueue isn't nil, requests in flight take
+// precedence over new connections.
+func openListener(ctx context.Context, address string, acceptQueue *overload.Standing) (net.Listener, error) {
+	listener, err := (&net.ListenConfig{KeepAlive: keepAliveDisabled}).Listen(ctx, "tcp", address)
+	if err != nil || acceptQueue == nil {
+		return listener, err
 	}
-	return newListener(opened, queue)
+	return newYieldingListener(listener, acceptQueue)
 }
 
 func (r *Router) newServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxCallerHeader,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxCallerHeaderBytes,
 		ErrorLog: slog.NewLogLogger(r.options.Log.Handler(), slog.LevelWarn),
 	}
 }
@@ -270,24 +273,25 @@
 func (r *Router) countConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		r.connections.Add(1)
+		r.openConnections.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		r.connections.Add(-1)
+		r.openConnections.Add(-1)
 	case http.StateActive, http.StateIdle:
 	}
 }
 
-// isCrowded reports whether more connections of callers are open than are kept.
+// shouldCloseConnections reports whether too many connections of callers are open, or the
+// router is overloaded.
 //
-// It answers callers that repeat at once and often, each time on a new
-// connection, and leave the former open. A process that runs out of descriptors
-// accepts nobody for seconds; callers wait, leave, and their requests are read
-// and passed on when nobody waits for them any more.
-func (r *Router) isCrowded() bool {
-	return r.connections.Load() > int64(r.options.MaxConnections) || r.mesh.overload.IsOverloaded()
+// Some callers repeat requests at once and often, each time on a new connection, and leave
+// the previous one open. A process that runs out of file descriptors accepts no connection
+// for seconds; callers give up meanwhile, and their requests are read and forwarded though
+// nobody waits for the answers any more.
+func (r *Router) shouldCloseConnections() bool {
+	return r.openConnections.Load() > int64(r.options.MaxConnections) || r.mesh.overload.IsOverloaded()
 }
 
-// serve returns an actor that ends once the server was closed.
+// serve returns an actor that serves on a listener and closes the server when its context ends.
 func serve(server *http.Server, listener net.Listener) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -300,28 +304,29 @@
 	}
 }
 
-// ready answers the balancer.
-func (r *Router) ready(c echo.Context) error {
+// serveReadiness answers the balancer's readiness check.
+func (r *Router) serveReadiness(c echo.Context) error {
 	if r.stopping.Load() || !r.state.Ready() || r.mesh.overload.IsOverloaded() {
 		return c.NoContent(http.StatusServiceUnavailable)
 	}
 	return c.NoContent(http.StatusOK)
 }
 
-// sweep closes idle connections whose time is over until ctx ends.
-func (r *Router) sweep(ctx context.Context) error {
+// sweepConnections closes expired idle connections to upstreams until ctx ends.
+func (r *Router) sweepConnections(ctx context.Context) error {
 	defer r.client.Close()
-	return every(ctx, sweepInterval, func(now time.Time) { r.client.Sweep(now, r.state.HasAddress) })
+	return callEvery(ctx, sweepInterval, func(now time.Time) { r.client.Sweep(now, r.state.HasAddress) })
 }
 
-// logRefusals notes each second what was refused beyond the bound on lines until ctx ends.
+// logRefusals logs a summary of the refusals without a line of their own each second until ctx
+// ends.
 func (r *Router) logRefusals(ctx context.Context) error {
 	defer r.handler.LogRefusals()
-	return every(ctx, summaryInterval, func(time.Time) { r.handler.LogRefusals() })
+	return callEvery(ctx, summaryInterval, func(time.Time) { r.handler.LogRefusals() })
 }
 
-// every calls fn once in each interval until ctx ends, and returns its error.
-func every(ctx context.Context, interval time.Duration, fn func(now time.Time)) error {
+// callEvery calls fn once per interval until ctx ends, and returns the error of ctx.
+func callEvery(ctx context.Context, interval time.Duration, fn func(now time.Time)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -334,8 +339,8 @@
 	}
 }
 
-// Run serves until ctx ends, then shuts down gracefully and returns nil. It
-// returns an error when a part ended by itself.
+// Run serves until ctx ends, then shuts down gracefully and returns nil. It returns an error
+// if an actor ended before that.
 func (r *Router) Run(ctx context.Context) error {
 	r.options.Log.Info("started", "router", r.options.Self, "data-centre", r.options.DataCenter,
 		"callers", r.options.CallerAddress, "readiness", r.options.ReadyAddress, "metrics", r.options.MetricsAddress)
@@ -350,7 +355,7 @@
 		return nil
 	}, func(error) { close(interrupted) })
 	for _, a := range append(r.actors, actor{"failure", r.awaitFailure}) {
-		group.Add(r.runActor(a))
+		group.Add(r.guardActor(a))
 	}
 	err := group.Run()
 	r.awaitHandlers()
@@ -358,31 +363,32 @@
 	return err
 }
 
-// awaitHandlers waits until the requests that the end of a stop cut off are in the log.
+// awaitHandlers waits until the requests that the shutdown cut off are in the log.
 func (r *Router) awaitHandlers() {
 	ctx, cancel := context.WithTimeout(context.Background(), cutOffTime)
 	defer cancel()
 	if err := r.handler.Wait(ctx); err != nil {
-		r.options.Log.Warn("requests still in hand", "in-hand", r.handler.InHand(), "error", err)
+		r.options.Log.Warn("requests still in flight", "in-hand", r.handler.InHand(), "error", err)
 	}
 }
 
-// stopAfter stops the router in order after an actor has ended by itself, and returns why.
-func (r *Router) stopAfter(a actor, err error) error {
-	err = eris.Wrapf(err, "part %s ended by itself", a.name)
+// stopAfterFailure shuts the router down in order after an actor ended unexpectedly, and
+// returns the cause.
+func (r *Router) stopAfterFailure(a actor, err error) error {
+	err = eris.Wrapf(err, "actor %s ended unexpectedly", a.name)
 	r.options.Log.Error("stopping after a failure", "actor", a.name, "error", err)
 	r.stopOnce.Do(r.stop)
 	return err
 }
 
-// runActor returns an actor of a run group. One that ends by itself stops the router in order
-// before the others end, so that callers get their answers.
-func (r *Router) runActor(a actor) (execute func() error, interrupt func(error)) {
+// guardActor returns the functions of an actor for a run group. If the actor ends unexpectedly,
+// the router shuts down in order before the other actors end, so that callers get their answers.
+func (r *Router) guardActor(a actor) (execute func() error, interrupt func(error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	execute = func() error {
 		err := r.guard.Do(recovery.Control, func() error { return a.run(ctx) }, "actor", a.name)
 		if ctx.Err() == nil {
-			return r.stopAfter(a, err)
+			return r.stopAfterFailure(a, err)
 		}
 		return nil
 	}
--- a/deployment/sink.go
+++ b/deployment/sink.go
@@ -5,10 +5,10 @@
 	"nutmeglock.example/nutmeglock/route"
 )
 
-// fromStore says in a log line that the platform's store told something.
-const fromStore = "store"
+// storeSource is the source in log lines of an update from the platform's store.
+const storeSource = "store"
 
-// configurationSink puts what the store has in force.
+// configurationSink applies the configurations that the store delivers.
 type configurationSink struct{ state *State }
 
 func (s configurationSink) Replace(rows []route.Configuration, as registry.Revision) {
@@ -17,36 +17,36 @@
 
 func (s configurationSink) Apply(rows []route.Configuration, _ registry.Revision) {
 	for _, c := range rows {
-		s.state.Configure(c, fromStore)
+		s.state.Configure(c, storeSource)
 	}
 }
 
-// Lost and Regained change nothing: the configuration in force holds.
+// Lost and Regained do nothing: the configuration in force stays.
 func (configurationSink) Lost(error) {}
 func (configurationSink) Regained()  {}
 
-// upstreamSink keeps the list of upstreams.
+// upstreamSink applies the changes of the list of upstreams that the store delivers.
 type upstreamSink struct {
 	state *State
 	mesh  *mesh
 }
 
 func (s upstreamSink) Replace(rows []registry.Change, as registry.Revision) {
-	s.state.ReplaceUpstreams(rows, as, fromStore)
+	s.state.ReplaceUpstreams(rows, as, storeSource)
 }
 
 func (s upstreamSink) Apply(rows []registry.Change, _ registry.Revision) {
-	s.state.ApplyUpstreams(rows, fromStore)
+	s.state.ApplyUpstreams(rows, storeSource)
 }
 
-// Lost and Regained tell the other routers too, which may rely on this one.
+// Lost also announces the loss to the other routers, which may rely on this one.
 func (s upstreamSink) Lost(error) {
-	s.state.LoseUpstreams()
-	s.mesh.storeLost(true)
+	s.state.SetUpstreamsUnavailable()
+	s.mesh.setStoreLost(true)
 }
 
-// Regained is the end of what Lost says.
+// Regained ends the state that Lost began, and announces it too.
 func (s upstreamSink) Regained() {
-	s.state.RegainUpstreams()
-	s.mesh.storeLost(false)
+	s.state.SetUpstreamsAvailable()
+	s.mesh.setStoreLost(false)
 }
--- a/deployment/state.go
+++ b/deployment/state.go
@@ -1,6 +1,6 @@
-// Package deployment holds what a router knows of the deployment that it
-// serves: the configuration in force, the upstreams, and who waits for them. A
-// Router puts these together with what callers connect to.
+// Package deployment holds a router's state of the deployment that it serves: the
+// configuration in force, the upstreams, and the requests that wait for them. A Router
+// combines this state with the servers for callers and the connections to other routers.
 package deployment
 
 import (
@@ -20,15 +20,16 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// unknownServiceRetryAfter is when a caller comes back to a service of which no
-// upstream is known yet; a router learns the list within some 100 ms.
+// unknownServiceRetryAfter is the time after which a caller should retry a request to a
+// service without a known upstream; a router reads the list within about 100 ms.
 const unknownServiceRetryAfter = 250 * time.Millisecond
 
-// usualRouters is how many routers a fleet is taken to have before its list is
-// known. A router that believed to be alone would use the whole fleet's bound.
-const usualRouters = 6
+// defaultRouterCount is the assumed number of routers in the fleet until the list is known. A
+// router that assumed to be alone would use the retry bound of the whole fleet.
+const defaultRouterCount = 6
 
-// State is what a router knows. Make it by NewState. It is safe for concurrent use.
+// State is a router's view of the deployment. Create it with NewState. It is safe for
+// concurrent use.
 type State struct {
 	options StateOptions
 	table   atomic.Pointer[route.Table]
@@ -37,54 +38,54 @@
 	configuration route.Configuration
 	directory     registry.Directory
 	pools         map[fleet.ServiceID]*turn.Pool
-	// homes give the turns in a large fleet; nil until the mesh is made.
+	// homes grant the turns in a large fleet; nil until the mesh is created.
 	homes *home.Homes
-	// grouped is true while homes decide.
-	grouped bool
-	retries map[fleet.ServiceID]*retry.Budget
-	// routers is how many the fleet has, as far as known.
-	routers int
-	// addresses are those of the upstreams that take requests.
-	addresses map[string]bool
+	// grouped is set while homes grant the turns, for which upstreams are divided into groups.
+	grouped      bool
+	retryBudgets map[fleet.ServiceID]*retry.Budget
+	// routerCount is the number of routers in the fleet, as far as known.
+	routerCount int
+	// readyAddresses are the addresses of the upstreams that take requests.
+	readyAddresses map[string]bool
 }
 
 // StateOptions configure a State.
 type StateOptions struct {
 	DataCenter fleet.DataCenterID
-	// RetryRatio bounds the retries of a service in relation to its requests, and
-	// RetryBurst those of the whole fleet beyond that.
+	// RetryRatio bounds the retries of a service relative to its requests, and RetryBurst the
+	// retries of the whole fleet beyond that.
 	RetryRatio float64
 	RetryBurst float64
 	Log        *slog.Logger
 	// Guard contains panics; nil lets them pass.
 	Guard *recovery.Guard
-	// OnChange is called, unless it is nil, when a configuration or a change of
-	// the list has taken effect here, with its source.
-	OnChange func(from string)
+	// OnChange is called, unless it is nil, with the source of each configuration or change of
+	// the list of upstreams that has taken effect.
+	OnChange func(source string)
 }
 
-// NewState returns a State that knows nothing yet.
+// NewState returns a State without a configuration and upstreams.
 func NewState(options StateOptions) *State {
 	return &State{
-		options: options,
-		routers: usualRouters,
-		pools:   make(map[fleet.ServiceID]*turn.Pool),
-		retries: make(map[fleet.ServiceID]*retry.Budget),
+		options:      options,
+		routerCount:  defaultRouterCount,
+		pools:        make(map[fleet.ServiceID]*turn.Pool),
+		retryBudgets: make(map[fleet.ServiceID]*retry.Budget),
 	}
 }
 
-// Table returns the configuration in force, nil when none is known.
+// Table returns the routing table of the configuration in force, nil if none is known.
 func (s *State) Table() *route.Table { return s.table.Load() }
 
-// Pool returns the upstreams of a service, nil when it isn't known.
+// Pool returns the pool of a service's upstreams, nil if the service isn't known.
 func (s *State) Pool(service fleet.ServiceID) *turn.Pool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.pools[service]
 }
 
-// Turn waits for a request's turn at a service. The error is *turn.RefusedError
-// when the turn can't come in time, or that of ctx.
+// Turn waits for a request's turn at a service. It returns *turn.RefusedError if the turn
+// can't come in time, or the error of ctx.
 func (s *State) Turn(ctx context.Context, service fleet.ServiceID, demand turn.Demand) (home.Ticket, error) {
 	pool := s.Pool(service)
 	switch {
@@ -96,7 +97,7 @@
 	return s.homes.Turn(ctx, service, pool, demand)
 }
 
-// setGrouped says whether homes decide.
+// setGrouped sets whether homes grant the turns.
 func (s *State) setGrouped(grouped bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +107,7 @@
 	}
 }
 
-// Pools returns the upstreams of all services.
+// Pools returns the pools of all services.
 func (s *State) Pools() map[fleet.ServiceID]*turn.Pool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -121,32 +122,32 @@
 func (s *State) Retries(service fleet.ServiceID) retry.Policy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	budget := s.retries[service]
+	budget := s.retryBudgets[service]
 	if budget == nil {
-		budget = &retry.Budget{Ratio: s.options.RetryRatio, Burst: s.options.RetryBurst / float64(s.routers)}
-		s.retries[service] = budget
+		budget = &retry.Budget{Ratio: s.options.RetryRatio, Burst: s.options.RetryBurst / float64(s.routerCount)}
+		s.retryBudgets[service] = budget
 	}
 	return budget
 }
 
-// SetRouters divides the fleet's bound on retries among so many routers.
-func (s *State) SetRouters(count int) {
+// SetRouterCount divides the fleet's bound on retries by the number of routers.
+func (s *State) SetRouterCount(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.routers = max(count, 1)
-	for _, budget := range s.retries {
-		budget.Resize(s.options.RetryBurst / float64(s.routers))
+	s.routerCount = max(count, 1)
+	for _, budget := range s.retryBudgets {
+		budget.Resize(s.options.RetryBurst / float64(s.routerCount))
 	}
 }
 
-// Ready reports whether the router can serve: it knows a configuration and the
-// list of upstreams.
+// Ready reports whether the router can serve, that is, knows a configuration and the list of
+// upstreams.
 func (s *State) Ready() bool { return s.Table() != nil && s.directory.Known() }
 
-// Configure puts a configuration in force if it is newer than the one before.
-// An older one may come late from a slow reply or another router; to go back
-// to it would bring withdrawn keys and routes to life again.
-func (s *State) Configure(c route.Configuration, from string) bool {
+// Configure puts a configuration in force if it is newer than the current one, and reports
+// whether it did. An older one may arrive late in a slow reply or from another router;
+// applying it would make withdrawn keys and routes valid again.
+func (s *State) Configure(c route.Configuration, source string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.Table().Version()
@@ -155,108 +156,109 @@
 	}
 	s.configuration = c
 	s.table.Store(route.NewTable(c))
-	s.options.Log.Info("configuration in force", "version", c.Version, "before", before, "from", from,
+	s.options.Log.Info("configuration in force", "version", c.Version, "before", before, "from", source,
 		"routes", len(c.Routes), "services", len(c.Services), "accounts", len(c.Accounts))
-	s.refresh(time.Now())
-	s.notify(from)
+	s.refreshPools(time.Now())
+	s.notify(source)
 	return true
 }
 
-// ReplaceUpstreams takes a whole read of the list.
-func (s *State) ReplaceUpstreams(list []registry.Change, as registry.Revision, from string) {
+// ReplaceUpstreams replaces the list of upstreams by a complete one as of a revision.
+func (s *State) ReplaceUpstreams(list []registry.Change, as registry.Revision, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed(s.directory.Replace(time.Now(), list, as), from)
-	s.settleWhenDue()
+	s.applyChanges(s.directory.Replace(time.Now(), list, as), source)
+	s.scheduleRemoval()
 }
 
-// ApplyUpstreams takes changes of the list.
-func (s *State) ApplyUpstreams(changes []registry.Change, from string) {
+// ApplyUpstreams applies changes of the list of upstreams.
+func (s *State) ApplyUpstreams(changes []registry.Change, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed(s.directory.Apply(time.Now(), changes), from)
-	s.settleWhenDue()
+	s.applyChanges(s.directory.Apply(time.Now(), changes), source)
+	s.scheduleRemoval()
 }
 
-// ReceiveUpstreams takes changes from another router, and up to which revision they
-// are complete.
-func (s *State) ReceiveUpstreams(received []*schema.UpstreamChange, complete registry.Revision, from string) {
+// ApplyUpstreamsFromPeer applies changes from another router, which are complete up to a revision.
+func (s *State) ApplyUpstreamsFromPeer(received []*schema.UpstreamChange, complete registry.Revision, source string) {
 	changes := make([]registry.Change, 0, len(received))
 	for _, c := range received {
 		changes = append(changes, registry.Decode(c))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed(s.directory.Receive(time.Now(), changes, complete), from)
+	s.applyChanges(s.directory.Receive(time.Now(), changes, complete), source)
 }
 
-// Settled returns the revision up to which all changes took effect here.
-func (s *State) Settled() registry.Revision { return s.directory.Settled() }
+// SettledRevision returns the revision up to which all changes have taken effect here.
+func (s *State) SettledRevision() registry.Revision { return s.directory.Settled() }
 
-// LoseUpstreams says that the list can't be read.
-func (s *State) LoseUpstreams() {
+// SetUpstreamsUnavailable records that the list of upstreams can't be read.
+func (s *State) SetUpstreamsUnavailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.directory.Lost()
 }
 
-// RegainUpstreams says that the list can be read again. Entries that lapsed
-// meanwhile and don't come back are dropped later.
-func (s *State) RegainUpstreams() {
+// SetUpstreamsAvailable records that the list of upstreams can be read again. Entries that
+// lapsed meanwhile and don't return are dropped later.
+func (s *State) SetUpstreamsAvailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.directory.Regained(time.Now())
-	s.settleWhenDue()
+	s.scheduleRemoval()
 }
 
-// settleWhenDue looks again when the first lapsed entry is gone.
-func (s *State) settleWhenDue() {
-	if due, some := s.directory.Due(); some {
-		time.AfterFunc(time.Until(due)+time.Millisecond, func() { s.options.Guard.RunControl(s.settle) })
+// scheduleRemoval schedules removeDue for when the first lapsed entry is due, if there is one.
+func (s *State) scheduleRemoval() {
+	if due, ok := s.directory.Due(); ok {
+		time.AfterFunc(time.Until(due)+time.Millisecond, func() { s.options.Guard.RunControl(s.removeDue) })
 	}
 }
 
-func (s *State) settle() {
+// removeDue drops the entries that lapsed and did not return in time.
+func (s *State) removeDue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed(s.directory.Settle(time.Now()), "lapsed in an outage")
-	s.settleWhenDue()
+	s.applyChanges(s.directory.Settle(time.Now()), "lapsed in an outage")
+	s.scheduleRemoval()
 }
 
-// changed logs what changed, and makes it take effect.
-func (s *State) changed(changes []registry.Change, from string) {
+// applyChanges logs changes that the directory has accepted, and updates the pools.
+func (s *State) applyChanges(changes []registry.Change, source string) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, c := range changes {
 		s.options.Log.Info("upstream changed", "upstream", c.Upstream.ID, "service", c.Upstream.Service,
 			"address", c.Upstream.Address, "life", c.Upstream.Life, "draining", c.Upstream.Draining,
-			"gone", c.Gone, "revision", c.Revision, "from", from)
+			"gone", c.Gone, "revision", c.Revision, "from", source)
 	}
-	s.refresh(time.Now())
-	s.notify(from)
+	s.refreshPools(time.Now())
+	s.notify(source)
 }
 
-// notify calls OnChange without the lock: it reads the state.
-func (s *State) notify(from string) {
+// notify calls OnChange in a goroutine of its own, since OnChange reads the state and the
+// caller holds the lock.
+func (s *State) notify(source string) {
 	if s.options.OnChange != nil {
-		go s.options.Guard.Run(recovery.Update, func() { s.options.OnChange(from) }, "from", from)
+		go s.options.Guard.Run(recovery.Update, func() { s.options.OnChange(source) }, "from", source)
 	}
 }
 
-// refresh gives each service's pool its upstreams.
-func (s *State) refresh(now time.Time) {
+// refreshPools updates the upstreams of each service's pool.
+func (s *State) refreshPools(now time.Time) {
 	table := s.Table()
 	ready := s.directory.Ready()
-	s.addresses = make(map[string]bool)
+	s.readyAddresses = make(map[string]bool)
 	for service, upstreams := range ready {
 		configured, ok := table.Service(service)
 		if !ok {
 			continue
 		}
-		pool := s.pool(service, configured)
+		pool := s.getOrCreatePool(service, configured)
 		for i := range upstreams {
-			s.addresses[upstreams[i].Address] = true
+			s.readyAddresses[upstreams[i].Address] = true
 		}
 		pool.Set(now, upstreams, table.FirstEventTarget(service))
 	}
@@ -267,9 +269,9 @@
 	}
 }
 
-// pool returns the pool of a service. Model engines are chosen by their caches,
-// plain applications by what is in flight.
-func (s *State) pool(id fleet.ServiceID, configured *route.Service) *turn.Pool {
+// getOrCreatePool returns the pool of a service. Requests are placed on model engines by the
+// engines' caches, and on plain applications by the requests in flight.
+func (s *State) getOrCreatePool(id fleet.ServiceID, configured *route.Service) *turn.Pool {
 	if pool := s.pools[id]; pool != nil {
 		return pool
 	}
@@ -286,15 +288,15 @@
 	s.options.Log.Warn("upstream taken out", "upstream", u.ID, "service", u.Service, "address", u.Address, "life", u.Life)
 }
 
-// HasAddress reports whether an upstream that takes requests has an address.
+// HasAddress reports whether address is that of an upstream that takes requests.
 func (s *State) HasAddress(address string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.addresses[address]
+	return s.readyAddresses[address]
 }
 
 // Upstream returns the latest change of an upstream's entry, and whether there is one.
 func (s *State) Upstream(id fleet.UpstreamID) (registry.Change, bool) { return s.directory.Get(id) }
 
-// Upstreams returns all that is known of the list.
+// Upstreams returns the latest change of each entry, removed ones included.
 func (s *State) Upstreams() []registry.Change { return s.directory.Changes() }
--- a/deployment/state_test.go
+++ b/deployment/state_test.go
@@ -19,7 +19,7 @@
 	return deployment.NewState(deployment.StateOptions{Log: slog.New(slog.DiscardHandler)})
 }
 
-func configuration(version fleet.Version) route.Configuration {
+func testConfiguration(version fleet.Version) route.Configuration {
 	return route.Configuration{
 		Version: version,
 		Routes: []route.Route{{
@@ -32,9 +32,9 @@
 	}
 }
 
-// Versions come from the feed, from whole reads and from other routers, in any
-// order and more than once. A withdrawn key must not come to life again, so the
-// version in force only rises.
+// Versions arrive from the store's changes, from complete reads and from other routers, in any
+// order and more than once. A withdrawn key must not become valid again, so the version in
+// force must only increase.
 func TestConfigurationsNeverGoBack(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -42,18 +42,18 @@
 		highest := fleet.Version(0)
 		for _, n := range rapid.SliceOfN(rapid.IntRange(1, 20), 1, 30).Draw(t, "versions") {
 			version := fleet.Version(n)
-			require.Equal(t, version > highest, s.Configure(configuration(version), "test"))
+			require.Equal(t, version > highest, s.Configure(testConfiguration(version), "test"))
 			highest = max(highest, version)
 			require.Equal(t, highest, s.Table().Version())
 		}
 	})
 }
 
-// A router that the store refuses gets the configuration from another one. What
-// is left out on the way would be a route or a key that nobody withdrew.
-func TestConfigurationSurvivesTheWayToAnotherRouter(t *testing.T) {
+// A router that the store refuses gets the configuration from another router. Guards against
+// fields that the encoding leaves out, such as a route or a key that nobody withdrew.
+func TestConfigurationAndUpstreamEncodingRoundTrip(t *testing.T) {
 	t.Parallel()
-	c := configuration(7)
+	c := testConfiguration(7)
 	require.Equal(t, c, deployment.DecodeConfiguration(deployment.EncodeConfiguration(c)))
 	change := registry.Change{
 		Upstream: registry.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", DataCenter: "z", Slots: 8, Life: 1782775556021, Draining: true},
@@ -62,16 +62,16 @@
 	require.Equal(t, change, registry.Decode(registry.Encode(change)))
 }
 
-// A service's upstreams are known before its configuration, as after a start. They
-// serve once both are there.
+// After a start, a service's upstreams may be known before its configuration. Guards against
+// upstreams that then aren't used once the configuration arrives.
 func TestUpstreamsAndConfigurationComeInAnyOrder(t *testing.T) {
 	t.Parallel()
 	s := newState()
 	list := []*schema.UpstreamChange{{Id: "u", Service: "s", Address: "10.0.0.1:80", Slots: 8, Revision: 3}}
-	s.ReceiveUpstreams(list, 0, "test")
+	s.ApplyUpstreamsFromPeer(list, 0, "test")
 	require.False(t, s.Ready())
 	require.Nil(t, s.Pool("s"))
-	s.Configure(configuration(1), "test")
+	s.Configure(testConfiguration(1), "test")
 	require.True(t, s.Ready())
 	require.NotNil(t, s.Pool("s"))
 	require.True(t, s.HasAddress("10.0.0.1:80"))
--- a/deployment/work.go
+++ b/deployment/work.go
@@ -14,36 +14,36 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// hashOf stands for an id in reports. Two ids of one service that have the same
+// hashID returns the hash that stands for an ID in reports. Two IDs of one service with the same
 // hash share their figures, which is harmless and rarer than one in a million.
-func hashOf[K ~string](id K) uint32 { return uint32(xxhash.Sum64String(string(id))) }
+func hashID[K ~string](id K) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-// work returns what this router has at each service.
-func (s *State) work(now time.Time) []*schema.ServiceWork {
+// serviceWork returns this router's load report for each service that has one.
+func (s *State) serviceWork(now time.Time) []*schema.ServiceWork {
 	var out []*schema.ServiceWork
 	for id, pool := range s.Pools() {
 		report := pool.Report(now)
 		if len(report.Upstreams) == 0 && len(report.Accounts) == 0 {
 			continue
 		}
-		out = append(out, encodeWork(id, report))
+		out = append(out, encodeReport(id, report))
 	}
 	slices.SortFunc(out, func(a, b *schema.ServiceWork) int { return cmp.Compare(a.GetService(), b.GetService()) })
 	return out
 }
 
-func encodeWork(id fleet.ServiceID, report turn.Report) *schema.ServiceWork {
-	w := &schema.ServiceWork{Service: hashOf(id)}
+func encodeReport(id fleet.ServiceID, report turn.Report) *schema.ServiceWork {
+	w := &schema.ServiceWork{Service: hashID(id)}
 	for key, load := range report.Upstreams {
 		w.Upstreams = append(w.Upstreams, &schema.UpstreamWork{
 			Upstream: uint32(key), Unread: uint32(max(load.Unread, 0)), InFlight: uint32(max(load.InFlight, 0)),
 			Waiting: uint32(max(load.Waiting, 0)), Read: load.Read,
 		})
 	}
-	for key, standing := range report.Accounts {
+	for key, account := range report.Accounts {
 		w.Accounts = append(w.Accounts, &schema.AccountService{
-			Account: uint32(key), Tokens: uint32(standing.Served), Waiting: uint32(max(standing.Waiting, 0)), Denied: uint32(standing.Denied),
-			Shed: uint32(standing.Shed),
+			Account: uint32(key), Tokens: uint32(account.Served), Waiting: uint32(max(account.Waiting, 0)), Denied: uint32(account.Denied),
+			Shed: uint32(account.Shed),
 		})
 	}
 	slices.SortFunc(w.Upstreams, func(a, b *schema.UpstreamWork) int { return cmp.Compare(a.GetUpstream(), b.GetUpstream()) })
@@ -51,17 +51,17 @@
 	return w
 }
 
-// observe takes what another router has at a service.
-func (s *State) observe(from fleet.RouterID, w *schema.ServiceWork) {
+// observeServiceWork records another router's load report for a service.
+func (s *State) observeServiceWork(from fleet.RouterID, w *schema.ServiceWork) {
 	for id, pool := range s.Pools() {
-		if hashOf(id) == w.GetService() {
-			pool.Observe(time.Now(), from, decodeWork(w))
+		if hashID(id) == w.GetService() {
+			pool.Observe(time.Now(), from, decodeReport(w))
 			return
 		}
 	}
 }
 
-func decodeWork(w *schema.ServiceWork) turn.Report {
+func decodeReport(w *schema.ServiceWork) turn.Report {
 	r := turn.Report{
 		Upstreams: make(map[turn.Key]turn.Load, len(w.GetUpstreams())),
 		Accounts:  make(map[turn.Key]turn.Standing, len(w.GetAccounts())),
@@ -79,8 +79,9 @@
 	return r
 }
 
-// updates returns the changes of the list of upstreams after a revision.
-func (s *State) updates(after registry.Revision) *schema.Knowledge {
+// knowledgeAfter returns the changes of the list of upstreams after a revision, and the revision
+// up to which they are complete.
+func (s *State) knowledgeAfter(after registry.Revision) *schema.Knowledge {
 	out := &schema.Knowledge{UpstreamRevision: uint64(s.directory.Settled())}
 	for _, c := range s.directory.Changes() {
 		if c.Revision > after {
@@ -90,8 +91,8 @@
 	return out
 }
 
-// held returns the configuration in force.
-func (s *State) held() route.Configuration {
+// currentConfiguration returns the configuration in force.
+func (s *State) currentConfiguration() route.Configuration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.configuration
