--- a/peer/dial.go
+++ b/peer/dial.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// leastBackoff and, unless the options say otherwise, mostBackoff bound the time between two attempts at one
-	// address. At the target size, 42 routers of a data centre that is gone
-	// cost 8 attempts a second.
-	leastBackoff = 200 * time.Millisecond
-	mostBackoff  = 5 * time.Second
-	// dialTick is how often it is looked for addresses to dial.
-	dialTick = 100 * time.Millisecond
-	// yield is how long the router with the greater id waits for the other to
-	// dial, so that both seldom do at once.
-	yield = 500 * time.Millisecond
+	// minBackoff is the initial delay between attempts at an address.
+	minBackoff = 200 * time.Millisecond
+	// defaultMaxBackoff is the default of Options.MaxBackoff. At the target size,
+	// an unreachable data centre with 42 routers costs 8 attempts a second.
+	defaultMaxBackoff = 5 * time.Second
+	// dialInterval is the interval between checks for addresses to dial.
+	dialInterval = 100 * time.Millisecond
+	// greaterIDDelay is how long the router with the greater id waits before it
+	// first dials a target, so that two routers rarely dial each other at once.
+	greaterIDDelay = 500 * time.Millisecond
 )
 
-// dialer is the state of one address.
-type dialer struct {
-	router  fleet.RouterID // empty for a seed until it has answered
-	busy    bool
-	next    time.Time
-	backoff time.Duration
+// dialState is the state of the attempts at one address.
+type dialState struct {
+	router      fleet.RouterID // empty for a seed until it has answered
+	active      bool           // dialling or connected
+	nextAttempt time.Time
+	backoff     time.Duration
 }
 
-// Target replaces the routers to connect to.
+// Target replaces the addresses of the routers to connect to.
 func (p *Peers) Target(addresses map[fleet.RouterID]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,10 +42,10 @@
 	}
 }
 
-// dial connects to targets and seeds until ctx ends.
-func (p *Peers) dial(ctx context.Context) {
+// dialLoop dials targets and seeds until ctx ends.
+func (p *Peers) dialLoop(ctx context.Context) {
 	ticks := make(chan time.Time, 1)
-	subscription := p.options.Timer.Every(dialTick, func(now time.Time) {
+	subscription := p.options.Timer.Every(dialInterval, func(now time.Time) {
 		select {
 		case ticks <- now:
 		default:
@@ -62,6 +62,8 @@
 	}
 }
 
+// dialDue dials every target and seed that has no connection and whose next
+// attempt is due.
 func (p *Peers) dialDue(ctx context.Context, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,55 +76,59 @@
 	}
 	delete(wanted, p.options.Address)
 	for address, id := range wanted {
-		d := p.dialers[address]
+		d := p.dialStates[address]
 		if d == nil {
-			d = &dialer{next: now}
+			d = &dialState{nextAttempt: now}
 			if p.options.Self > id && id != "" {
-				d.next = now.Add(yield)
+				d.nextAttempt = now.Add(greaterIDDelay)
 			}
-			p.dialers[address] = d
+			p.dialStates[address] = d
 		}
 		if id != "" {
 			d.router = id
 		}
-		if d.busy || now.Before(d.next) || p.links[d.router] != nil || p.closed {
+		if d.active || now.Before(d.nextAttempt) || p.links[d.router] != nil || p.closed {
 			continue
 		}
-		d.busy = true
+		d.active = true
 		p.group.Go(func() { p.connect(ctx, address, d) })
 	}
-	for address, d := range p.dialers {
-		if _, ok := wanted[address]; !ok && !d.busy {
-			delete(p.dialers, address)
+	for address, d := range p.dialStates {
+		if _, ok := wanted[address]; !ok && !d.active {
+			delete(p.dialStates, address)
 		}
 	}
 }
 
-// connect dials one address and carries the connection until it ends.
-func (p *Peers) connect(ctx context.Context, address string, d *dialer) {
-	hello, err := p.open(ctx, address, d)
+// connect dials one address, runs the connection until it ends and schedules
+// the next attempt.
+func (p *Peers) connect(ctx context.Context, address string, d *dialState) {
+	hello, err := p.dialAndRun(ctx, address, d)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d.busy = false
-	d.backoff = min(max(2*d.backoff, leastBackoff), p.options.MaxBackoff)
+	d.active = false
+	d.backoff = min(max(2*d.backoff, minBackoff), p.options.MaxBackoff)
 	if err == nil {
 		d.router = fleet.RouterID(hello.GetRouter())
-		d.backoff = leastBackoff
+		d.backoff = minBackoff
 	}
-	// Jitter keeps routers that lost each other together from meeting at each retry.
+	// Without jitter, routers that lost their connections at the same time would
+	// retry at the same time.
 	pause := time.Duration((0.5 + rand.Float64()) * float64(d.backoff))
-	d.next = p.options.Timer.Now().Add(pause)
+	d.nextAttempt = p.options.Timer.Now().Add(pause)
 }
 
-func (p *Peers) open(ctx context.Context, address string, d *dialer) (*schema.Hello, error) {
+// dialAndRun dials an address, performs the handshake and runs the connection
+// until it ends. It returns the other router's hello.
+func (p *Peers) dialAndRun(ctx context.Context, address string, d *dialState) (*schema.Hello, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	raw, err := (&net.Dialer{Timeout: helloTimeout}).DialContext(ctx, "tcp", address)
+	raw, err := (&net.Dialer{Timeout: handshakeTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := newConn(raw)
-	hello, err := p.opened(c, p.greet)
+	c := newBufferedConn(raw)
+	hello, err := p.handshake(c, p.handshakeAsDialler)
 	if err != nil {
 		return nil, err
 	}
@@ -131,23 +137,23 @@
 	d.router = router
 	p.mu.Unlock()
 	if router == p.options.Self {
-		// A seed that is this router itself counts as connected to nobody.
+		// Seeds may include this router's own address.
 		_ = c.Close()
-		return nil, &SelfError{Address: address}
+		return nil, &OwnAddressError{Address: address}
 	}
 	newLink(p, c, hello, true).run(ctx)
 	return hello, nil
 }
 
-// SelfError is the error of an address that leads to the router itself.
-type SelfError struct{ Address string }
+// OwnAddressError reports a dialled address that belongs to this router.
+type OwnAddressError struct{ Address string }
 
-// Error names the address.
-func (e *SelfError) Error() string { return e.Address + " is this router's own address" }
+// Error returns a message with the address.
+func (e *OwnAddressError) Error() string { return e.Address + " is this router's own address" }
 
-// opened exchanges hellos within helloTimeout, and closes c when that fails.
-func (p *Peers) opened(c *conn, exchange func(*conn) (*schema.Hello, error)) (*schema.Hello, error) {
-	err := c.SetDeadline(p.options.Timer.Now().Add(helloTimeout))
+// handshake exchanges hellos within handshakeTimeout and closes c on failure.
+func (p *Peers) handshake(c *bufferedConn, exchange func(*bufferedConn) (*schema.Hello, error)) (*schema.Hello, error) {
+	err := c.SetDeadline(p.options.Timer.Now().Add(handshakeTimeout))
 	var hello *schema.Hello
 	if err == nil {
 		hello, err = exchange(c)
@@ -157,26 +163,27 @@
 	}
 	if err != nil {
 		_ = c.Close()
-		p.reject(c, err)
+		p.recordHandshakeError(c, err)
 		return nil, err
 	}
 	return hello, nil
 }
 
-func (p *Peers) reject(c *conn, err error) {
-	var wrong *WrongKeyError
+// recordHandshakeError counts and logs a failed handshake.
+func (p *Peers) recordHandshakeError(c *bufferedConn, err error) {
+	var wrongKey *WrongKeyError
 	var malformed *MalformedFrameError
 	switch {
-	case errors.As(err, &wrong):
-		p.faults.rejected.Add(1)
+	case errors.As(err, &wrongKey):
+		p.counters.rejected.Add(1)
 	case errors.As(err, &malformed):
-		p.faults.malformed.Add(1)
+		p.counters.malformed.Add(1)
 	}
-	p.options.Logger.Warn("connection was not opened", "remote", c.RemoteAddr().String(), "error", err)
+	p.options.Logger.Warn("handshake failed", "remote", c.RemoteAddr().String(), "error", err)
 }
 
-// accept takes connections until the listener is closed.
-func (p *Peers) accept(ctx context.Context) {
+// acceptLoop accepts connections until the listener is closed or ctx ends.
+func (p *Peers) acceptLoop(ctx context.Context) {
 	if p.options.Listener == nil {
 		return
 	}
@@ -187,26 +194,29 @@
 		}
 		if err != nil {
 			p.options.Logger.Warn("accept failed", "error", err)
-			p.sleep(ctx, leastBackoff)
+			p.sleep(ctx, minBackoff)
 			continue
 		}
 		p.group.Go(func() { p.serve(ctx, raw) })
 	}
 }
 
+// sleep waits for pause or until ctx ends.
 func (p *Peers) sleep(ctx context.Context, pause time.Duration) {
-	over := make(chan struct{})
-	subscription := p.options.Timer.After(pause, func(time.Time) { close(over) })
+	elapsed := make(chan struct{})
+	subscription := p.options.Timer.After(pause, func(time.Time) { close(elapsed) })
 	defer subscription.Cancel()
 	select {
-	case <-over:
+	case <-elapsed:
 	case <-ctx.Done():
 	}
 }
 
+// serve performs the handshake on an accepted connection and runs the
+// connection until it ends.
 func (p *Peers) serve(ctx context.Context, raw net.Conn) {
-	c := newConn(raw)
-	hello, err := p.opened(c, p.welcome)
+	c := newBufferedConn(raw)
+	hello, err := p.handshake(c, p.handshakeAsAcceptor)
 	if err != nil {
 		return
 	}
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -10,79 +10,82 @@
 	"github.com/rotisserie/eris"
 )
 
-// kind tells what a frame holds.
-type kind byte
+// frameKind is the type of a frame's payload.
+type frameKind byte
 
 const (
-	// helloFrame holds a schema.Hello and opens a connection.
-	helloFrame kind = iota + 1
-	// heartbeatFrame holds the time until the sender's next, as a varint in ms.
+	// helloFrame holds a schema.Hello. Only the handshake uses it.
+	helloFrame frameKind = iota + 1
+	// heartbeatFrame holds the sender's heartbeat interval in ms as a varint.
 	heartbeatFrame
 	// batchFrame holds a schema.Batch.
 	batchFrame
-	// callFrame holds one JSON-RPC object.
+	// callFrame holds one JSON-RPC 2.0 object.
 	callFrame
 )
 
-// Bounds of a frame's payload.
+// Maximum payload sizes by frame kind.
 const (
-	maxHello     = 4 << 10
-	maxHeartbeat = 16
-	// maxBatch holds all that two routers can have for each other: at 40 bytes
-	// for a request, 25,000 of them.
-	maxBatch = 1 << 20
-	// maxCall holds a fleet state of 36,000 accounts, some 7 MB in binary form.
-	maxCall = 32 << 20
+	maxHelloBytes     = 4 << 10
+	maxHeartbeatBytes = 16
+	// maxBatchBytes fits all that one router may have to tell another at once:
+	// 25,000 requests at 40 bytes each.
+	maxBatchBytes = 1 << 20
+	// maxCallBytes fits a fleet state of 36,000 accounts, about 7 MB in binary form.
+	maxCallBytes = 32 << 20
 )
 
-func (k kind) limit() int {
+// maxPayload returns the maximum payload size in bytes, 0 for an unknown kind.
+func (k frameKind) maxPayload() int {
 	switch k {
 	case helloFrame:
-		return maxHello
+		return maxHelloBytes
 	case heartbeatFrame:
-		return maxHeartbeat
+		return maxHeartbeatBytes
 	case batchFrame:
-		return maxBatch
+		return maxBatchBytes
 	case callFrame:
-		return maxCall
+		return maxCallBytes
 	default:
 		return 0
 	}
 }
 
-func isHello(k kind) bool { return k == helloFrame }
+func isHelloFrame(k frameKind) bool { return k == helloFrame }
 
-func afterHello(k kind) bool { return k == heartbeatFrame || k == batchFrame || k == callFrame }
+// followsHello reports whether frames of kind k are allowed after the handshake.
+func followsHello(k frameKind) bool { return k == heartbeatFrame || k == batchFrame || k == callFrame }
 
-// frame is a kind byte, the payload's length as a varint, and the payload.
+// frame is sent as a kind byte, the payload length as a varint, and the payload.
 type frame struct {
-	kind    kind
+	kind    frameKind
 	payload []byte
 }
 
-// size returns the bytes that the frame takes on the wire.
+// size returns the encoded size of the frame in bytes.
 func (f frame) size() int { return len(f.header()) + len(f.payload) }
 
 func (f frame) header() []byte {
 	return binary.AppendUvarint([]byte{byte(f.kind)}, uint64(len(f.payload)))
 }
 
-// MalformedFrameError is the error of a frame that no router sends.
+// MalformedFrameError reports a frame with an unknown or unexpected kind, a
+// payload that is too long, or a payload that can't be decoded.
 type MalformedFrameError struct {
 	Kind   byte
 	Length uint64
 }
 
-// Error names the kind and the length.
+// Error returns a message with the kind and the payload length.
 func (e *MalformedFrameError) Error() string {
 	return fmt.Sprintf("malformed frame of kind %d with %d bytes", e.Kind, e.Length)
 }
 
-// readFrame reads one frame of a kind that accept accepts. It fails with *MalformedFrameError before it
-// reads the payload of another kind or of a length beyond the
-// kind's limit, so that nobody can make a router hold as much as they like,
-// and a stranger not more than a hello.
-func readFrame(r *bufio.Reader, accept func(kind) bool) (frame, error) {
+// readFrame reads one frame. It fails with *MalformedFrameError, without reading
+// the payload, if allowed rejects the kind or the payload is longer than the
+// kind's maximum. This bounds the memory that a sender can make the router
+// allocate: before the handshake completes, to the size of a hello.
+func readFrame(r *bufio.Reader, allowed func(frameKind) bool) (frame, error) {
 	first, err := r.ReadByte()
 	if err != nil {
 		return frame{}, eris.Wrap(err, "read frame")
@@ -91,8 +94,8 @@
 	if err != nil {
 		return frame{}, eris.Wrap(err, "read frame length")
 	}
-	k := kind(first)
-	if !accept(k) || length > uint64(k.limit()) {
+	k := frameKind(first)
+	if !allowed(k) || length > uint64(k.maxPayload()) {
 		return frame{}, &MalformedFrameError{Kind: first, Length: length}
 	}
 	payload := make([]byte, length)
@@ -102,7 +105,7 @@
 	return frame{k, payload}, nil
 }
 
-// writeFrame writes one frame without flushing it.
+// writeFrame writes one frame without flushing the writer.
 func writeFrame(w *bufio.Writer, f frame) error {
 	if _, err := w.Write(f.header()); err != nil {
 		return eris.Wrap(err, "write frame header")
@@ -111,34 +114,36 @@
 	return eris.Wrap(err, "write frame payload")
 }
 
-// faults counts connections that were closed for what the other side did.
-type faults struct {
+// faultCounters counts closed and rejected connections by cause.
+type faultCounters struct {
 	malformed atomic.Int64
 	rejected  atomic.Int64
-	overflown atomic.Int64
+	queueFull atomic.Int64
 	silent    atomic.Int64
 	duplicate atomic.Int64
 }
 
-// Faults is how many connections were closed, by cause.
+// Faults holds the numbers of connections that were closed or rejected, by cause.
 type Faults struct {
-	// Malformed sent a frame or message that no router sends.
+	// Malformed counts connections that sent a malformed frame or message.
 	Malformed int64
-	// Rejected failed to prove that they hold the fleet key, or were of an older life.
+	// Rejected counts connections of routers that did not prove that they hold
+	// the fleet key, or that had an outdated incarnation.
 	Rejected int64
-	// Overflown read too slowly for what was sent to them.
-	Overflown int64
-	// Silent were not heard for three heartbeats.
+	// QueueFull counts connections to routers that read too slowly, so that the
+	// send queue filled up.
+	QueueFull int64
+	// Silent counts connections that received nothing for three heartbeat intervals.
 	Silent int64
-	// Duplicate were second connections to the same router.
+	// Duplicate counts second connections to a router that was already connected.
 	Duplicate int64
 }
 
-// Faults returns how many connections were closed, by cause.
+// Faults returns the numbers of connections closed or rejected so far.
 func (p *Peers) Faults() Faults {
 	return Faults{
-		Malformed: p.faults.malformed.Load(), Rejected: p.faults.rejected.Load(),
-		Overflown: p.faults.overflown.Load(), Silent: p.faults.silent.Load(),
-		Duplicate: p.faults.duplicate.Load(),
+		Malformed: p.counters.malformed.Load(), Rejected: p.counters.rejected.Load(),
+		QueueFull: p.counters.queueFull.Load(), Silent: p.counters.silent.Load(),
+		Duplicate: p.counters.duplicate.Load(),
 	}
 }
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -19,84 +19,87 @@
 
 const (
 	nonceBytes = 16
-	// helloTimeout bounds the opening of a connection: three messages between
-	// data centres a millisecond apart, with room for a busy router.
-	helloTimeout = 2 * time.Second
+	// handshakeTimeout bounds dialling and the handshake, each. The handshake is
+	// three messages between data centres that are a millisecond apart; the rest
+	// is margin for a busy router.
+	handshakeTimeout = 2 * time.Second
 )
 
-// WrongKeyError is the error of a router that does not hold the fleet key.
+// WrongKeyError reports a router whose proof of the fleet key is invalid.
 type WrongKeyError struct{ Router fleet.RouterID }
 
-// Error names the router that was claimed.
+// Error returns a message with the id that the other side gave.
 func (e *WrongKeyError) Error() string {
 	return "router " + string(e.Router) + " does not hold the fleet key"
 }
 
-// conn is a connection with its buffers.
-type conn struct {
+// bufferedConn is a connection with buffered reads and writes.
+type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
 }
 
-func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReader(c), writer: bufio.NewWriter(c)}
+func newBufferedConn(c net.Conn) *bufferedConn {
+	return &bufferedConn{Conn: c, reader: bufio.NewReader(c), writer: bufio.NewWriter(c)}
 }
 
-// greet opens a connection as its dialler and returns the other side's hello.
-// Both sides prove that they hold the fleet key by an HMAC over both hellos,
-// each of which has a fresh nonce, so that a proof that was overheard is of no
-// use. The role is in the proof, so that a proof can't be sent back as one's own.
-func (p *Peers) greet(c *conn) (*schema.Hello, error) {
-	own, err := p.newHello()
+// handshakeAsDialler performs the handshake on a dialled connection and returns
+// the other side's hello. Each side proves that it holds the fleet key by an
+// HMAC over both hellos. Each hello has a fresh nonce, so that a recorded proof
+// can't be replayed, and the HMAC covers the role, so that a proof can't be
+// reflected to its sender.
+func (p *Peers) handshakeAsDialler(c *bufferedConn) (*schema.Hello, error) {
+	local, err := p.newHello()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.sendHello(c, own); err != nil {
+	if err := p.sendHello(c, local); err != nil {
 		return nil, err
 	}
-	theirs, err := p.readHello(c)
+	remote, err := p.readHello(c)
 	if err != nil {
 		return nil, err
 	}
-	proof := theirs.GetProof()
-	theirs.Proof = nil
-	if !hmac.Equal(proof, p.proof("acceptor", own, theirs)) {
-		return nil, &WrongKeyError{Router: fleet.RouterID(theirs.GetRouter())}
+	proof := remote.GetProof()
+	remote.Proof = nil
+	if !hmac.Equal(proof, p.proof("acceptor", local, remote)) {
+		return nil, &WrongKeyError{Router: fleet.RouterID(remote.GetRouter())}
 	}
-	return theirs, p.sendHello(c, &schema.Hello{Proof: p.proof("dialler", own, theirs)})
+	return remote, p.sendHello(c, &schema.Hello{Proof: p.proof("dialler", local, remote)})
 }
 
-// welcome opens a connection as its acceptor and returns the other side's hello.
-func (p *Peers) welcome(c *conn) (*schema.Hello, error) {
-	theirs, err := p.readHello(c)
+// handshakeAsAcceptor performs the handshake on an accepted connection and
+// returns the other side's hello.
+func (p *Peers) handshakeAsAcceptor(c *bufferedConn) (*schema.Hello, error) {
+	remote, err := p.readHello(c)
 	if err != nil {
 		return nil, err
 	}
-	own, err := p.newHello()
+	local, err := p.newHello()
 	if err != nil {
 		return nil, err
 	}
-	theirs.Proof = nil
-	signed := proto.CloneOf(own)
-	signed.Proof = p.proof("acceptor", theirs, own)
+	remote.Proof = nil
+	signed := proto.CloneOf(local)
+	signed.Proof = p.proof("acceptor", remote, local)
 	if err := p.sendHello(c, signed); err != nil {
 		return nil, err
 	}
-	second, err := p.readHello(c)
+	answer, err := p.readHello(c)
 	if err != nil {
 		return nil, err
 	}
-	if !hmac.Equal(second.GetProof(), p.proof("dialler", theirs, own)) {
-		return nil, &WrongKeyError{Router: fleet.RouterID(theirs.GetRouter())}
+	if !hmac.Equal(answer.GetProof(), p.proof("dialler", remote, local)) {
+		return nil, &WrongKeyError{Router: fleet.RouterID(remote.GetRouter())}
 	}
-	return theirs, nil
+	return remote, nil
 }
 
 func (p *Peers) newHello() (*schema.Hello, error) {
 	nonce := make([]byte, nonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
-		return nil, eris.Wrap(err, "nonce")
+		return nil, eris.Wrap(err, "generate nonce")
 	}
 	return &schema.Hello{
 		Router: string(p.options.Self), DataCenter: string(p.options.DataCenter),
@@ -104,26 +107,26 @@
 	}, nil
 }
 
-// proof returns the HMAC of both hellos. Fields go in with their lengths, so
-// that no two pairs of hellos give the same bytes.
+// proof returns the HMAC over the role and both hellos. Each field is prefixed
+// with its length, so that different hellos never encode to the same bytes.
 func (p *Peers) proof(role string, dialler, acceptor *schema.Hello) []byte {
 	mac := hmac.New(sha256.New, p.options.Key)
-	field := func(data []byte) {
+	addField := func(data []byte) {
 		mac.Write(binary.AppendUvarint(nil, uint64(len(data))))
 		mac.Write(data)
 	}
-	field([]byte(role))
+	addField([]byte(role))
 	for _, hello := range []*schema.Hello{dialler, acceptor} {
-		field([]byte(hello.GetRouter()))
-		field([]byte(hello.GetDataCenter()))
-		field([]byte(hello.GetAddress()))
-		field(binary.BigEndian.AppendUint64(nil, uint64(hello.GetIncarnation())))
-		field(hello.GetNonce())
+		addField([]byte(hello.GetRouter()))
+		addField([]byte(hello.GetDataCenter()))
+		addField([]byte(hello.GetAddress()))
+		addField(binary.BigEndian.AppendUint64(nil, uint64(hello.GetIncarnation())))
+		addField(hello.GetNonce())
 	}
 	return mac.Sum(nil)
 }
 
-func (p *Peers) sendHello(c *conn, hello *schema.Hello) error {
+func (p *Peers) sendHello(c *bufferedConn, hello *schema.Hello) error {
 	data, err := proto.Marshal(hello)
 	if err != nil {
 		return eris.Wrap(err, "encode hello")
@@ -132,16 +135,16 @@
 	if err := writeFrame(c.writer, f); err != nil {
 		return err
 	}
-	p.count(metric.Sent, f.size())
+	p.countBytes(metric.Sent, f.size())
 	return eris.Wrap(c.writer.Flush(), "send hello")
 }
 
-func (p *Peers) readHello(c *conn) (*schema.Hello, error) {
-	f, err := readFrame(c.reader, isHello)
+func (p *Peers) readHello(c *bufferedConn) (*schema.Hello, error) {
+	f, err := readFrame(c.reader, isHelloFrame)
 	if err != nil {
 		return nil, err
 	}
-	p.count(metric.Received, f.size())
+	p.countBytes(metric.Received, f.size())
 	hello := &schema.Hello{}
 	if err := proto.Unmarshal(f.payload, hello); err != nil {
 		return nil, &MalformedFrameError{Kind: byte(f.kind), Length: uint64(len(f.payload))}
--- a/peer/leak_test.go
+++ b/peer/leak_test.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// TestMain fails when a goroutine of the package outlives the routers that
-// started it: each reconnection would leave one behind, until the memory of a
-// small VM is used up. The tests of package scheduler run in bubbles, which
-// check the same.
+// TestMain fails if a goroutine of the package is still running after the tests.
+// A goroutine leaked with each reconnection would in time use up the memory of a
+// small VM. The tests of package scheduler run in synctest bubbles, which make
+// the same check.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if left := leaked(); code == 0 && left != "" {
-		fmt.Fprintln(os.Stderr, "goroutine left:\n"+left)
+	if stack := leakedGoroutine(); code == 0 && stack != "" {
+		fmt.Fprintln(os.Stderr, "leaked goroutine:\n"+stack)
 		code = 1
 	}
 	os.Exit(code)
 }
 
-// leaked returns a goroutine of the package that does not end within a few
-// seconds, or nothing.
-func leaked() string {
-	var left string
+// leakedGoroutine returns the stack of a goroutine of the package that does not
+// end within a few seconds, or an empty string.
+func leakedGoroutine() string {
+	var leaked string
 	for range 100 {
-		left = ""
+		leaked = ""
 		buffer := make([]byte, 1<<20)
 		for _, stack := range strings.Split(string(buffer[:runtime.Stack(buffer, true)]), "\n\n") {
 			if strings.Contains(stack, "nutmeglock/peer.") {
-				left = stack
+				leaked = stack
 			}
 		}
-		if left == "" {
+		if leaked == "" {
 			return ""
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return left
+	return leaked
 }
--- a/peer/link.go
+++ b/peer/link.go
@@ -22,84 +22,88 @@
 )
 
 const (
-	// leastHeartbeat is the time between heartbeats in a small fleet.
-	leastHeartbeat = time.Second
-	// heartbeatPerLink stretches it in a large one: 100 heartbeats a second of
-	// 4 bytes are a seventh of the control allowance.
+	// defaultHeartbeat is the default of Options.Heartbeat.
+	defaultHeartbeat = time.Second
+	// heartbeatPerLink lengthens the interval in a large fleet, to at most 100
+	// heartbeats a second in all. At 4 bytes each, these are a seventh of the
+	// bandwidth allowed for control messages.
 	heartbeatPerLink = 10 * time.Millisecond
-	// silentHeartbeats is how many of the sender's heartbeats may be missed.
-	silentHeartbeats = 3
-	// maxSilence bounds what a router may announce as its heartbeat.
-	maxSilence = time.Minute
-	// queueFrames and queueBytes bound what waits for one router. A router that
-	// reads takes each frame within milliseconds.
-	queueFrames = 1024
-	queueBytes  = 40 << 20
-	// queueCalls bounds the calls of one router that wait to be handled.
-	queueCalls = 64
+	// maxMissedHeartbeats is the number of heartbeat intervals without a frame
+	// after which the connection is closed.
+	maxMissedHeartbeats = 3
+	// maxAnnouncedInterval bounds the heartbeat interval that a router can announce.
+	maxAnnouncedInterval = time.Minute
+	// maxQueuedFrames and maxQueuedBytes bound the send queue to one router. A
+	// router that keeps reading takes each frame within milliseconds.
+	maxQueuedFrames = 1024
+	maxQueuedBytes  = 40 << 20
+	// maxPendingCalls bounds the received JSON-RPC objects of one router that are
+	// not decoded yet.
+	maxPendingCalls = 64
 )
 
-// link is the connection to one router.
+// link is an authenticated connection to one router.
 type link struct {
 	peers    *Peers
-	conn     *conn
+	conn     *bufferedConn
 	hello    *schema.Hello
 	outgoing bool
 	rpc      *jsonrpc2.Conn
 
-	mu     sync.Mutex
-	queue  []frame
-	bytes  int
-	wake   chan struct{}
-	calls  chan json.RawMessage
-	once   sync.Once
-	closed chan struct{}
+	mu           sync.Mutex
+	queue        []frame
+	queuedBytes  int
+	wake         chan struct{}
+	pendingCalls chan json.RawMessage
+	closeOnce    sync.Once
+	closed       chan struct{}
 }
 
-func newLink(p *Peers, c *conn, hello *schema.Hello, outgoing bool) *link {
+func newLink(p *Peers, c *bufferedConn, hello *schema.Hello, outgoing bool) *link {
 	return &link{
 		peers: p, conn: c, hello: hello, outgoing: outgoing,
-		wake: make(chan struct{}, 1), calls: make(chan json.RawMessage, queueCalls), closed: make(chan struct{}),
+		wake: make(chan struct{}, 1), pendingCalls: make(chan json.RawMessage, maxPendingCalls), closed: make(chan struct{}),
 	}
 }
 
-func (l *link) life() fleet.Incarnation { return fleet.Incarnation(l.hello.GetIncarnation()) }
+func (l *link) incarnation() fleet.Incarnation { return fleet.Incarnation(l.hello.GetIncarnation()) }
 
-// preferred reports whether the router with the lesser id dialled.
-func (l *link) preferred() bool {
+// dialledByLesserID reports whether the router with the lesser id dialled the
+// connection.
+func (l *link) dialledByLesserID() bool {
 	return l.outgoing == (string(l.peers.options.Self) < l.hello.GetRouter())
 }
 
-// run carries frames until the connection ends.
+// run sends and receives frames until the connection ends.
 func (l *link) run(ctx context.Context) {
-	l.rpc = jsonrpc2.NewConn(ctx, &callStream{link: l}, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(l.handle)))
-	if !l.peers.add(l) {
+	l.rpc = jsonrpc2.NewConn(ctx, &callStream{link: l}, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(l.handleCall)))
+	if !l.peers.register(l) {
 		l.close()
 		return
 	}
 	var group sync.WaitGroup
-	group.Go(l.write)
-	err := l.read()
+	group.Go(l.writeLoop)
+	err := l.readLoop()
 	l.close()
 	group.Wait()
-	l.peers.remove(l)
-	l.fault(err)
+	l.peers.unregister(l)
+	l.recordError(err)
 }
 
-// fault counts why a connection ended, when the other side is the cause.
-func (l *link) fault(err error) {
+// recordError logs why the connection ended and counts causes on the other side.
+func (l *link) recordError(err error) {
 	var malformed *MalformedFrameError
 	switch {
 	case errors.As(err, &malformed):
-		l.peers.faults.malformed.Add(1)
+		l.peers.counters.malformed.Add(1)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		l.peers.faults.silent.Add(1)
+		l.peers.counters.silent.Add(1)
 	}
 	l.peers.options.Logger.Debug("connection to router ended", "router", l.hello.GetRouter(), "error", err)
 }
 
 func (l *link) close() {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
 		_ = l.conn.Close()
 		if l.rpc != nil {
@@ -108,20 +112,21 @@
 	})
 }
 
-// enqueue hands a frame to the writer. It never waits.
+// enqueue adds a frame to the send queue without blocking. If the queue is full,
+// it closes the connection.
 func (l *link) enqueue(f frame) {
 	l.mu.Lock()
-	full := len(l.queue) >= queueFrames || l.bytes+len(f.payload) > queueBytes
+	full := len(l.queue) >= maxQueuedFrames || l.queuedBytes+len(f.payload) > maxQueuedBytes
 	if !full {
 		l.queue = append(l.queue, f)
-		l.bytes += len(f.payload)
+		l.queuedBytes += len(f.payload)
 	}
 	l.mu.Unlock()
 	if full {
-		// A router that stands still, or a link that is too slow: what is
-		// queued grows old. Closing makes both sides begin anew from what
-		// they hold, in place of a queue that delays ever more.
-		l.peers.faults.overflown.Add(1)
+		// The router is frozen or the network too slow, so the queued messages
+		// are getting stale. After a reconnection both sides start again from
+		// their current state instead of ever more outdated messages.
+		l.peers.counters.queueFull.Add(1)
 		go l.close()
 		return
 	}
@@ -131,83 +136,86 @@
 	}
 }
 
-func (l *link) take() []frame {
+// takeQueue empties the send queue and returns its frames.
+func (l *link) takeQueue() []frame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue := l.queue
-	l.queue, l.bytes = nil, 0
+	l.queue, l.queuedBytes = nil, 0
 	return queue
 }
 
-// write sends what is queued, and a heartbeat when nothing was for a while.
-func (l *link) write() {
+// writeLoop sends queued frames, and a heartbeat after an interval without any.
+func (l *link) writeLoop() {
 	defer l.close()
 	for {
-		interval := l.peers.heartbeat()
-		frames := l.take()
+		interval := l.peers.heartbeatInterval()
+		frames := l.takeQueue()
 		if len(frames) == 0 {
 			frames = []frame{{heartbeatFrame, binary.AppendUvarint(nil, uint64(interval.Milliseconds()))}}
 		}
-		if err := l.send(frames); err != nil {
+		if err := l.writeFrames(frames); err != nil {
 			return
 		}
 		idle := make(chan struct{})
-		beat := l.peers.options.Timer.After(interval, func(time.Time) { close(idle) })
+		timeout := l.peers.options.Timer.After(interval, func(time.Time) { close(idle) })
 		select {
 		case <-l.wake:
 		case <-idle:
 		case <-l.closed:
-			beat.Cancel()
+			timeout.Cancel()
 			return
 		}
-		beat.Cancel()
+		timeout.Cancel()
 	}
 }
 
-func (l *link) send(frames []frame) error {
-	// Without a deadline a router that reads nothing would keep this
-	// goroutine and its frames for ever.
-	if err := l.conn.SetWriteDeadline(l.peers.options.Timer.Now().Add(silentHeartbeats * l.peers.heartbeat())); err != nil {
-		return eris.Wrap(err, "write deadline")
+func (l *link) writeFrames(frames []frame) error {
+	// Without a deadline, a router that reads nothing would block this goroutine
+	// and retain its frames forever.
+	if err := l.conn.SetWriteDeadline(l.peers.options.Timer.Now().Add(maxMissedHeartbeats * l.peers.heartbeatInterval())); err != nil {
+		return eris.Wrap(err, "set write deadline")
 	}
 	for _, f := range frames {
 		if err := writeFrame(l.conn.writer, f); err != nil {
 			return err
 		}
-		l.peers.count(metric.Sent, f.size())
+		l.peers.countBytes(metric.Sent, f.size())
 	}
 	return eris.Wrap(l.conn.writer.Flush(), "flush frames")
 }
 
-// read takes frames until the connection ends or the router is silent.
-func (l *link) read() error {
-	announced := time.Duration(0)
-	heard := l.peers.options.Timer.Now()
+// readLoop handles frames until the connection ends or no frame arrives in time.
+func (l *link) readLoop() error {
+	peerInterval := time.Duration(0)
+	lastReceived := l.peers.options.Timer.Now()
 	for {
-		silence := silentHeartbeats * max(l.peers.heartbeat(), announced)
-		if err := l.conn.SetReadDeadline(heard.Add(silence)); err != nil {
-			return eris.Wrap(err, "read deadline")
+		timeout := maxMissedHeartbeats * max(l.peers.heartbeatInterval(), peerInterval)
+		if err := l.conn.SetReadDeadline(lastReceived.Add(timeout)); err != nil {
+			return eris.Wrap(err, "set read deadline")
 		}
-		f, err := readFrame(l.conn.reader, afterHello)
+		f, err := readFrame(l.conn.reader, followsHello)
 		if err != nil {
 			return err
 		}
-		l.peers.count(metric.Received, f.size())
+		l.peers.countBytes(metric.Received, f.size())
 		now := l.peers.options.Timer.Now()
-		if now.Sub(heard) > silence {
-			// This router was paused, and reads now what was sent before the
-			// others gave it up. Grants among it belong to others by now.
-			return eris.Wrap(os.ErrDeadlineExceeded, "frame from before a pause")
+		if now.Sub(lastReceived) > timeout {
+			// This router was paused, and the frame was sent before the other
+			// routers considered it lost. Slots that it grants may have been
+			// granted to other routers meanwhile.
+			return eris.Wrap(os.ErrDeadlineExceeded, "frame read after a pause")
 		}
-		heard = now
-		if announced, err = l.handleFrame(f, announced); err != nil {
+		lastReceived = now
+		if peerInterval, err = l.handleFrame(f, peerInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// handleFrame handles one frame and returns the other side's heartbeat interval.
-func (l *link) handleFrame(f frame, announced time.Duration) (time.Duration, error) {
+// handleFrame handles one frame and returns the other side's heartbeat interval:
+// the one in a heartbeat frame, else peerInterval.
+func (l *link) handleFrame(f frame, peerInterval time.Duration) (time.Duration, error) {
 	malformed := &MalformedFrameError{Kind: byte(f.kind), Length: uint64(len(f.payload))}
 	switch f.kind {
 	case heartbeatFrame:
@@ -215,18 +223,18 @@
 		if n <= 0 {
 			return 0, malformed
 		}
-		return min(time.Duration(ms)*time.Millisecond, maxSilence), nil
+		return min(time.Duration(ms)*time.Millisecond, maxAnnouncedInterval), nil
 	case batchFrame:
 		batch := &schema.Batch{}
 		if err := proto.Unmarshal(f.payload, batch); err != nil {
 			return 0, malformed
 		}
-		l.receive(batch)
-		return announced, nil
+		l.handleBatch(batch)
+		return peerInterval, nil
 	case callFrame:
 		select {
-		case l.calls <- f.payload:
-			return announced, nil
+		case l.pendingCalls <- f.payload:
+			return peerInterval, nil
 		case <-l.closed:
 			return 0, net.ErrClosed
 		}
@@ -235,8 +243,9 @@
 	}
 }
 
-// receive hands a batch to those who wait for batches. One that makes them panic is dropped.
-func (l *link) receive(batch *schema.Batch) {
+// handleBatch passes a batch to the OnBatch callbacks. A panic in one of them drops
+// the batch and leaves the connection open.
+func (l *link) handleBatch(batch *schema.Batch) {
 	from := fleet.RouterID(l.hello.GetRouter())
 	l.peers.options.Guard.Run(recovery.Message, func() {
 		for _, fn := range l.peers.onBatch {
@@ -245,8 +254,8 @@
 	}, "other", from)
 }
 
-// handle answers one call.
-func (l *link) handle(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (answer any, err error) {
+// handleCall runs the handler of a call's method.
+func (l *link) handleCall(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (answer any, err error) {
 	fn := l.peers.handlers[request.Method]
 	if fn == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "no method " + request.Method}
@@ -262,16 +271,16 @@
 	return answer, err
 }
 
-// callStream carries JSON-RPC objects as frames of a link.
+// callStream sends and receives JSON-RPC objects as frames of a link.
 type callStream struct{ link *link }
 
-// WriteObject queues one object.
+// WriteObject queues an object to be sent.
 func (s *callStream) WriteObject(object any) error {
 	data, err := json.Marshal(object)
 	if err != nil {
 		return eris.Wrap(err, "encode call")
 	}
-	if len(data) > maxCall {
+	if len(data) > maxCallBytes {
 		return &MalformedFrameError{Kind: byte(callFrame), Length: uint64(len(data))}
 	}
 	select {
@@ -283,10 +292,10 @@
 	}
 }
 
-// ReadObject waits for the next object.
+// ReadObject waits for the next object and decodes it into value.
 func (s *callStream) ReadObject(value any) error {
 	select {
-	case data := <-s.link.calls:
+	case data := <-s.link.pendingCalls:
 		return eris.Wrap(json.Unmarshal(data, value), "decode call")
 	case <-s.link.closed:
 		return io.EOF
--- a/peer/panic_test.go
+++ b/peer/panic_test.go
@@ -11,24 +11,25 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Guards against a router that ends because of what one message of another one makes it do.
+// A message from another router makes its handler panic. The router must drop
+// the message, keep running and keep the connection open.
 func TestMessageThatPanicsIsDropped(t *testing.T) {
 	t.Parallel()
-	one, two := start(t, setup{id: "one"}), start(t, setup{id: "two"})
-	two.OnBatch(func(_ fleet.RouterID, batch *schema.Batch) {
+	sender, receiver := startNode(t, nodeConfig{id: "one"}), startNode(t, nodeConfig{id: "two"})
+	receiver.OnBatch(func(_ fleet.RouterID, batch *schema.Batch) {
 		if batch.GetGrantedThrough() == 1 {
-			panic("a fault of the router")
+			panic("panic in a batch handler")
 		}
 	})
-	two.Handle("fault", func(context.Context, json.RawMessage) (any, error) { panic("another one") })
-	one.Target(map[fleet.RouterID]string{"two": two.address})
-	require.Eventually(t, func() bool { return len(one.Routers()) == 1 }, patience, often)
+	receiver.Handle("fault", func(context.Context, json.RawMessage) (any, error) { panic("panic in a call handler") })
+	sender.Target(map[fleet.RouterID]string{"two": receiver.address})
+	require.Eventually(t, func() bool { return len(sender.Routers()) == 1 }, waitTimeout, pollInterval)
 	for number := range uint64(3) {
-		one.Send("two", &schema.Batch{GrantedThrough: number})
+		sender.Send("two", &schema.Batch{GrantedThrough: number})
 	}
-	require.Error(t, one.Call(t.Context(), "two", "fault", nil, nil))
+	require.Error(t, sender.Call(t.Context(), "two", "fault", nil, nil))
 	var answer string
-	require.NoError(t, one.Call(t.Context(), "two", "echo", "still here", &answer))
+	require.NoError(t, sender.Call(t.Context(), "two", "echo", "still here", &answer))
 	require.Equal(t, "still here", answer)
-	require.Equal(t, []uint64{0, 1, 2}, two.received(), "the connection lives on")
+	require.Equal(t, []uint64{0, 1, 2}, receiver.received(), "the connection stays open")
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,16 +1,18 @@
-// Package peer carries control messages between the routers of a fleet over
-// TCP: one connection for each pair, both sides proved to hold the fleet key,
-// with binary batches for the frequent messages and JSON-RPC 2.0 for the rest.
+// Package peer exchanges control messages between the routers of a fleet over
+// TCP. Each pair of routers shares one connection, on which both sides prove that
+// they hold the fleet key. Frequent messages are sent as binary batches, all
+// others as JSON-RPC 2.0 calls.
 //
-// It answers the faults of routers that are slow, frozen or cut off. Each
-// connection has its own bounded queue and its own goroutines, so that one
-// router that reads nothing holds up no other and never the sender: when its
-// queue is full or its answers stop, the connection is closed and the router
-// counts as lost. A router that was itself paused drops what waited for it to
-// be read, since the others gave it up meanwhile.
+// The package handles routers that are slow, frozen or cut off. Each connection
+// has its own bounded send queue and goroutines, so that a router that reads
+// nothing blocks neither the sender nor the connections to other routers. When
+// its queue is full or its heartbeats stop, the connection is closed and the
+// router counts as lost. A router that was itself paused drops the messages that
+// arrived during the pause, since the others count it as lost by then.
 //
-// The proof is made once for each connection. Frames after it are neither
-// signed nor encrypted: the fleet's network is taken to be its own.
+// The fleet key is verified once for each connection. Frames after the handshake
+// are neither signed nor encrypted: the network between routers is assumed to be
+// private to the fleet.
 package peer
 
 import (
@@ -38,31 +40,31 @@
 	Self        fleet.RouterID
 	DataCenter  fleet.DataCenterID
 	Incarnation fleet.Incarnation
-	// Address is where other routers reach this one.
+	// Address is the address at which other routers reach this one.
 	Address string
-	// Key is the secret of the fleet.
+	// Key is the fleet key, a secret shared by all routers.
 	Key []byte
 	// Listener accepts the other routers' connections; Run closes it.
 	Listener net.Listener
-	// Seeds are addresses to try besides those that Target names.
+	// Seeds are addresses to dial in addition to those set by Target.
 	Seeds   []string
 	Timer   timer.Service
 	Metrics *metric.Set
 	Logger  *slog.Logger
-	// Guard contains panics; nil lets them pass.
+	// Guard recovers panics; with nil they are not recovered.
 	Guard *recovery.Guard
-	// Heartbeat is the least time between two heartbeats, zero means 1 s. A
-	// router that is not heard for three times as long is lost.
+	// Heartbeat is the minimum heartbeat interval; zero means 1 s. A router from
+	// which nothing arrives for three intervals counts as lost.
 	Heartbeat time.Duration
-	// MaxBackoff bounds the time between two attempts at an address that doesn't
+	// MaxBackoff bounds the delay between attempts at an address that doesn't
 	// answer; zero means 5 s.
 	MaxBackoff time.Duration
 }
 
-// Handler answers one method of JSON-RPC.
+// Handler handles calls of one JSON-RPC method.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Change says that a connection to another router came or went.
+// Change reports that a connection to another router was opened or closed.
 type Change struct {
 	Router      fleet.RouterID
 	DataCenter  fleet.DataCenterID
@@ -71,27 +73,27 @@
 	Connected   bool
 }
 
-// Peers holds the connections to the other routers. It is safe for concurrent use.
+// Peers manages the connections to the other routers. It is safe for concurrent use.
 type Peers struct {
 	options Options
 
-	mu       sync.Mutex
-	links    map[fleet.RouterID]*link
-	latest   map[fleet.RouterID]fleet.Incarnation
-	targets  map[fleet.RouterID]string
-	dialers  map[string]*dialer
-	handlers map[string]Handler
-	onBatch  []func(from fleet.RouterID, batch *schema.Batch)
-	onChange []func(change Change)
-	closed   bool
-	faults   faults
-	group    sync.WaitGroup
+	mu           sync.Mutex
+	links        map[fleet.RouterID]*link
+	incarnations map[fleet.RouterID]fleet.Incarnation
+	targets      map[fleet.RouterID]string
+	dialStates   map[string]*dialState
+	handlers     map[string]Handler
+	onBatch      []func(from fleet.RouterID, batch *schema.Batch)
+	onChange     []func(change Change)
+	closed       bool
+	counters     faultCounters
+	group        sync.WaitGroup
 
-	// changes keeps the calls of onChange in the order of the changes.
-	changes sync.Mutex
+	// changeMu makes the onChange calls run in the order of the changes.
+	changeMu sync.Mutex
 }
 
-// New returns a Peers that connects once it is run.
+// New returns a Peers. Run opens the connections.
 func New(options Options) *Peers {
 	if options.Timer == nil {
 		options.Timer = timer.System{}
@@ -100,51 +102,51 @@
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
 	if options.Heartbeat <= 0 {
-		options.Heartbeat = leastHeartbeat
+		options.Heartbeat = defaultHeartbeat
 	}
 	if options.MaxBackoff <= 0 {
-		options.MaxBackoff = mostBackoff
+		options.MaxBackoff = defaultMaxBackoff
 	}
 	return &Peers{
-		options:  options,
-		links:    make(map[fleet.RouterID]*link),
-		latest:   make(map[fleet.RouterID]fleet.Incarnation),
-		dialers:  make(map[string]*dialer),
-		handlers: make(map[string]Handler),
+		options:      options,
+		links:        make(map[fleet.RouterID]*link),
+		incarnations: make(map[fleet.RouterID]fleet.Incarnation),
+		dialStates:   make(map[string]*dialState),
+		handlers:     make(map[string]Handler),
 	}
 }
 
-// Handle answers calls of a method. It must be called before Run.
+// Handle registers fn as the handler of a method. It must be called before Run.
 func (p *Peers) Handle(method string, fn func(ctx context.Context, params json.RawMessage) (any, error)) {
 	p.handlers[method] = fn
 }
 
-// OnBatch calls fn with each batch that arrives, one after the other for each
+// OnBatch registers fn to be called with each received batch, in order for each
 // router. It must be called before Run.
 func (p *Peers) OnBatch(fn func(from fleet.RouterID, batch *schema.Batch)) {
 	p.onBatch = append(p.onBatch, fn)
 }
 
-// OnChange calls fn when a connection comes, before its first batch, and when
-// it goes, after its last. It must be called before Run.
+// OnChange registers fn to be called when a connection opens, before its first
+// batch, and when it closes, after its last. It must be called before Run.
 func (p *Peers) OnChange(fn func(change Change)) { p.onChange = append(p.onChange, fn) }
 
-// Routers returns the other routers that are connected, in order.
+// Routers returns the ids of the connected routers in ascending order.
 func (p *Peers) Routers() []fleet.RouterID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Sorted(maps.Keys(p.links))
 }
 
-// NotConnectedError is the error of a call to a router without a connection.
-// Nothing was sent.
+// NotConnectedError reports a call to a router that is not connected. Nothing
+// was sent.
 type NotConnectedError struct{ Router fleet.RouterID }
 
-// Error names the router.
+// Error returns a message with the router's id.
 func (e *NotConnectedError) Error() string { return "router " + string(e.Router) + " is not connected" }
 
-// Call calls a method of another router and waits for its result. It fails
-// with *NotConnectedError when nothing was sent.
+// Call calls a method of another router and waits for its result. It returns a
+// *NotConnectedError if the router is not connected; then nothing was sent.
 func (p *Peers) Call(ctx context.Context, to fleet.RouterID, method string, params, result any) error {
 	p.mu.Lock()
 	l := p.links[to]
@@ -155,8 +157,8 @@
 	return eris.Wrapf(l.rpc.Call(ctx, method, params, result), "call %s at %s", method, to)
 }
 
-// Send hands a batch to a router and returns at once. It is dropped when the
-// router is not connected, and the connection is closed when its queue is full.
+// Send queues a batch for a router without blocking. It drops the batch if the
+// router is not connected, and closes the connection if the send queue is full.
 func (p *Peers) Send(to fleet.RouterID, batch *schema.Batch) {
 	p.mu.Lock()
 	l := p.links[to]
@@ -172,12 +174,12 @@
 	l.enqueue(frame{batchFrame, data})
 }
 
-// Run keeps the connections until ctx ends.
+// Run dials and accepts connections until ctx ends, then closes all of them.
 func (p *Peers) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p.group.Go(func() { p.options.Guard.RunControl(func() { p.accept(ctx) }) })
-	p.group.Go(func() { p.options.Guard.RunControl(func() { p.dial(ctx) }) })
+	p.group.Go(func() { p.options.Guard.RunControl(func() { p.acceptLoop(ctx) }) })
+	p.group.Go(func() { p.options.Guard.RunControl(func() { p.dialLoop(ctx) }) })
 	<-ctx.Done()
 	p.close()
 	p.group.Wait()
@@ -197,70 +199,71 @@
 	}
 }
 
-// heartbeat returns the time between two heartbeats now.
-func (p *Peers) heartbeat() time.Duration {
+// heartbeatInterval returns the current heartbeat interval, which grows with the
+// number of connections.
+func (p *Peers) heartbeatInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(p.options.Heartbeat, time.Duration(len(p.links))*heartbeatPerLink)
 }
 
-// add makes a connection the one to its router, or refuses it.
+// register makes l the connection to its router, or rejects it.
 //
-// When both routers dial at once there are two connections, and each side
-// must keep the same one: that which the router with the lesser id dialled.
-// A newer connection in the same direction replaces the older, which its
-// dialler has given up. An older life of a router is never let in.
-func (p *Peers) add(l *link) bool {
-	p.changes.Lock()
-	defer p.changes.Unlock()
+// If two routers dial each other at once there are two connections, and both
+// sides must keep the same one: the one dialled by the router with the lesser
+// id. A newer connection in the same direction replaces the older one, which its
+// dialler has closed. An older incarnation of a router is always rejected.
+func (p *Peers) register(l *link) bool {
+	p.changeMu.Lock()
+	defer p.changeMu.Unlock()
 	id := fleet.RouterID(l.hello.GetRouter())
-	life := fleet.Incarnation(l.hello.GetIncarnation())
+	incarnation := fleet.Incarnation(l.hello.GetIncarnation())
 	p.mu.Lock()
-	before := p.links[id]
-	if p.closed || !p.mayReplace(before, l) {
+	current := p.links[id]
+	if p.closed || !p.acceptable(current, l) {
 		p.mu.Unlock()
 		return false
 	}
-	p.latest[id] = life
+	p.incarnations[id] = incarnation
 	p.links[id] = l
 	p.mu.Unlock()
-	if before != nil {
-		before.close()
+	if current != nil {
+		current.close()
 		p.notify(Change{Router: id})
 	}
 	p.notify(Change{
 		Router: id, DataCenter: fleet.DataCenterID(l.hello.GetDataCenter()), Address: l.hello.GetAddress(),
-		Incarnation: life, Connected: true,
+		Incarnation: incarnation, Connected: true,
 	})
 	return true
 }
 
-// mayReplace reports whether a new connection to a router stands, and counts
-// why not. The lock must be held.
-func (p *Peers) mayReplace(before, l *link) bool {
+// acceptable reports whether l may become the connection to its router in place
+// of current, which may be nil. It counts the reason if not. mu must be held.
+func (p *Peers) acceptable(current, l *link) bool {
 	switch {
-	case l.life() < p.latest[fleet.RouterID(l.hello.GetRouter())]:
-		p.faults.rejected.Add(1)
+	case l.incarnation() < p.incarnations[fleet.RouterID(l.hello.GetRouter())]:
+		p.counters.rejected.Add(1)
 		return false
-	case before != nil && before.life() == l.life() && before.preferred() && !l.preferred():
-		p.faults.duplicate.Add(1)
+	case current != nil && current.incarnation() == l.incarnation() && current.dialledByLesserID() && !l.dialledByLesserID():
+		p.counters.duplicate.Add(1)
 		return false
 	}
 	return true
 }
 
-// remove takes note that a connection ended.
-func (p *Peers) remove(l *link) {
-	p.changes.Lock()
-	defer p.changes.Unlock()
+// unregister removes a connection that has ended, unless it was replaced.
+func (p *Peers) unregister(l *link) {
+	p.changeMu.Lock()
+	defer p.changeMu.Unlock()
 	id := fleet.RouterID(l.hello.GetRouter())
 	p.mu.Lock()
-	current := p.links[id] == l
-	if current {
+	registered := p.links[id] == l
+	if registered {
 		delete(p.links, id)
 	}
 	p.mu.Unlock()
-	if current {
+	if registered {
 		p.notify(Change{Router: id})
 	}
 }
@@ -271,7 +274,7 @@
 	}
 }
 
-func (p *Peers) count(direction string, size int) {
+func (p *Peers) countBytes(direction string, size int) {
 	if p.options.Metrics != nil {
 		p.options.Metrics.Control(direction, metric.Peer, size)
 	}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -23,45 +23,45 @@
 )
 
 const (
-	patience = 10 * time.Second
-	often    = 5 * time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// node is a Peers that records what reaches it.
-type node struct {
+// testNode is a Peers that records the batches and changes that it receives.
+type testNode struct {
 	*peer.Peers
 	address string
 	metrics *metric.Set
 	mu      sync.Mutex
 	batches []uint64
 	changes []peer.Change
-	// gate, when it is set, holds up the reading of each batch.
-	gate chan struct{}
+	// readGate, if set, blocks the reader after each batch until a value is received.
+	readGate chan struct{}
 }
 
-type setup struct {
-	id        string
-	life      fleet.Incarnation
-	key       string
-	heartbeat time.Duration
-	seeds     []string
-	gate      chan struct{}
+type nodeConfig struct {
+	id          string
+	incarnation fleet.Incarnation
+	key         string
+	heartbeat   time.Duration
+	seeds       []string
+	readGate    chan struct{}
 }
 
-func start(t *testing.T, s setup) *node {
+func startNode(t *testing.T, c nodeConfig) *testNode {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	if s.key == "" {
-		s.key = "the key of the fleet"
+	if c.key == "" {
+		c.key = "the key of the fleet"
 	}
-	n := &node{address: listener.Addr().String(), metrics: metric.New(prometheus.NewRegistry()), gate: s.gate}
+	n := &testNode{address: listener.Addr().String(), metrics: metric.New(prometheus.NewRegistry()), readGate: c.readGate}
 	n.Peers = peer.New(peer.Options{
-		Self: fleet.RouterID(s.id), Incarnation: max(1, s.life), Address: n.address, Key: []byte(s.key),
-		Listener: listener, Seeds: s.seeds, Metrics: n.metrics, Heartbeat: s.heartbeat,
+		Self: fleet.RouterID(c.id), Incarnation: max(1, c.incarnation), Address: n.address, Key: []byte(c.key),
+		Listener: listener, Seeds: c.seeds, Metrics: n.metrics, Heartbeat: c.heartbeat,
 		Guard: &recovery.Guard{Log: slog.New(slog.DiscardHandler)},
 	})
-	n.OnBatch(n.batch)
+	n.OnBatch(n.recordBatch)
 	n.OnChange(func(change peer.Change) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -81,42 +81,42 @@
 	return n
 }
 
-func (n *node) batch(_ fleet.RouterID, batch *schema.Batch) {
+func (n *testNode) recordBatch(_ fleet.RouterID, batch *schema.Batch) {
 	n.mu.Lock()
 	n.batches = append(n.batches, batch.GetGrantedThrough())
 	n.mu.Unlock()
-	if n.gate != nil {
-		<-n.gate
+	if n.readGate != nil {
+		<-n.readGate
 	}
 }
 
-func (n *node) received() []uint64 {
+func (n *testNode) received() []uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]uint64(nil), n.batches...)
 }
 
-func (n *node) bytes(direction string) float64 {
+func (n *testNode) controlBytes(direction string) float64 {
 	var value dto.Metric
 	_ = n.metrics.ControlBytes.WithLabelValues(direction, metric.Peer).Write(&value)
 	return value.GetCounter().GetValue()
 }
 
-func (n *node) lost() int {
+func (n *testNode) disconnects() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lost := 0
+	count := 0
 	for _, change := range n.changes {
 		if !change.Connected {
-			lost++
+			count++
 		}
 	}
-	return lost
+	return count
 }
 
-func number(n uint64) *schema.Batch { return &schema.Batch{GrantedThrough: n} }
+func numberedBatch(n uint64) *schema.Batch { return &schema.Batch{GrantedThrough: n} }
 
-func connected(t *testing.T, nodes ...*node) {
+func waitConnected(t *testing.T, nodes ...*testNode) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for _, n := range nodes {
@@ -125,20 +125,20 @@
 			}
 		}
 		return true
-	}, patience, often)
+	}, waitTimeout, pollInterval)
 }
 
 func TestBatchesAndCallsBothWays(t *testing.T) {
 	t.Parallel()
-	a := start(t, setup{id: "a"})
-	b := start(t, setup{id: "b"})
+	a := startNode(t, nodeConfig{id: "a"})
+	b := startNode(t, nodeConfig{id: "b"})
 	b.Target(map[fleet.RouterID]string{"a": a.address})
-	connected(t, a, b)
+	waitConnected(t, a, b)
 	for i := range uint64(100) {
-		a.Send("b", number(i+1))
-		b.Send("a", number(i+1))
+		a.Send("b", numberedBatch(i+1))
+		b.Send("a", numberedBatch(i+1))
 	}
-	require.Eventually(t, func() bool { return len(a.received()) == 100 && len(b.received()) == 100 }, patience, often)
+	require.Eventually(t, func() bool { return len(a.received()) == 100 && len(b.received()) == 100 }, waitTimeout, pollInterval)
 	require.IsIncreasing(t, a.received())
 
 	var got map[string]int
@@ -153,46 +153,46 @@
 
 func TestSeedsConnectRoutersThatKnowNobody(t *testing.T) {
 	t.Parallel()
-	a := start(t, setup{id: "a"})
-	b := start(t, setup{id: "b", seeds: []string{a.address}})
-	connected(t, a, b)
+	a := startNode(t, nodeConfig{id: "a"})
+	b := startNode(t, nodeConfig{id: "b", seeds: []string{a.address}})
+	waitConnected(t, a, b)
 }
 
 // Two routers are connected, and the one with the greater id dials as well,
-// because a seed did not tell it whom it would reach. Were the second
-// connection taken, the first would break and all that is in flight between
-// the two be announced anew.
+// because it does not know which router a seed address belongs to. If the second
+// connection replaced the first, both routers would have to announce everything
+// in flight between them again.
 func TestSecondConnectionIsTurnedAway(t *testing.T) {
 	t.Parallel()
-	a := start(t, setup{id: "a"})
+	a := startNode(t, nodeConfig{id: "a"})
 	wire := newProxy(t, a.address)
 	wire.cut()
-	b := start(t, setup{id: "b", seeds: []string{wire.address}})
+	b := startNode(t, nodeConfig{id: "b", seeds: []string{wire.address}})
 	a.Target(map[fleet.RouterID]string{"b": b.address})
-	connected(t, a, b)
-	wire.mend()
-	require.Eventually(t, func() bool { return a.Faults().Duplicate+b.Faults().Duplicate > 0 }, patience, often)
-	require.Zero(t, a.lost()+b.lost())
-	b.Send("a", number(3))
-	require.Eventually(t, func() bool { return len(a.received()) == 1 }, patience, often)
+	waitConnected(t, a, b)
+	wire.restore()
+	require.Eventually(t, func() bool { return a.Faults().Duplicate+b.Faults().Duplicate > 0 }, waitTimeout, pollInterval)
+	require.Zero(t, a.disconnects()+b.disconnects())
+	b.Send("a", numberedBatch(3))
+	require.Eventually(t, func() bool { return len(a.received()) == 1 }, waitTimeout, pollInterval)
 }
 
 func TestSixRoutersConnectEachWithEach(t *testing.T) {
 	t.Parallel()
-	var nodes []*node
+	var nodes []*testNode
 	targets := make(map[fleet.RouterID]string)
 	for i := range 6 {
-		n := start(t, setup{id: fmt.Sprintf("router-%d", i)})
+		n := startNode(t, nodeConfig{id: fmt.Sprintf("router-%d", i)})
 		nodes = append(nodes, n)
 		targets[fleet.RouterID(fmt.Sprintf("router-%d", i))] = n.address
 	}
 	for _, n := range nodes {
 		n.Target(targets)
 	}
-	connected(t, nodes...)
+	waitConnected(t, nodes...)
 	for _, n := range nodes {
 		for _, to := range n.Routers() {
-			n.Send(to, number(1))
+			n.Send(to, numberedBatch(1))
 		}
 	}
 	require.Eventually(t, func() bool {
@@ -202,35 +202,35 @@
 			}
 		}
 		return true
-	}, patience, often)
+	}, waitTimeout, pollInterval)
 }
 
-// A process that does not hold the fleet key dials a router, or listens where
-// one is expected. Were it let in, it could grant and report what it likes.
+// A process without the fleet key dials a router, or listens at the address of
+// one. If it were accepted, it could send arbitrary grants and reports.
 func TestWrongKeyIsNotLetIn(t *testing.T) {
 	t.Parallel()
-	a := start(t, setup{id: "a"})
-	stranger := start(t, setup{id: "b", key: "another key altogether"})
+	a := startNode(t, nodeConfig{id: "a"})
+	stranger := startNode(t, nodeConfig{id: "b", key: "another key altogether"})
 	stranger.Target(map[fleet.RouterID]string{"a": a.address})
 	require.Eventually(t, func() bool {
 		return a.Faults().Rejected+stranger.Faults().Rejected > 0
-	}, patience, often)
-	// A router that the stranger's listener answers in its turn lets nothing in either.
+	}, waitTimeout, pollInterval)
+	// The router also rejects the stranger when it dials the stranger itself.
 	a.Target(map[fleet.RouterID]string{"b": stranger.address})
-	seen := a.Faults().Rejected
-	require.Eventually(t, func() bool { return a.Faults().Rejected > seen }, patience, often)
-	for _, n := range []*node{a, stranger} {
+	before := a.Faults().Rejected
+	require.Eventually(t, func() bool { return a.Faults().Rejected > before }, waitTimeout, pollInterval)
+	for _, n := range []*testNode{a, stranger} {
 		n.mu.Lock()
 		require.Empty(t, n.changes)
 		n.mu.Unlock()
 	}
 }
 
-// A process without the fleet key speaks the protocol, takes no offence at
-// what the router proves to it, and makes up its own proof.
-func TestMadeUpProofIsNotLetIn(t *testing.T) {
+// A process without the fleet key follows the protocol, ignores the router's
+// proof and sends an invalid proof of its own.
+func TestForgedProofIsRejected(t *testing.T) {
 	t.Parallel()
-	a := start(t, setup{id: "a"})
+	a := startNode(t, nodeConfig{id: "a"})
 	c, err := net.Dial("tcp", a.address)
 	require.NoError(t, err)
 	defer c.Close()
@@ -242,140 +242,139 @@
 		_, err = c.Write(append([]byte{1, byte(len(data))}, data...))
 		require.NoError(t, err)
 	}
-	require.Eventually(t, func() bool { return a.Faults().Rejected == 1 }, patience, often)
+	require.Eventually(t, func() bool { return a.Faults().Rejected == 1 }, waitTimeout, pollInterval)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	require.Empty(t, a.changes)
 }
 
-// Something other than a router connects and sends what it likes: a port
-// scanner, or a frame that claims to be huge so that the router runs out of
-// memory. The connection is closed before the payload is read.
+// A client that isn't a router connects and sends invalid data, such as a port
+// scanner or an attacker that announces a huge frame to exhaust the memory. The
+// connection must be closed before the payload is read.
 func TestMalformedFramesCloseTheConnection(t *testing.T) {
 	t.Parallel()
 	for name, data := range map[string][]byte{
 		"http":    []byte("GET / HTTP/1.1\r\n\r\n"),
 		"huge":    {1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f},
 		"garbage": {1, 3, 0xff, 0xff, 0xff},
-		// 16 MB of a call are fine between routers, but not before the hello.
+		// A call of 16 MB is allowed between routers, but not before the hello.
 		"early call": {4, 0x80, 0x80, 0x80, 0x08},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a := start(t, setup{id: "a"})
+			a := startNode(t, nodeConfig{id: "a"})
 			c, err := net.Dial("tcp", a.address)
 			require.NoError(t, err)
 			defer c.Close()
 			_, err = c.Write(data)
 			require.NoError(t, err)
-			require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+			require.NoError(t, c.SetReadDeadline(time.Now().Add(waitTimeout)))
 			_, err = c.Read(make([]byte, 1))
 			require.Error(t, err)
-			require.Eventually(t, func() bool { return a.Faults().Malformed == 1 }, patience, often)
+			require.Eventually(t, func() bool { return a.Faults().Malformed == 1 }, waitTimeout, pollInterval)
 		})
 	}
 }
 
-// A router was replaced by a new life, and then a packet of the old life's
-// process, which was only paused, asks for a connection. It must not push out
-// the new one.
-func TestOlderLifeOfARouterIsDropped(t *testing.T) {
+// A router was replaced by a new incarnation, and then the old process, which was
+// only paused, connects. It must not replace the connection of the new one.
+func TestOlderIncarnationIsRejected(t *testing.T) {
 	t.Parallel()
-	a := start(t, setup{id: "a"})
-	second := start(t, setup{id: "b", life: 2})
-	second.Target(map[fleet.RouterID]string{"a": a.address})
-	connected(t, a, second)
-	first := start(t, setup{id: "b", life: 1})
-	first.Target(map[fleet.RouterID]string{"a": a.address})
-	require.Eventually(t, func() bool { return a.Faults().Rejected > 0 }, patience, often)
-	second.Send("a", number(7))
-	require.Eventually(t, func() bool { return len(a.received()) == 1 }, patience, often)
-	require.Zero(t, a.lost())
+	a := startNode(t, nodeConfig{id: "a"})
+	newer := startNode(t, nodeConfig{id: "b", incarnation: 2})
+	newer.Target(map[fleet.RouterID]string{"a": a.address})
+	waitConnected(t, a, newer)
+	older := startNode(t, nodeConfig{id: "b", incarnation: 1})
+	older.Target(map[fleet.RouterID]string{"a": a.address})
+	require.Eventually(t, func() bool { return a.Faults().Rejected > 0 }, waitTimeout, pollInterval)
+	newer.Send("a", numberedBatch(7))
+	require.Eventually(t, func() bool { return len(a.received()) == 1 }, waitTimeout, pollInterval)
+	require.Zero(t, a.disconnects())
 }
 
-// A router freezes: its kernel still accepts bytes for a while, but nobody
-// reads them. Sending to it must neither wait nor hold up the others, and it
-// counts as lost once its queue is full.
+// A router freezes: its kernel still accepts bytes for a while, but nothing reads
+// them. Sending to it must neither block nor delay other routers, and it must
+// count as lost once its queue is full.
 func TestFrozenRouterHoldsUpNobody(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
-	a := start(t, setup{id: "a", heartbeat: time.Hour})
-	frozen := start(t, setup{id: "b", gate: gate, heartbeat: time.Hour})
-	awake := start(t, setup{id: "c", heartbeat: time.Hour})
+	a := startNode(t, nodeConfig{id: "a", heartbeat: time.Hour})
+	frozen := startNode(t, nodeConfig{id: "b", readGate: gate, heartbeat: time.Hour})
+	healthy := startNode(t, nodeConfig{id: "c", heartbeat: time.Hour})
 	t.Cleanup(func() { close(gate) })
-	a.Target(map[fleet.RouterID]string{"b": frozen.address, "c": awake.address})
-	require.Eventually(t, func() bool { return len(a.Routers()) == 2 }, patience, often)
+	a.Target(map[fleet.RouterID]string{"b": frozen.address, "c": healthy.address})
+	require.Eventually(t, func() bool { return len(a.Routers()) == 2 }, waitTimeout, pollInterval)
 	big := &schema.Batch{Held: []*schema.Held{{Ids: make([]uint64, 200_000)}}}
 	sent := 0
-	for a.Faults().Overflown == 0 {
+	for a.Faults().QueueFull == 0 {
 		a.Send("b", big)
 		sent++
 		require.Less(t, sent, 5000)
 	}
-	require.Eventually(t, func() bool { return a.lost() > 0 }, patience, often)
-	a.Send("c", number(1))
-	require.Eventually(t, func() bool { return len(awake.received()) == 1 }, patience, often)
+	require.Eventually(t, func() bool { return a.disconnects() > 0 }, waitTimeout, pollInterval)
+	a.Send("c", numberedBatch(1))
+	require.Eventually(t, func() bool { return len(healthy.received()) == 1 }, waitTimeout, pollInterval)
 }
 
-// A router is paused for longer than the others wait for it. When it wakes,
-// what was sent to it before lies ready to be read: grants for slots that went
-// to others meanwhile. It must drop them and begin anew.
+// A router is paused until the others count it as lost. When it resumes, it can
+// still read what they sent before, such as grants of slots that other routers
+// hold by now. It must drop these messages and reconnect.
 func TestRouterThatWasPausedDropsOldMessages(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
 	const heartbeat = 50 * time.Millisecond
-	a := start(t, setup{id: "a", heartbeat: heartbeat})
-	paused := start(t, setup{id: "b", gate: gate, heartbeat: heartbeat})
+	a := startNode(t, nodeConfig{id: "a", heartbeat: heartbeat})
+	paused := startNode(t, nodeConfig{id: "b", readGate: gate, heartbeat: heartbeat})
 	a.Target(map[fleet.RouterID]string{"b": paused.address})
-	connected(t, a, paused)
-	a.Send("b", number(1))
-	require.Eventually(t, func() bool { return len(paused.received()) == 1 }, patience, often)
-	// The reader of b stands still now.
-	a.Send("b", number(2))
+	waitConnected(t, a, paused)
+	a.Send("b", numberedBatch(1))
+	require.Eventually(t, func() bool { return len(paused.received()) == 1 }, waitTimeout, pollInterval)
+	// The reader of b is blocked from here on.
+	a.Send("b", numberedBatch(2))
 	time.Sleep(20 * heartbeat)
 	close(gate)
-	require.Eventually(t, func() bool { return paused.lost() == 1 }, patience, often)
-	connected(t, a, paused)
-	a.Send("b", number(3))
-	require.Eventually(t, func() bool { return len(paused.received()) == 2 }, patience, often)
+	require.Eventually(t, func() bool { return paused.disconnects() == 1 }, waitTimeout, pollInterval)
+	waitConnected(t, a, paused)
+	a.Send("b", numberedBatch(3))
+	require.Eventually(t, func() bool { return len(paused.received()) == 2 }, waitTimeout, pollInterval)
 	require.Equal(t, []uint64{1, 3}, paused.received())
 }
 
-// The network between two routers is cut without a word, so that neither side
-// sees its connection end. Both must notice by themselves, and find each other
-// again afterwards.
+// The network between two routers drops all packets, so that neither side sees
+// its connection close. Both must detect the loss by timeout, and reconnect
+// when the network is back.
 func TestCutAndRejoin(t *testing.T) {
 	t.Parallel()
 	const heartbeat = 50 * time.Millisecond
-	a := start(t, setup{id: "a", heartbeat: heartbeat})
-	b := start(t, setup{id: "b", heartbeat: heartbeat})
+	a := startNode(t, nodeConfig{id: "a", heartbeat: heartbeat})
+	b := startNode(t, nodeConfig{id: "b", heartbeat: heartbeat})
 	wire := newProxy(t, a.address)
 	b.Target(map[fleet.RouterID]string{"a": wire.address})
-	connected(t, a, b)
+	waitConnected(t, a, b)
 	wire.cut()
-	require.Eventually(t, func() bool { return a.lost() == 1 && b.lost() >= 1 }, patience, often)
+	require.Eventually(t, func() bool { return a.disconnects() == 1 && b.disconnects() >= 1 }, waitTimeout, pollInterval)
 	require.Positive(t, a.Faults().Silent+b.Faults().Silent)
-	wire.mend()
-	connected(t, a, b)
-	b.Send("a", number(5))
-	require.Eventually(t, func() bool { return len(a.received()) == 1 }, patience, often)
+	wire.restore()
+	waitConnected(t, a, b)
+	b.Send("a", numberedBatch(5))
+	require.Eventually(t, func() bool { return len(a.received()) == 1 }, waitTimeout, pollInterval)
 }
 
-// Every byte of control traffic counts, so that the figures on the metrics
-// page are those that operators pay for.
+// The metrics must count every byte of control traffic on both sides, so that
+// they show the traffic that operators pay for.
 func TestBytesAreCountedOnBothSides(t *testing.T) {
 	t.Parallel()
-	a := start(t, setup{id: "a", heartbeat: time.Hour})
-	b := start(t, setup{id: "b", heartbeat: time.Hour})
+	a := startNode(t, nodeConfig{id: "a", heartbeat: time.Hour})
+	b := startNode(t, nodeConfig{id: "b", heartbeat: time.Hour})
 	b.Target(map[fleet.RouterID]string{"a": a.address})
-	connected(t, a, b)
+	waitConnected(t, a, b)
 	for i := range uint64(10) {
-		b.Send("a", number(i+1))
+		b.Send("a", numberedBatch(i+1))
 	}
-	require.Eventually(t, func() bool { return len(a.received()) == 10 }, patience, often)
+	require.Eventually(t, func() bool { return len(a.received()) == 10 }, waitTimeout, pollInterval)
 	require.Eventually(t, func() bool {
-		sent := b.bytes(metric.Sent)
-		received := a.bytes(metric.Received)
+		sent := b.controlBytes(metric.Sent)
+		received := a.controlBytes(metric.Received)
 		return sent == received && sent > 10*4
-	}, patience, often)
+	}, waitTimeout, pollInterval)
 }
--- a/peer/proxy_test.go
+++ b/peer/proxy_test.go
@@ -8,12 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// proxy is a wire that can be cut: bytes stop, connections stay.
+// proxy forwards TCP connections to target. While it is cut, no bytes pass but
+// the connections stay open.
 type proxy struct {
 	address string
 	target  string
 	mu      sync.Mutex
-	open    chan struct{}
+	flowing chan struct{} // closed while bytes pass
 	conns   []net.Conn
 }
 
@@ -21,11 +22,11 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p := &proxy{address: listener.Addr().String(), target: target, open: make(chan struct{})}
-	close(p.open)
+	p := &proxy{address: listener.Addr().String(), target: target, flowing: make(chan struct{})}
+	close(p.flowing)
 	t.Cleanup(func() {
 		_ = listener.Close()
-		p.mend()
+		p.restore()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, c := range p.conns {
@@ -38,13 +39,13 @@
 			if err != nil {
 				return
 			}
-			go p.carry(c)
+			go p.forward(c)
 		}
 	}()
 	return p
 }
 
-func (p *proxy) carry(c net.Conn) {
+func (p *proxy) forward(c net.Conn) {
 	other, err := net.Dial("tcp", p.target)
 	if err != nil {
 		_ = c.Close()
@@ -53,17 +54,17 @@
 	p.mu.Lock()
 	p.conns = append(p.conns, c, other)
 	p.mu.Unlock()
-	go p.copy(c, other)
-	p.copy(other, c)
+	go p.copyBytes(c, other)
+	p.copyBytes(other, c)
 }
 
-func (p *proxy) copy(to, from net.Conn) {
+func (p *proxy) copyBytes(to, from net.Conn) {
 	defer to.Close()
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
 		p.mu.Lock()
-		open := p.open
+		open := p.flowing
 		p.mu.Unlock()
 		<-open
 		if err != nil {
@@ -78,15 +79,15 @@
 func (p *proxy) cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open = make(chan struct{})
+	p.flowing = make(chan struct{})
 }
 
-func (p *proxy) mend() {
+func (p *proxy) restore() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.open:
+	case <-p.flowing:
 	default:
-		close(p.open)
+		close(p.flowing)
 	}
 }
