--- a/control/loop.go
+++ b/control/loop.go
@@ -1,5 +1,6 @@
-// Package control runs a router's control state on one goroutine, so that the
-// decisions behind it need no locks and can be tested without any.
+// Package control provides an event loop that runs all functions on a router's
+// control state on one goroutine, so that the code needs no locks and can be
+// tested without goroutines.
 package control
 
 import (
@@ -10,22 +11,22 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Loop calls posted functions one after the other on the goroutine that runs
-// it. Its zero value works.
+// Loop calls posted functions one after the other on the goroutine that calls
+// Run. Its zero value is ready to use.
 type Loop struct {
 	mu     sync.Mutex
 	queue  []func()
 	closed bool
 	wake   chan struct{}
-	idle   []func()
+	onIdle []func()
 }
 
-// New returns a Loop that calls each of idle whenever it has run all that
-// was posted, so that the effects of many posts can be settled together.
-func New(idle ...func()) *Loop { return &Loop{idle: idle} }
+// New returns a Loop that calls each of onIdle after it has called all functions
+// of the queue, so that the effects of many posts can be handled together.
+func New(onIdle ...func()) *Loop { return &Loop{onIdle: onIdle} }
 
-// Post hands fn to the loop and returns without waiting for it. It reports
-// whether the loop will call fn, which it won't after Run has returned.
+// Post queues fn without waiting for the call. It reports whether fn was queued,
+// which is no longer possible once Run is returning.
 func (l *Loop) Post(fn func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,26 +35,26 @@
 	}
 	l.queue = append(l.queue, fn)
 	select {
-	case l.signal() <- struct{}{}:
+	case l.wakeChannel() <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// signal returns the wake-up channel. The lock must be held.
-func (l *Loop) signal() chan struct{} {
+// wakeChannel returns the wake channel and creates it if necessary. mu must be held.
+func (l *Loop) wakeChannel() chan struct{} {
 	if l.wake == nil {
 		l.wake = make(chan struct{}, 1)
 	}
 	return l.wake
 }
 
-// Run calls what is posted until ctx ends, and returns the cause. Functions
-// that were posted before the end are still called, so that nobody waits for
-// an answer that never comes.
+// Run calls posted functions until ctx ends, and returns the cause. Functions
+// that are already queued by then are still called, so that callers waiting for
+// their results don't block forever.
 func (l *Loop) Run(ctx context.Context) error {
 	l.mu.Lock()
-	wake := l.signal()
+	wake := l.wakeChannel()
 	l.mu.Unlock()
 	for {
 		select {
@@ -73,22 +74,24 @@
 	l.closed = true
 }
 
+// drain calls queued functions until the queue is empty.
 func (l *Loop) drain() {
 	for {
-		batch := l.take()
+		batch := l.takeQueue()
 		if len(batch) == 0 {
 			return
 		}
 		for _, fn := range batch {
 			fn()
 		}
-		for _, fn := range l.idle {
+		for _, fn := range l.onIdle {
 			fn()
 		}
 	}
 }
 
-func (l *Loop) take() []func() {
+// takeQueue empties the queue and returns its functions.
+func (l *Loop) takeQueue() []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	batch := l.queue
@@ -96,12 +99,12 @@
 	return batch
 }
 
-// Every subscribes fn to the timer service and calls it on the loop.
+// Every calls fn on the loop at each interval until the subscription is cancelled.
 func (l *Loop) Every(service timer.Service, interval time.Duration, fn func(now time.Time)) timer.Subscription {
 	return service.Every(interval, func(now time.Time) { l.Post(func() { fn(now) }) })
 }
 
-// After subscribes fn for one call on the loop.
+// After calls fn once on the loop after delay, unless the subscription is cancelled.
 func (l *Loop) After(service timer.Service, delay time.Duration, fn func(now time.Time)) timer.Subscription {
 	return service.After(delay, func(now time.Time) { l.Post(func() { fn(now) }) })
 }
