--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,5 +1,6 @@
-// Package dispatch is the seam between a router's traffic and whatever decides
-// which waiting request starts next, and where.
+// Package dispatch defines the interface between a router's request handling and
+// the scheduler, which decides which waiting request starts next and at which
+// upstream.
 package dispatch
 
 import (
@@ -10,63 +11,64 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Work is one request that waits for its turn.
+// Work describes a request that waits for a slot.
 type Work struct {
 	Request fleet.RequestID
 	Account *schema.Account
 	Service *schema.Service
-	// Estimate is the expected cost; the actual cost is known only at the end.
+	// Estimate is the expected cost. The actual cost is known only when the
+	// request ends.
 	Estimate fleet.Tokens
-	// Prefix identifies the beginning of the prompt, in blocks from short to
-	// long, for cache affinity. It is empty for plain services.
+	// Prefix holds hashes of prefixes of the prompt, each one block longer than
+	// the one before, for cache affinity. It is empty for plain services.
 	Prefix []uint64
-	// Deadline is when the caller gives up.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// Avoid lists upstreams that an earlier attempt failed at.
+	// Avoid lists the upstreams at which earlier attempts failed.
 	Avoid []fleet.UpstreamID
 }
 
-// Result is how an upstream answered, as far as dispatch needs to know.
+// Result is the outcome of an attempt at an upstream.
 type Result int
 
 const (
-	// Answered means that the upstream answered whole.
+	// Answered means that the upstream sent a complete answer.
 	Answered Result = iota + 1
-	// Refused means that the upstream turned the request away unrun.
+	// Refused means that the upstream rejected the request without running it.
 	Refused
-	// Failed means that the upstream could not be reached or broke off.
+	// Failed means that the upstream could not be reached or the answer broke off.
 	Failed
-	// Draining means that the upstream said that it takes no more work.
+	// Draining means that the upstream answered that it accepts no new requests.
 	Draining
-	// Unused means that nothing was sent to the upstream.
+	// Unused means that the slot was released without sending the request.
 	Unused
 )
 
-// Done is what the holder of a slot reports when it gives the slot back.
+// Done is the report with which the holder of a slot releases it.
 type Done struct {
 	Result Result
-	// Cost is the weighted tokens that the request took in all.
+	// Cost is the total cost of the request in weighted tokens.
 	Cost fleet.Tokens
-	// FirstToken is the time from sending to the first byte of the answer,
-	// zero when there was none.
+	// FirstToken is the time from sending the request to the first byte of the
+	// answer, zero if there was no answer.
 	FirstToken time.Duration
 }
 
-// Slot is the right to have one request in flight at an upstream.
+// Slot is the permission to have one request in flight at an upstream.
 type Slot interface {
-	// Upstream returns where to send the request.
+	// Upstream returns the upstream to send the request to.
 	Upstream() *schema.Upstream
-	// Progress reports the request's cost so far, so that a long answer
-	// counts while it streams. It does not block.
+	// Progress reports the cost of the request so far, so that a long answer is
+	// charged while it streams. It does not block.
 	Progress(cost fleet.Tokens)
-	// Done gives the slot back. It must be called once and does not block.
+	// Done releases the slot. It must be called once and does not block.
 	Done(done Done)
 }
 
-// Source hands out slots.
+// Source grants slots to requests.
 type Source interface {
-	// Acquire waits for the request's turn. It fails with *refusal.Error at
-	// once when the request can't be served in time, and with a
-	// *refusal.Error of reason caller-gone when ctx ends.
+	// Acquire waits until the request is granted a slot. It returns a
+	// *refusal.Error at once if the request can't be served in time, and one of
+	// reason caller-gone if ctx ends.
 	Acquire(ctx context.Context, work Work) (Slot, error)
 }
