--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,16 +1,17 @@
 // Package keeper sums the service of client accounts over all dispatchers.
 //
-// It answers the load pattern of an account whose work is dispatched at many
-// routers at once: each dispatcher alone would give it a full share. The
-// dispatchers tell the account's keeper, one of the routers, what they charged
-// it since they started, and read the sum back. Reports are cumulative, so a
-// lost, repeated or late one does no harm. A full exchange between all
-// dispatchers would take 58 KB a round at 3,600 backlogged accounts, twenty
-// times the control allowance of a second; here an account costs two short
-// messages for each threshold of service that it receives at a dispatcher.
+// Without the sum, an account with requests at several dispatchers would receive
+// a full share at each of them. Each account has a keeper, which is one of the
+// routers. Dispatchers report to it what they have charged the account since
+// they started, and receive the sum. Reports are cumulative, so that lost,
+// repeated and late ones do no harm. A full exchange between all dispatchers
+// would take 58 KB a round at 3,600 backlogged accounts, twenty times the
+// bandwidth allowed for control messages per second. With a keeper, an account
+// takes two short messages each time that its service at a dispatcher grows by
+// the report threshold.
 //
-// Nothing is kept on a disk. A keeper that takes over or restarts hears the
-// reporters' last totals as floors and goes on from the highest.
+// The sums are not persisted. After a takeover or restart, dispatchers send the
+// last totals they know as floors, and the keeper continues from the highest.
 package keeper
 
 import (
@@ -22,107 +23,109 @@
 
 // Defaults of Options.
 const (
-	// DefaultIdle is how long an account is remembered without a report. One
-	// that is forgotten starts again at its reporters' floors, so it needs
-	// only to be longer than any request takes.
-	DefaultIdle = 15 * time.Minute
-	// DefaultMax bounds the accounts that are remembered. At the target size a
-	// keeper has 78; after a cut one router may keep all 36,000, at some 300
-	// bytes each with two reporters.
-	DefaultMax = 50_000
+	// DefaultIdleTimeout is how long an account is kept without a report. A
+	// removed account starts again from the floors of its dispatchers, so the
+	// timeout needs only to be longer than any request takes.
+	DefaultIdleTimeout = 15 * time.Minute
+	// DefaultMaxAccounts is the maximum number of accounts. At the target size a
+	// keeper has 78. After a network partition a single router may keep all
+	// 36,000, at about 300 bytes each with two dispatchers.
+	DefaultMaxAccounts = 50_000
 )
 
-// Options configure a Keeper. Zero values mean the defaults.
+// Options configure a Keeper. Zero values select the defaults.
 type Options struct {
-	Idle time.Duration
-	Max  int
+	IdleTimeout time.Duration
+	MaxAccounts int
 }
 
-// Key is an account's use of one service. Service of different services
-// can't be exchanged, so it is not summed.
+// Key identifies an account at one service. Fairness applies within a service,
+// so that sums are kept for each service separately.
 type Key struct {
 	Service fleet.Number
 	Account fleet.Number
 }
 
-// Keeper sums reports. It is used by one goroutine.
+// Keeper sums the reports of dispatchers. It is not safe for concurrent use.
 type Keeper struct {
-	options Options
-	sums    share.Keeper[Key, reporter]
-	heard   map[Key]time.Time
-	latest  map[fleet.RouterID]fleet.Incarnation
+	options      Options
+	sums         share.Keeper[Key, reporter]
+	lastReport   map[Key]time.Time
+	incarnations map[fleet.RouterID]fleet.Incarnation
 }
 
-// reporter is one life of a router, which counts from zero.
+// reporter is one incarnation of a router. Its reports count from zero.
 type reporter struct {
 	router      fleet.RouterID
 	incarnation fleet.Incarnation
 }
 
-// New returns a Keeper that knows no account.
+// New returns a Keeper without accounts.
 func New(options Options) *Keeper {
-	if options.Idle <= 0 {
-		options.Idle = DefaultIdle
+	if options.IdleTimeout <= 0 {
+		options.IdleTimeout = DefaultIdleTimeout
 	}
-	if options.Max <= 0 {
-		options.Max = DefaultMax
+	if options.MaxAccounts <= 0 {
+		options.MaxAccounts = DefaultMaxAccounts
 	}
 	return &Keeper{
-		options: options,
-		heard:   make(map[Key]time.Time),
-		latest:  make(map[fleet.RouterID]fleet.Incarnation),
+		options:      options,
+		lastReport:   make(map[Key]time.Time),
+		incarnations: make(map[fleet.RouterID]fleet.Incarnation),
 	}
 }
 
-// Report takes a dispatcher's report and returns the account's total. A report
-// of an older incarnation of the router changes nothing, and the total that
-// it gets covers nothing.
+// Report applies a dispatcher's report and returns the account's total. A report
+// of an older incarnation of the router is ignored; the total returned for it
+// has zero Covered.
 func (k *Keeper) Report(now time.Time, from fleet.RouterID, incarnation fleet.Incarnation, report share.Report[Key]) share.Total {
-	latest := k.latest[from]
+	latest := k.incarnations[from]
 	if incarnation < latest {
 		return k.sums.Total(reporter{from, incarnation}, report.Key)
 	}
 	if incarnation > latest {
-		// The router counts from zero; what it charged before stays in the
-		// sums, or each account would be served twice for it.
+		// The new incarnation counts from zero. What the old one charged stays in
+		// the sums, or the accounts would receive that service a second time.
 		k.sums.Gone(reporter{from, latest})
-		k.latest[from] = incarnation
+		k.incarnations[from] = incarnation
 	}
-	k.hear(now, report.Key)
+	k.recordReport(now, report.Key)
 	return k.sums.Report(reporter{from, incarnation}, report)
 }
 
-func (k *Keeper) hear(now time.Time, key Key) {
-	if _, known := k.heard[key]; !known && len(k.heard) >= k.options.Max {
+// recordReport sets the time of the last report on key. If there are too many
+// accounts, it removes the one without a report for longest.
+func (k *Keeper) recordReport(now time.Time, key Key) {
+	if _, known := k.lastReport[key]; !known && len(k.lastReport) >= k.options.MaxAccounts {
 		k.forgetOldest()
 	}
-	k.heard[key] = now
+	k.lastReport[key] = now
 }
 
 func (k *Keeper) forgetOldest() {
 	var oldest Key
 	var at time.Time
-	for key, heard := range k.heard {
-		if at.IsZero() || heard.Before(at) {
-			oldest, at = key, heard
+	for key, reported := range k.lastReport {
+		if at.IsZero() || reported.Before(at) {
+			oldest, at = key, reported
 		}
 	}
 	k.forget(oldest)
 }
 
 func (k *Keeper) forget(key Key) {
-	delete(k.heard, key)
+	delete(k.lastReport, key)
 	k.sums.Forget(key)
 }
 
-// Tick forgets accounts that nobody reported for a while.
+// Tick removes accounts without a report for the idle timeout.
 func (k *Keeper) Tick(now time.Time) {
-	for key, heard := range k.heard {
-		if now.Sub(heard) >= k.options.Idle {
+	for key, reported := range k.lastReport {
+		if now.Sub(reported) >= k.options.IdleTimeout {
 			k.forget(key)
 		}
 	}
 }
 
-// Len returns how many accounts are remembered.
-func (k *Keeper) Len() int { return len(k.heard) }
+// Len returns the number of accounts, counting each service of an account.
+func (k *Keeper) Len() int { return len(k.lastReport) }
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -25,14 +25,14 @@
 	k.Report(start, "a", 1, report{Key: key, Cumulative: 100})
 	total := k.Report(start, "b", 1, report{Key: key, Cumulative: 50})
 	require.Equal(t, share.Total{Sum: 150, Covered: 50}, total)
-	// A settlement below the estimate lowers the sum.
+	// A final cost below the estimate lowers the sum.
 	total = k.Report(start, "a", 1, report{Key: key, Cumulative: 80})
 	require.Equal(t, share.Total{Sum: 130, Covered: 80}, total)
 }
 
-// A dispatcher is killed and starts again with nothing remembered, so it
-// counts from zero. Were its report taken for what it is, the account's total
-// would fall and the others would see it served twice for the same credit.
+// A dispatcher is killed and restarts without state, so that it counts from zero.
+// If its new amount replaced the old one, the account's total would fall and the
+// other dispatchers would give the account the same service a second time.
 func TestRestartedDispatcherDoesNotLowerTheTotal(t *testing.T) {
 	t.Parallel()
 	k := keeper.New(keeper.Options{})
@@ -40,21 +40,21 @@
 	k.Report(start, "b", 1, report{Key: key, Cumulative: 40})
 	total := k.Report(start, "a", 2, report{Key: key, Cumulative: 5})
 	require.Equal(t, share.Total{Sum: 145, Covered: 5}, total)
-	// A late report of the first life changes nothing.
+	// A late report of the first incarnation changes nothing.
 	total = k.Report(start, "a", 1, report{Key: key, Cumulative: 300})
 	require.Equal(t, share.Total{Sum: 145}, total)
 }
 
-// A keeper is killed. The next one knows no account; without the floor it
-// would answer with a total of next to nothing, and an account that was served
-// for hours would stand before all others until it was served as much again.
+// A keeper is killed. The new one knows no account. Without the floor it would
+// return a total of almost zero, and an account that was served for hours would
+// be served before all others until it had received as much again.
 func TestNewKeeperGoesOnFromTheFloor(t *testing.T) {
 	t.Parallel()
 	k := keeper.New(keeper.Options{})
-	// A dispatcher whose account has another keeper counts from zero again.
+	// A dispatcher counts from zero again when the account gets another keeper.
 	total := k.Report(start, "a", 1, report{Key: key, Floor: 5000})
 	require.Equal(t, fleet.Tokens(5000), total.Sum)
-	// The floors of two dispatchers hold the same service; they don't add up.
+	// The floors of two dispatchers include the same service and aren't added up.
 	total = k.Report(start, "b", 1, report{Key: key, Cumulative: 10, Floor: 5020})
 	require.Equal(t, fleet.Tokens(5020), total.Sum)
 	total = k.Report(start, "a", 1, report{Key: key, Cumulative: 30})
@@ -67,7 +67,7 @@
 	k.Report(start, "a", 1, report{Key: key, Cumulative: 10})
 	total := k.Report(start, "b", 1, report{Key: key, Cumulative: 20, Floor: 700})
 	require.Equal(t, fleet.Tokens(700), total.Sum)
-	// A floor that arrives twice or late lifts nothing again.
+	// A floor that arrives again or late does not raise the total.
 	k.Report(start, "a", 1, report{Key: key, Cumulative: 60})
 	total = k.Report(start, "b", 1, report{Key: key, Cumulative: 20, Floor: 700})
 	require.Equal(t, fleet.Tokens(750), total.Sum)
@@ -75,7 +75,7 @@
 
 func TestForgetsIdleAccountsAndStaysWithinItsBound(t *testing.T) {
 	t.Parallel()
-	k := keeper.New(keeper.Options{Idle: time.Minute, Max: 3})
+	k := keeper.New(keeper.Options{IdleTimeout: time.Minute, MaxAccounts: 3})
 	for i := range 10 {
 		at := start.Add(time.Duration(i) * time.Second)
 		k.Report(at, "a", 1, report{Key: keeper.Key{Service: 1, Account: fleet.Number(i)}, Cumulative: 1})
@@ -85,9 +85,9 @@
 	require.Zero(t, k.Len())
 }
 
-// Messages between routers get lost, repeated and late over a reconnection.
-// Whatever arrived, the next report of each dispatcher makes the total exact,
-// and without settlements it never falls in between.
+// Around a reconnection, messages between routers are lost, repeated or late. In
+// every case the next report of each dispatcher makes the total exact. If no
+// dispatcher lowers its amount, the total never falls in between.
 func TestLostAndRepeatedReportsDoNoHarm(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
