--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -8,122 +8,123 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// demand is what waits for one account and service, at all routers.
-type demand struct {
+// accountDemand is the demand of one account for one service at all routers.
+type accountDemand struct {
 	asks map[fleet.RouterID]*ask
 }
 
-// ask is what waits at one router.
+// ask is the demand at one router, from its last Ask message.
 type ask struct {
-	waiting   int
-	estimate  fleet.Tokens
-	asked     int
-	since     time.Time
-	preferred []uint32
-	avoided   []uint32
-	// unseen are grants that the router had not seen when it asked.
-	unseen []sentGrant
+	waiting     int
+	estimate    fleet.Tokens
+	dispatchers int
+	oldestSince time.Time
+	preferred   []uint32
+	avoided     []uint32
+	// unseenGrants are the grants that the router had not received when it asked.
+	unseenGrants []sentGrant
 }
 
 type sentGrant struct {
-	id GrantID
-	at time.Time
+	id     GrantID
+	sentAt time.Time
 }
 
-// Ask takes what a router has waiting. Through is the highest id of this
-// dispatcher's grants that the router had seen, so that work for which a
-// grant is on its way is not granted again.
+// Ask replaces the demand of an account at a router. Through is the highest id of
+// this dispatcher's grants that the router had received, so that a request is
+// not granted a second slot while the first grant is in transit.
 func (d *Dispatcher[O, L, P]) Ask(now time.Time, from fleet.RouterID, through GrantID, message *schema.Ask) {
 	account := fleet.Number(message.GetAccount())
 	s := d.service(fleet.Number(message.GetService()))
-	w := s.demands[account]
-	if w == nil {
-		w = &demand{asks: make(map[fleet.RouterID]*ask)}
-		s.demands[account] = w
+	demand := s.demands[account]
+	if demand == nil {
+		demand = &accountDemand{asks: make(map[fleet.RouterID]*ask)}
+		s.demands[account] = demand
 	}
-	a := w.asks[from]
+	a := demand.asks[from]
 	if a == nil {
 		a = &ask{}
-		w.asks[from] = a
+		demand.asks[from] = a
 	}
-	a.acknowledge(now, through, d.options.AckWait)
-	a.waiting = max(0, int(message.GetWaiting())-len(a.unseen))
+	a.acknowledge(now, through, d.options.AckTimeout)
+	a.waiting = max(0, int(message.GetWaiting())-len(a.unseenGrants))
 	a.estimate = max(1, fleet.Tokens(message.GetEstimate()))
-	a.asked = max(1, int(message.GetAsked()))
-	a.since = now.Add(-time.Duration(message.GetWaitedMs()) * time.Millisecond)
+	a.dispatchers = max(1, int(message.GetAsked()))
+	a.oldestSince = now.Add(-time.Duration(message.GetWaitedMs()) * time.Millisecond)
 	a.preferred = message.GetPreferred()
 	a.avoided = message.GetAvoided()
-	if message.GetWaiting() == 0 && len(a.unseen) == 0 {
-		delete(w.asks, from)
+	if message.GetWaiting() == 0 && len(a.unseenGrants) == 0 {
+		delete(demand.asks, from)
 	}
-	d.update(s, account, w)
+	d.updateOrder(s, account, demand)
 }
 
-// acknowledge drops the grants that the router has seen, and those that must
-// have been lost: without the second part one lost grant would hold back a
-// waiting request for ever.
-func (a *ask) acknowledge(now time.Time, through GrantID, wait time.Duration) {
-	unseen := a.unseen[:0]
-	for _, g := range a.unseen {
-		if g.id > through && now.Sub(g.at) < wait {
+// acknowledge removes the grants that the router has received and those older
+// than timeout, which must have been lost. Without the timeout, a lost grant
+// would block a waiting request forever.
+func (a *ask) acknowledge(now time.Time, through GrantID, timeout time.Duration) {
+	unseen := a.unseenGrants[:0]
+	for _, g := range a.unseenGrants {
+		if g.id > through && now.Sub(g.sentAt) < timeout {
 			unseen = append(unseen, g)
 		}
 	}
-	a.unseen = unseen
+	a.unseenGrants = unseen
 }
 
-// update tells the order what waits for an account now.
-func (d *Dispatcher[O, L, P]) update(s *service[O, L], account fleet.Number, w *demand) {
+// updateOrder passes the current demand of an account to the service's order.
+func (d *Dispatcher[O, L, P]) updateOrder(s *service[O, L], account fleet.Number, demand *accountDemand) {
 	total := share.Waiting{Weight: max(1, d.options.Weight(account)), Asked: 1}
-	for _, a := range w.asks {
+	for _, a := range demand.asks {
 		if a.waiting == 0 {
 			continue
 		}
-		if total.Requests == 0 || a.since.Before(total.Since) {
-			total.Since = a.since
+		if total.Requests == 0 || a.oldestSince.Before(total.Since) {
+			total.Since = a.oldestSince
 			total.Estimate = a.estimate
 		}
 		total.Requests += a.waiting
-		total.Asked = max(total.Asked, a.asked)
+		total.Asked = max(total.Asked, a.dispatchers)
 	}
 	s.order.Wait(account, total)
-	if len(w.asks) == 0 {
+	if len(demand.asks) == 0 {
 		delete(s.demands, account)
 	}
 }
 
-// head returns the router whose request of the account has waited longest,
-// among those with one that fits.
-func (w *demand) head(fits func(a *ask) bool) (fleet.RouterID, *ask) {
+// oldestAsk returns the router whose request has waited longest, among the asks
+// that eligible accepts.
+func (d *accountDemand) oldestAsk(eligible func(a *ask) bool) (fleet.RouterID, *ask) {
 	var router fleet.RouterID
 	var oldest *ask
-	for r, a := range w.asks {
-		if a.waiting == 0 || !fits(a) {
+	for r, a := range d.asks {
+		if a.waiting == 0 || !eligible(a) {
 			continue
 		}
-		if oldest == nil || a.since.Before(oldest.since) || (a.since.Equal(oldest.since) && r < router) {
+		if oldest == nil || a.oldestSince.Before(oldest.oldestSince) || (a.oldestSince.Equal(oldest.oldestSince) && r < router) {
 			router, oldest = r, a
 		}
 	}
 	return router, oldest
 }
 
-// taken counts a grant against the ask. The next request's age is not known
-// until the router asks again; that arrivals were spread evenly is assumed.
-func (a *ask) taken(now time.Time, id GrantID) {
-	a.since = a.since.Add(now.Sub(a.since) / time.Duration(a.waiting))
+// recordGrant subtracts a granted request from the ask. The age of the next
+// request is unknown until the router asks again; the estimate assumes that the
+// requests arrived at even intervals.
+func (a *ask) recordGrant(now time.Time, id GrantID) {
+	a.oldestSince = a.oldestSince.Add(now.Sub(a.oldestSince) / time.Duration(a.waiting))
 	a.waiting--
-	a.unseen = append(a.unseen, sentGrant{id, now})
+	a.unseenGrants = append(a.unseenGrants, sentGrant{id, now})
 }
 
-// Unmet returns whether work waits here for a service.
+// Unmet reports whether requests for a service are waiting at this dispatcher.
 func (d *Dispatcher[O, L, P]) Unmet(service fleet.Number) bool {
 	s := d.services[service]
 	if s == nil {
 		return false
 	}
-	for _, w := range s.demands {
-		for _, a := range w.asks {
+	for _, demand := range s.demands {
+		for _, a := range demand.asks {
 			if a.waiting > 0 {
 				return true
 			}
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,20 +1,20 @@
-// Package dispatcher holds the slots of the upstreams that a router is
-// responsible for, and grants them to the waiting work of all routers.
+// Package dispatcher manages the slots of the upstreams that a router is
+// responsible for, and grants them to the waiting requests of all routers.
 //
-// It answers the load pattern of tenants that spread unevenly over routers:
-// model engines admit whatever they are sent, so with a queue at each router
-// and nobody between them, six routers would send six times what an engine
-// takes, in no order between accounts. A share of each upstream per router
-// would strand the slots of a router without work. One dispatcher for each
-// upstream sees all that waits for it.
+// It handles the load of client accounts that are spread unevenly over routers.
+// Model engines accept every request that they are sent. With independent queues
+// at the routers, six routers would send an engine six times what it can take,
+// in no fair order between accounts. With a fixed part of the slots for each
+// router, the slots of a router without requests would stay unused. One
+// dispatcher for each upstream sees all requests that wait for it.
 //
-// All of its state is soft. What routers ask is repeated after each
-// reconnection; what they have in flight is told to a new dispatcher (Held).
-// A wrong, double or new dispatcher therefore sends an upstream too much for
-// a while, at most its limit once more for each dispatcher that believes in
-// itself, and never too little for longer than Grace. No message needs to
-// arrive exactly once: asks replace each other, releases are known by id, and
-// a complete Held drops what was lost on the way.
+// All of the state is soft. Routers repeat their asks after each reconnection
+// and tell a new dispatcher what they have in flight (Held). If there is a wrong,
+// second or new dispatcher for an upstream, the upstream may therefore receive
+// too many requests for a while: at most its limit once more for each additional
+// dispatcher. It never receives too few for longer than Grace. No message has to
+// arrive exactly once: asks replace each other, releases are matched by id, and
+// Complete removes grants that were lost.
 package dispatcher
 
 import (
@@ -31,38 +31,38 @@
 
 // Defaults of Options.
 const (
-	// DefaultTakeoverWait is a few round trips between data centres, in which
+	// DefaultTakeoverWait is a few round trips between data centres, within which
 	// routers tell a new dispatcher what they have in flight.
 	DefaultTakeoverWait = 200 * time.Millisecond
-	// DefaultGrace is how long an engine may go on with a stream whose router
-	// died; the engines' own setting is 10 s.
+	// DefaultGrace is how long an engine may continue a stream after its router
+	// has died. It equals the engines' own setting of 10 s.
 	DefaultGrace = 10 * time.Second
-	// DefaultAckWait is how long a grant counts as on its way. It is many
-	// round trips, and short beside a request's residence.
-	DefaultAckWait = 2 * time.Second
+	// DefaultAckTimeout is how long a grant counts as in transit. It is many
+	// round trips and short compared with the duration of a request.
+	DefaultAckTimeout = 2 * time.Second
 )
 
-// Options configure a Dispatcher. O, L and P are the policies.
+// Options configure a Dispatcher. O, L and P are the types of its policies.
 type Options[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy] struct {
-	// Order returns a new order for the accounts of one service.
+	// Order returns a new policy for the order of a service's accounts.
 	Order func() O
-	// Limiter returns a new limiter for an upstream of so many slots.
+	// Limiter returns a new limiter for an upstream with that number of slots.
 	Limiter func(slots int) L
-	// Placement picks among the upstreams that have room.
+	// Placement selects among the upstreams with a free slot.
 	Placement P
-	// Weight returns an account's weight; nil means that all weigh 1.
+	// Weight returns the weight of an account; nil means 1 for all.
 	Weight func(account fleet.Number) uint32
-	// Warmup lets an upstream that joins or recovers take work step by step.
+	// Warmup gradually raises the limit of an upstream that joins or recovers.
 	Warmup bool
-	// Nonce tells the ids of this dispatcher from those of another.
+	// Nonce distinguishes the grant ids of this dispatcher from those of others.
 	Nonce uint16
-	// TakeoverWait, Grace and AckWait replace the defaults when positive.
+	// TakeoverWait, Grace and AckTimeout replace the defaults if positive.
 	TakeoverWait time.Duration
 	Grace        time.Duration
-	AckWait      time.Duration
+	AckTimeout   time.Duration
 }
 
-// GrantID names a grant. It grows with each grant of one dispatcher.
+// GrantID identifies a grant. The ids of one dispatcher's grants are increasing.
 type GrantID uint64
 
 // Grant tells a router to start one request of an account at an upstream.
@@ -71,22 +71,22 @@
 	ID       GrantID
 	Account  fleet.Number
 	Upstream fleet.Number
-	// Begin asks the router to tell when the answer begins.
+	// Begin asks the router to report the beginning of the answer.
 	Begin bool
 }
 
-// Dispatcher grants slots. It is used by one goroutine.
+// Dispatcher grants slots. It is not safe for concurrent use.
 type Dispatcher[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy] struct {
-	options   Options[O, L, P]
-	services  map[fleet.Number]*service[O, L]
-	upstreams map[fleet.Number]*upstream[L]
-	grants    map[grantKey]*grant
-	counter   uint64
-	advanced  time.Time
+	options     Options[O, L, P]
+	services    map[fleet.Number]*service[O, L]
+	upstreams   map[fleet.Number]*upstream[L]
+	grants      map[grantKey]*grant
+	grantCount  uint64
+	lastCharged time.Time
 }
 
-// grantKey names a grant among all routers: after a takeover the ids of two
-// dispatchers stand side by side.
+// grantKey identifies a grant. After a takeover there are grants of more than one
+// dispatcher.
 type grantKey struct {
 	router fleet.RouterID
 	id     GrantID
@@ -94,39 +94,39 @@
 
 type service[O share.Order[fleet.Number], L inflight.Limiter] struct {
 	order     O
-	demands   map[fleet.Number]*demand
+	demands   map[fleet.Number]*accountDemand
 	upstreams []*upstream[L]
 }
 
 type upstream[L inflight.Limiter] struct {
-	number   fleet.Number
-	service  fleet.Number
-	slots    int
-	limiter  L
-	ramp     *warmup.Ramp // nil without warm-up
-	readyAt  time.Time
-	leaving  bool
-	draining time.Time // zero while it takes work
-	inFlight int
-	// speed is the service per second that one request gets here.
-	speed speed
+	number        fleet.Number
+	service       fleet.Number
+	slots         int
+	limiter       L
+	warmup        *warmup.Ramp // nil without warm-up
+	readyAt       time.Time
+	leaving       bool
+	drainingSince time.Time // zero while it accepts work
+	inFlight      int
+	// costs estimates the cost of a running request from its duration.
+	costs costModel
 }
 
 type grant struct {
-	account  fleet.Number
-	service  fleet.Number
-	upstream fleet.Number
-	at       time.Time
-	charged  fleet.Tokens
-	estimate fleet.Tokens // outstanding at the order until the end
-	told     fleet.Tokens // its cost when it was told by a Held
-	sentWith int          // in flight at the upstream when it was granted
-	orphaned time.Time    // zero while its router is connected
-	counted  bool         // whether it takes a slot here
-	begun    bool         // whether its answer is known to have begun
+	account         fleet.Number
+	service         fleet.Number
+	upstream        fleet.Number
+	grantedAt       time.Time
+	charged         fleet.Tokens
+	estimate        fleet.Tokens // outstanding in the order until the request ends
+	initialCost     fleet.Tokens // cost that the router reported in Held, zero for a grant of this dispatcher
+	inFlightAtStart int          // requests in flight at the upstream, with this one
+	orphanedAt      time.Time    // zero while its router is connected
+	holdsSlot       bool         // whether it counts as in flight here
+	answerBegun     bool         // whether the answer is known to have begun
 }
 
-// New returns a Dispatcher that is responsible for no upstream yet.
+// New returns a Dispatcher without upstreams.
 func New[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) *Dispatcher[O, L, P] {
 	if options.TakeoverWait <= 0 {
 		options.TakeoverWait = DefaultTakeoverWait
@@ -134,8 +134,8 @@
 	if options.Grace <= 0 {
 		options.Grace = DefaultGrace
 	}
-	if options.AckWait <= 0 {
-		options.AckWait = DefaultAckWait
+	if options.AckTimeout <= 0 {
+		options.AckTimeout = DefaultAckTimeout
 	}
 	if options.Weight == nil {
 		options.Weight = func(fleet.Number) uint32 { return 1 }
@@ -148,39 +148,39 @@
 	}
 }
 
-// nonceBits is how many low bits of an id tell dispatchers apart. Two with
-// the same nonce only matter when one takes over from the other.
+// nonceBits is the number of low bits of an id that hold the nonce. Two equal
+// nonces only matter if one dispatcher takes over from the other.
 const nonceBits = 14
 
-// GrantIDOf returns the id of a dispatcher's grant by its count.
+// GrantIDOf returns the id of a dispatcher's grant with the given sequence number.
 func GrantIDOf(count uint64, nonce uint16) GrantID {
 	return GrantID(count<<nonceBits | uint64(nonce)&(1<<nonceBits-1))
 }
 
-// Count returns the part of the id that counts the dispatcher's grants.
+// Count returns the sequence number of the grant among those of its dispatcher.
 func (id GrantID) Count() uint64 { return uint64(id) >> nonceBits }
 
-// GrantedBy reports whether a dispatcher with this nonce gave the grant.
+// GrantedBy reports whether a dispatcher with this nonce issued the grant.
 func (id GrantID) GrantedBy(nonce uint16) bool { return GrantIDOf(id.Count(), nonce) == id }
 
 func (d *Dispatcher[O, L, P]) nextID() GrantID {
-	d.counter++
-	return GrantIDOf(d.counter, d.options.Nonce)
+	d.grantCount++
+	return GrantIDOf(d.grantCount, d.options.Nonce)
 }
 
 func (d *Dispatcher[O, L, P]) service(number fleet.Number) *service[O, L] {
 	s := d.services[number]
 	if s == nil {
-		s = &service[O, L]{order: d.options.Order(), demands: make(map[fleet.Number]*demand)}
+		s = &service[O, L]{order: d.options.Order(), demands: make(map[fleet.Number]*accountDemand)}
 		d.services[number] = s
 	}
 	return s
 }
 
-// Own replaces the upstreams that this dispatcher is responsible for. One that
-// is new gets no work for TakeoverWait when others is true, because other
-// routers may have requests in flight there that they have not told yet.
-// Grants at one that is gone are remembered until they are settled.
+// Own replaces the upstreams that this dispatcher is responsible for. If others
+// is true, a new upstream gets no requests for TakeoverWait, because other routers
+// may have requests in flight there that they have not reported yet. Grants at a
+// removed upstream are kept until they are released or given up.
 func (d *Dispatcher[O, L, P]) Own(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.Number, others bool) {
 	keep := make(map[fleet.Number]bool, len(owned))
 	for _, s := range d.services {
@@ -189,69 +189,70 @@
 	for _, u := range owned {
 		number := fleet.Number(u.GetNumber())
 		keep[number] = true
-		known := d.upstreams[number]
-		if known == nil {
-			known = d.takeOver(now, u, services[fleet.ServiceID(u.GetService())], others)
+		up := d.upstreams[number]
+		if up == nil {
+			up = d.addUpstream(now, u, services[fleet.ServiceID(u.GetService())], others)
 		}
-		known.slots = int(u.GetSlots())
-		known.leaving = u.GetLeaving()
-		s := d.service(known.service)
-		s.upstreams = append(s.upstreams, known)
+		up.slots = int(u.GetSlots())
+		up.leaving = u.GetLeaving()
+		s := d.service(up.service)
+		s.upstreams = append(s.upstreams, up)
 	}
 	for number := range d.upstreams {
 		if !keep[number] {
-			d.giveUp(number)
+			d.removeUpstream(number)
 		}
 	}
 }
 
-func (d *Dispatcher[O, L, P]) takeOver(now time.Time, u *schema.Upstream, service fleet.Number, others bool) *upstream[L] {
+func (d *Dispatcher[O, L, P]) addUpstream(now time.Time, u *schema.Upstream, service fleet.Number, others bool) *upstream[L] {
 	number := fleet.Number(u.GetNumber())
-	taken := &upstream[L]{number: number, service: service, limiter: d.options.Limiter(int(u.GetSlots())), readyAt: now}
+	added := &upstream[L]{number: number, service: service, limiter: d.options.Limiter(int(u.GetSlots())), readyAt: now}
 	if d.options.Warmup {
-		taken.ramp = &warmup.Ramp{}
+		added.warmup = &warmup.Ramp{}
 	}
 	if others {
-		taken.readyAt = now.Add(d.options.TakeoverWait)
+		added.readyAt = now.Add(d.options.TakeoverWait)
 	}
-	d.upstreams[number] = taken
+	d.upstreams[number] = added
 	for _, g := range d.grants {
 		if g.upstream == number {
-			d.count(g, taken)
+			d.occupySlot(g, added)
 		}
 	}
-	return taken
+	return added
 }
 
-func (d *Dispatcher[O, L, P]) giveUp(number fleet.Number) {
+func (d *Dispatcher[O, L, P]) removeUpstream(number fleet.Number) {
 	delete(d.upstreams, number)
 	for _, g := range d.grants {
 		if g.upstream == number {
-			g.counted = false
+			g.holdsSlot = false
 		}
 	}
 }
 
-func (d *Dispatcher[O, L, P]) count(g *grant, at *upstream[L]) {
-	if g.counted {
+// occupySlot counts the request of a grant as in flight at u, once.
+func (d *Dispatcher[O, L, P]) occupySlot(g *grant, u *upstream[L]) {
+	if g.holdsSlot {
 		return
 	}
-	g.counted = true
-	at.inFlight++
-	// What another dispatcher sent there shows that the upstream is warm.
-	at.began(g)
+	g.holdsSlot = true
+	u.inFlight++
+	// Requests already in flight show that the upstream is warm.
+	u.recordBegin(g)
 }
 
-// remove forgets a grant and frees its slot.
-func (d *Dispatcher[O, L, P]) remove(key grantKey, g *grant) {
+// removeGrant deletes a grant and frees its slot.
+func (d *Dispatcher[O, L, P]) removeGrant(key grantKey, g *grant) {
 	delete(d.grants, key)
 	d.service(g.service).order.End(g.account, g.estimate)
-	if u := d.upstreams[g.upstream]; u != nil && g.counted {
+	if u := d.upstreams[g.upstream]; u != nil && g.holdsSlot {
 		u.inFlight--
 	}
 }
 
-// InFlight returns how many requests hold a slot at an upstream, and whether
+// InFlight returns the number of requests in flight at an upstream, and whether
 // this dispatcher is responsible for it.
 func (d *Dispatcher[O, L, P]) InFlight(upstream fleet.Number) (int, bool) {
 	u := d.upstreams[upstream]
@@ -261,8 +262,8 @@
 	return u.inFlight, true
 }
 
-// Limit returns how many requests may be in flight at an upstream at now,
-// zero when this dispatcher is not responsible for it.
+// Limit returns the maximum number of requests in flight at an upstream at now.
+// It is zero if the upstream accepts no work or is not this dispatcher's.
 func (d *Dispatcher[O, L, P]) Limit(now time.Time, upstream fleet.Number) int {
 	u := d.upstreams[upstream]
 	if u == nil || !u.takesWork(now) {
@@ -271,28 +272,30 @@
 	return u.limit(now)
 }
 
-// limit returns how many requests may be in flight at an upstream that takes work.
+// limit returns the maximum number of requests in flight at an upstream that
+// accepts work.
 func (u *upstream[L]) limit(now time.Time) int {
 	limit := min(u.slots, u.limiter.Limit(now))
-	if u.ramp == nil {
+	if u.warmup == nil {
 		return limit
 	}
-	return u.ramp.Allow(now, limit)
+	return u.warmup.Allow(now, limit)
 }
 
-// warming reports whether the ramp holds the upstream below its limit, so
-// that the beginning of each answer has to be known.
-func (u *upstream[L]) warming(now time.Time) bool {
+// isWarmingUp reports whether the warm-up holds the upstream below its limit. In
+// that case the dispatcher must know when each answer begins.
+func (u *upstream[L]) isWarmingUp(now time.Time) bool {
 	limit := min(u.slots, u.limiter.Limit(now))
-	return u.ramp != nil && u.ramp.Allow(now, limit) < limit
+	return u.warmup != nil && u.warmup.Allow(now, limit) < limit
 }
 
+// takesWork reports whether new requests may be sent to the upstream at now.
 func (u *upstream[L]) takesWork(now time.Time) bool {
-	return !u.leaving && u.draining.IsZero() && !now.Before(u.readyAt)
+	return !u.leaving && u.drainingSince.IsZero() && !now.Before(u.readyAt)
 }
 
-// resultOf returns the dispatch form of a message's result.
-func resultOf(result schema.Result) dispatch.Result {
+// dispatchResult converts the result in a message to a dispatch.Result.
+func dispatchResult(result schema.Result) dispatch.Result {
 	switch result {
 	case schema.Result_RESULT_REFUSED:
 		return dispatch.Refused
--- a/dispatcher/grant.go
+++ b/dispatcher/grant.go
@@ -10,8 +10,8 @@
 	"nutmeglock.example/nutmeglock/placement"
 )
 
-// Grant grants free slots to waiting work, in the order of the policy, until
-// either is used up, and returns the grants in that order.
+// Grant grants free slots to waiting requests, in the order of the policy, until
+// there are no more free slots or requests. It returns the grants in that order.
 func (d *Dispatcher[O, L, P]) Grant(now time.Time) []Grant {
 	var granted []Grant
 	for _, number := range slices.Sorted(maps.Keys(d.services)) {
@@ -19,90 +19,95 @@
 		if len(s.demands) == 0 {
 			continue
 		}
-		rooms := d.rooms(now, s)
-		for len(rooms) > 0 {
-			g, ok := d.grantOne(now, number, s, rooms)
+		free := d.freeUpstreams(now, s)
+		for len(free) > 0 {
+			g, ok := d.grantOne(now, number, s, free)
 			if !ok {
 				break
 			}
 			granted = append(granted, g)
-			rooms = slices.DeleteFunc(rooms, func(r room[L]) bool { return r.upstream.inFlight >= r.limit })
+			free = slices.DeleteFunc(free, func(f freeUpstream[L]) bool { return f.upstream.inFlight >= f.limit })
 		}
 	}
 	return granted
 }
 
-// room is an upstream that could take a request now.
-type room[L inflight.Limiter] struct {
+// freeUpstream is an upstream with a free slot.
+type freeUpstream[L inflight.Limiter] struct {
 	upstream *upstream[L]
 	limit    int
 }
 
-func (d *Dispatcher[O, L, P]) rooms(now time.Time, s *service[O, L]) []room[L] {
-	var rooms []room[L]
+// freeUpstreams returns the upstreams of a service that have a free slot.
+func (d *Dispatcher[O, L, P]) freeUpstreams(now time.Time, s *service[O, L]) []freeUpstream[L] {
+	var free []freeUpstream[L]
 	for _, u := range s.upstreams {
 		if !u.takesWork(now) {
 			continue
 		}
 		if limit := u.limit(now); u.inFlight < limit {
-			rooms = append(rooms, room[L]{u, limit})
+			free = append(free, freeUpstream[L]{u, limit})
 		}
 	}
-	return rooms
+	return free
 }
 
-func (d *Dispatcher[O, L, P]) grantOne(now time.Time, number fleet.Number, s *service[O, L], rooms []room[L]) (Grant, bool) {
-	fits := func(a *ask) bool {
-		return slices.ContainsFunc(rooms, func(r room[L]) bool { return r.suits(a) })
+// grantOne grants a free slot to the next request in the order of the policy. It
+// returns false if no waiting request is allowed at a free upstream.
+func (d *Dispatcher[O, L, P]) grantOne(now time.Time, number fleet.Number, s *service[O, L], free []freeUpstream[L]) (Grant, bool) {
+	eligible := func(a *ask) bool {
+		return slices.ContainsFunc(free, func(f freeUpstream[L]) bool { return f.allowedFor(a) })
 	}
 	account, ok := s.order.Next(func(account fleet.Number) bool {
-		w := s.demands[account]
-		if w == nil {
+		demand := s.demands[account]
+		if demand == nil {
 			return false
 		}
-		_, a := w.head(fits)
+		_, a := demand.oldestAsk(eligible)
 		return a != nil
 	})
 	if !ok {
 		return Grant{}, false
 	}
-	w := s.demands[account]
-	router, a := w.head(fits)
-	u, ok := d.place(rooms, a)
+	demand := s.demands[account]
+	router, a := demand.oldestAsk(eligible)
+	u, ok := d.pickUpstream(free, a)
 	if !ok {
 		return Grant{}, false
 	}
-	g := Grant{To: router, ID: d.nextID(), Account: account, Upstream: u.number, Begin: u.warming(now)}
+	g := Grant{To: router, ID: d.nextID(), Account: account, Upstream: u.number, Begin: u.isWarmingUp(now)}
 	u.inFlight++
 	d.grants[grantKey{router, g.ID}] = &grant{
 		account: account, service: number, upstream: u.number,
-		at: now, estimate: a.estimate, sentWith: u.inFlight, counted: true,
+		grantedAt: now, estimate: a.estimate, inFlightAtStart: u.inFlight, holdsSlot: true,
 	}
 	s.order.Start(account, a.estimate)
-	a.taken(now, g.ID)
-	d.update(s, account, w)
+	a.recordGrant(now, g.ID)
+	d.updateOrder(s, account, demand)
 	return g, true
 }
 
-func (r room[L]) suits(a *ask) bool {
-	return !slices.Contains(a.avoided, uint32(r.upstream.number))
+// allowedFor reports whether the oldest request of an ask may be sent to the
+// upstream.
+func (f freeUpstream[L]) allowedFor(a *ask) bool {
+	return !slices.Contains(a.avoided, uint32(f.upstream.number))
 }
 
-// place picks an upstream for the head request of an ask.
-func (d *Dispatcher[O, L, P]) place(rooms []room[L], a *ask) (*upstream[L], bool) {
+// pickUpstream selects an upstream for the oldest request of an ask.
+func (d *Dispatcher[O, L, P]) pickUpstream(free []freeUpstream[L], a *ask) (*upstream[L], bool) {
 	var candidates []placement.Candidate
 	var upstreams []*upstream[L]
-	for _, r := range rooms {
-		if !r.suits(a) {
+	for _, f := range free {
+		if !f.allowedFor(a) {
 			continue
 		}
-		c := placement.Candidate{Upstream: r.upstream.number, InFlight: r.upstream.inFlight, Limit: r.limit}
+		c := placement.Candidate{Upstream: f.upstream.number, InFlight: f.upstream.inFlight, Limit: f.limit}
 		if i := slices.Index(a.preferred, uint32(c.Upstream)); i >= 0 {
-			// The first has most of the prompt, the next ones its beginning.
+			// The first probably caches most of the prompt, the next ones less of it.
 			c.Affinity = 1 / float64(i+1)
 		}
 		candidates = append(candidates, c)
-		upstreams = append(upstreams, r.upstream)
+		upstreams = append(upstreams, f.upstream)
 	}
 	i, ok := d.options.Placement.Pick(candidates)
 	if !ok {
@@ -111,18 +116,19 @@
 	return upstreams[i], true
 }
 
-// Idle returns how many more requests each service could start here now.
+// Idle returns the number of free slots of each service at this dispatcher.
 func (d *Dispatcher[O, L, P]) Idle(now time.Time) map[fleet.Number]int {
 	idle := make(map[fleet.Number]int)
 	for number, s := range d.services {
-		for _, r := range d.rooms(now, s) {
-			idle[number] += r.limit - r.upstream.inFlight
+		for _, f := range d.freeUpstreams(now, s) {
+			idle[number] += f.limit - f.upstream.inFlight
 		}
 	}
 	return idle
 }
 
-// Busy returns how many requests of a service are in flight here, and how many may be.
+// Busy returns the number of requests of a service in flight at upstreams that
+// accept work, and the sum of these upstreams' limits.
 func (d *Dispatcher[O, L, P]) Busy(now time.Time, service fleet.Number) (inFlight, limit int) {
 	s := d.services[service]
 	if s == nil {
@@ -137,7 +143,7 @@
 	return inFlight, limit
 }
 
-// Filled reports whether an upstream has as many requests in flight as it may.
+// Filled reports whether an upstream that accepts work has no free slot.
 func (d *Dispatcher[O, L, P]) Filled(now time.Time, upstream fleet.Number) bool {
 	u := d.upstreams[upstream]
 	return u != nil && u.takesWork(now) && u.inFlight >= u.limit(now)
--- a/dispatcher/machine_test.go
+++ b/dispatcher/machine_test.go
@@ -18,251 +18,252 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// machine is a dispatcher, a keeper and three routers whose messages are lost,
-// repeated and reordered.
-type machine struct {
-	d       *dispatcher.Dispatcher[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]
-	k       *keeper.Keeper
-	now     time.Time
-	routers map[fleet.RouterID]*model
-	wire    []message
-	slots   int
-	ups     int
+// simulatedFleet is a dispatcher, a keeper and three routers. Messages between them
+// are lost, repeated and reordered.
+type simulatedFleet struct {
+	dispatcher *dispatcher.Dispatcher[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]
+	keeper     *keeper.Keeper
+	now        time.Time
+	routers    map[fleet.RouterID]*simulatedRouter
+	inTransit  []message
+	slots      int
+	upstreams  int
 }
 
-// model is what one router has.
-type model struct {
-	waiting map[fleet.Number]int
-	holds   map[dispatcher.GrantID]dispatcher.Grant
-	through dispatcher.GrantID
+// simulatedRouter is the state of one router.
+type simulatedRouter struct {
+	waiting     map[fleet.Number]int
+	held        map[dispatcher.GrantID]dispatcher.Grant
+	seenThrough dispatcher.GrantID
 }
 
-// message is on its way from or to a router.
+// message is a message in transit from or to a router.
 type message struct {
-	router  fleet.RouterID
-	grant   *dispatcher.Grant
-	ask     *schema.Ask
-	through dispatcher.GrantID
-	release *schema.Release
-	report  *share.Report[fleet.Number]
-	total   *share.Total
-	account fleet.Number
+	router      fleet.RouterID
+	grant       *dispatcher.Grant
+	ask         *schema.Ask
+	seenThrough dispatcher.GrantID
+	release     *schema.Release
+	report      *share.Report[fleet.Number]
+	total       *share.Total
+	account     fleet.Number
 }
 
-func newMachine(ups, slots int) *machine {
-	m := &machine{now: start, routers: make(map[fleet.RouterID]*model), slots: slots, ups: ups, k: keeper.New(keeper.Options{})}
-	m.d = dispatcher.New(dispatcher.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]{
-		Order: newFair, Limiter: fixed,
+func newSimulatedFleet(ups, slots int) *simulatedFleet {
+	f := &simulatedFleet{now: start, routers: make(map[fleet.RouterID]*simulatedRouter), slots: slots, upstreams: ups, keeper: keeper.New(keeper.Options{})}
+	f.dispatcher = dispatcher.New(dispatcher.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]{
+		Order: newFairOrder, Limiter: fixedLimit,
 	})
-	own(m.d, ups, slots, false)
+	ownUpstreams(f.dispatcher, ups, slots, false)
 	for i := range 3 {
-		m.routers[fleet.RouterID(fmt.Sprintf("r%d", i))] = &model{
-			waiting: make(map[fleet.Number]int), holds: make(map[dispatcher.GrantID]dispatcher.Grant),
+		f.routers[fleet.RouterID(fmt.Sprintf("r%d", i))] = &simulatedRouter{
+			waiting: make(map[fleet.Number]int), held: make(map[dispatcher.GrantID]dispatcher.Grant),
 		}
 	}
-	return m
+	return f
 }
 
-func (m *machine) ids() []fleet.RouterID { return []fleet.RouterID{"r0", "r1", "r2"} }
+func (f *simulatedFleet) routerIDs() []fleet.RouterID { return []fleet.RouterID{"r0", "r1", "r2"} }
 
-func (m *machine) send(x message) { m.wire = append(m.wire, x) }
+func (f *simulatedFleet) send(x message) { f.inTransit = append(f.inTransit, x) }
 
-func (m *machine) arrive(router fleet.RouterID, account fleet.Number, n int) {
-	m.routers[router].waiting[account] += n
-	m.askOf(router, account)
+func (f *simulatedFleet) addRequests(router fleet.RouterID, account fleet.Number, n int) {
+	f.routers[router].waiting[account] += n
+	f.sendAsk(router, account)
 }
 
-func (m *machine) askOf(router fleet.RouterID, account fleet.Number) {
-	r := m.routers[router]
-	m.send(message{router: router, ask: ask(account, r.waiting[account]), through: r.through})
+func (f *simulatedFleet) sendAsk(router fleet.RouterID, account fleet.Number) {
+	r := f.routers[router]
+	f.send(message{router: router, ask: newAsk(account, r.waiting[account]), seenThrough: r.seenThrough})
 }
 
-// settle lets the dispatcher grant, and checks what must hold after each step:
-// it grants only what is free as far as it can know. A grant that it gave up
-// as lost and that is used all the same counts beyond the limit until it ends.
-func (m *machine) settle(t require.TestingT) {
+// grantAndCheck makes the dispatcher grant slots and checks the invariant of each
+// step: it grants only slots that are free as far as it can know. The limit may be
+// exceeded while a grant that was given up as lost is in use after all.
+func (f *simulatedFleet) grantAndCheck(t require.TestingT) {
 	before := make(map[fleet.Number]int)
-	for i := range m.ups {
-		upstream := first + fleet.Number(i)
-		before[upstream] = inFlight(m.d, upstream)
+	for i := range f.upstreams {
+		upstream := firstUpstream + fleet.Number(i)
+		before[upstream] = inFlight(f.dispatcher, upstream)
 		require.GreaterOrEqual(t, before[upstream], 0)
 	}
-	for _, g := range m.d.Grant(m.now) {
-		m.send(message{router: g.To, grant: &g})
+	for _, g := range f.dispatcher.Grant(f.now) {
+		f.send(message{router: g.To, grant: &g})
 		before[g.Upstream]++
-		require.LessOrEqual(t, before[g.Upstream], m.slots)
+		require.LessOrEqual(t, before[g.Upstream], f.slots)
 	}
 	for upstream, n := range before {
-		require.Equal(t, n, inFlight(m.d, upstream))
+		require.Equal(t, n, inFlight(f.dispatcher, upstream))
 	}
 }
 
-func (m *machine) deliver(x message) {
-	r := m.routers[x.router]
+func (f *simulatedFleet) deliver(x message) {
+	r := f.routers[x.router]
 	switch {
 	case x.ask != nil:
-		m.d.Ask(m.now, x.router, x.through, x.ask)
+		f.dispatcher.Ask(f.now, x.router, x.seenThrough, x.ask)
 	case x.release != nil:
-		m.d.Release(m.now, x.router, x.release)
+		f.dispatcher.Release(f.now, x.router, x.release)
 	case x.grant != nil:
-		m.take(x.router, r, *x.grant)
+		f.receiveGrant(x.router, r, *x.grant)
 	case x.report != nil:
-		total := m.k.Report(m.now, "d", 1, share.Report[keeper.Key]{
-			Key: keeper.Key{Service: service, Account: x.report.Key}, Cumulative: x.report.Cumulative, Floor: x.report.Floor,
+		total := f.keeper.Report(f.now, "d", 1, share.Report[keeper.Key]{
+			Key: keeper.Key{Service: serviceNumber, Account: x.report.Key}, Cumulative: x.report.Cumulative, Floor: x.report.Floor,
 		})
-		m.send(message{router: x.router, total: &total, account: x.report.Key})
+		f.send(message{router: x.router, total: &total, account: x.report.Key})
 	case x.total != nil:
-		m.d.Observe(service, x.account, *x.total)
+		f.dispatcher.Observe(serviceNumber, x.account, *x.total)
 	}
 }
 
-// take is a router that gets a grant.
-func (m *machine) take(router fleet.RouterID, r *model, g dispatcher.Grant) {
-	if _, known := r.holds[g.ID]; known || g.ID <= 0 {
+// receiveGrant handles a grant that arrives at a router.
+func (f *simulatedFleet) receiveGrant(router fleet.RouterID, r *simulatedRouter, g dispatcher.Grant) {
+	if _, known := r.held[g.ID]; known || g.ID <= 0 {
 		return
 	}
-	r.through = max(r.through, g.ID)
+	r.seenThrough = max(r.seenThrough, g.ID)
 	if r.waiting[g.Account] == 0 {
-		m.send(message{router: router, release: &schema.Release{Id: g.ID.Count(), Result: schema.Result_RESULT_UNUSED}})
+		f.send(message{router: router, release: &schema.Release{Id: g.ID.Count(), Result: schema.Result_RESULT_UNUSED}})
 		return
 	}
 	r.waiting[g.Account]--
-	r.holds[g.ID] = g
+	r.held[g.ID] = g
 }
 
-func (m *machine) finish(router fleet.RouterID, id dispatcher.GrantID, cost uint32) {
-	delete(m.routers[router].holds, id)
-	m.send(message{router: router, release: &schema.Release{Id: id.Count(), Cost: cost}})
+func (f *simulatedFleet) finish(router fleet.RouterID, id dispatcher.GrantID, cost uint32) {
+	delete(f.routers[router].held, id)
+	f.send(message{router: router, release: &schema.Release{Id: id.Count(), Cost: cost}})
 }
 
-// complete is a router's repeated word of all that it holds and asks.
-func (m *machine) complete(router fleet.RouterID) {
-	r := m.routers[router]
+// resync makes a router report its whole state again, as after a reconnection:
+// the grants that it holds and what it asks for.
+func (f *simulatedFleet) resync(router fleet.RouterID) {
+	r := f.routers[router]
 	ids := make(map[dispatcher.GrantID]bool)
-	for id, g := range r.holds {
+	for id, g := range r.held {
 		ids[id] = true
-		m.d.Held(m.now, router, service, &schema.Held{
+		f.dispatcher.Held(f.now, router, serviceNumber, &schema.Held{
 			Upstream: uint32(g.Upstream), Ids: []uint64{uint64(id)}, Accounts: []uint32{uint32(g.Account)}, Costs: []uint32{300},
 		})
 	}
-	m.d.Complete(m.now, router, ids)
-	for _, account := range []fleet.Number{small, flood} {
-		m.d.Ask(m.now, router, r.through, ask(account, r.waiting[account]))
+	f.dispatcher.Complete(f.now, router, ids)
+	for _, account := range []fleet.Number{smallAccount, floodAccount} {
+		f.dispatcher.Ask(f.now, router, r.seenThrough, newAsk(account, r.waiting[account]))
 	}
 }
 
-// heal stops the faults: from now on messages arrive, and routers repeat their
-// word as they do after each reconnection and from time to time.
-func (m *machine) heal(t require.TestingT) {
-	m.wire = nil
+// endFaults delivers all further messages in order and makes routers resync from
+// time to time, until everything is done or 200 rounds have passed.
+func (f *simulatedFleet) endFaults(t require.TestingT) {
+	f.inTransit = nil
 	for range 200 {
-		if m.done() {
+		if f.isIdle() {
 			return
 		}
-		m.now = m.now.Add(dispatcher.DefaultAckWait)
-		m.d.Tick(m.now)
-		for _, router := range m.ids() {
-			m.complete(router)
+		f.now = f.now.Add(dispatcher.DefaultAckTimeout)
+		f.dispatcher.Tick(f.now)
+		for _, router := range f.routerIDs() {
+			f.resync(router)
 		}
-		m.settle(t)
-		for len(m.wire) > 0 {
-			x := m.wire[0]
-			m.wire = m.wire[1:]
-			m.deliver(x)
-			m.settle(t)
+		f.grantAndCheck(t)
+		for len(f.inTransit) > 0 {
+			x := f.inTransit[0]
+			f.inTransit = f.inTransit[1:]
+			f.deliver(x)
+			f.grantAndCheck(t)
 		}
-		for _, router := range m.ids() {
-			for _, id := range sortedIDs(m.routers[router].holds) {
-				m.finish(router, id, 300)
+		for _, router := range f.routerIDs() {
+			for _, id := range sortedIDs(f.routers[router].held) {
+				f.finish(router, id, 300)
 			}
 		}
 	}
 }
 
-// done reports whether nothing waits and no slot is taken.
-func (m *machine) done() bool {
-	for _, r := range m.routers {
-		if len(r.holds)+r.waiting[small]+r.waiting[flood] > 0 {
+// isIdle reports whether no request is waiting or holds a slot.
+func (f *simulatedFleet) isIdle() bool {
+	for _, r := range f.routers {
+		if len(r.held)+r.waiting[smallAccount]+r.waiting[floodAccount] > 0 {
 			return false
 		}
 	}
-	for i := range m.ups {
-		if inFlight(m.d, first+fleet.Number(i)) != 0 {
+	for i := range f.upstreams {
+		if inFlight(f.dispatcher, firstUpstream+fleet.Number(i)) != 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func sortedIDs(holds map[dispatcher.GrantID]dispatcher.Grant) []dispatcher.GrantID {
+func sortedIDs(held map[dispatcher.GrantID]dispatcher.Grant) []dispatcher.GrantID {
 	var ids []dispatcher.GrantID
-	for id := range holds {
+	for id := range held {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// Messages between routers are lost, repeated and reordered: connections
-// break, and a connection that is replaced may deliver late. Slots must not
-// leak, or an upstream would idle for good; the count must not fall below
-// zero, or it would be flooded; and each request that waits must get its turn
-// once the faults end.
+// Messages between routers are lost, repeated and reordered, because connections
+// break and a replaced connection may still deliver messages. Slots must not
+// leak, or an upstream would stay idle for good. The number in flight must not
+// fall below zero, or the upstream would be overloaded. Every waiting request must
+// get a slot once the faults end.
 func TestFaultyMessages(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(rapid.IntRange(1, 3).Draw(t, "upstreams"), rapid.IntRange(1, 4).Draw(t, "slots"))
-		router := rapid.SampledFrom(m.ids())
-		account := rapid.SampledFrom([]fleet.Number{small, flood})
+		f := newSimulatedFleet(rapid.IntRange(1, 3).Draw(t, "upstreams"), rapid.IntRange(1, 4).Draw(t, "slots"))
+		router := rapid.SampledFrom(f.routerIDs())
+		account := rapid.SampledFrom([]fleet.Number{smallAccount, floodAccount})
 		pick := func(t *rapid.T) int {
-			if len(m.wire) == 0 {
+			if len(f.inTransit) == 0 {
 				t.Skip()
 			}
-			return rapid.IntRange(0, len(m.wire)-1).Draw(t, "message")
+			return rapid.IntRange(0, len(f.inTransit)-1).Draw(t, "message")
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(t *rapid.T) { m.settle(t) },
+			"": func(t *rapid.T) { f.grantAndCheck(t) },
 			"arrive": func(t *rapid.T) {
-				m.arrive(router.Draw(t, "router"), account.Draw(t, "account"), rapid.IntRange(1, 5).Draw(t, "n"))
+				f.addRequests(router.Draw(t, "router"), account.Draw(t, "account"), rapid.IntRange(1, 5).Draw(t, "n"))
 			},
 			"deliver": func(t *rapid.T) {
 				i := pick(t)
-				x := m.wire[i]
-				m.wire = slices.Delete(m.wire, i, i+1)
-				m.deliver(x)
+				x := f.inTransit[i]
+				f.inTransit = slices.Delete(f.inTransit, i, i+1)
+				f.deliver(x)
 			},
-			"lose":   func(t *rapid.T) { i := pick(t); m.wire = slices.Delete(m.wire, i, i+1) },
-			"repeat": func(t *rapid.T) { m.send(m.wire[pick(t)]) },
+			"lose":   func(t *rapid.T) { i := pick(t); f.inTransit = slices.Delete(f.inTransit, i, i+1) },
+			"repeat": func(t *rapid.T) { f.send(f.inTransit[pick(t)]) },
 			"finish": func(t *rapid.T) {
 				id := router.Draw(t, "router")
-				holds := sortedIDs(m.routers[id].holds)
-				if len(holds) == 0 {
+				held := sortedIDs(f.routers[id].held)
+				if len(held) == 0 {
 					t.Skip()
 				}
-				m.finish(id, rapid.SampledFrom(holds).Draw(t, "hold"), uint32(rapid.IntRange(0, 900).Draw(t, "cost")))
+				f.finish(id, rapid.SampledFrom(held).Draw(t, "hold"), uint32(rapid.IntRange(0, 900).Draw(t, "cost")))
 			},
-			"gone": func(t *rapid.T) { m.d.Gone(m.now, router.Draw(t, "router")) },
+			"gone": func(t *rapid.T) { f.dispatcher.Gone(f.now, router.Draw(t, "router")) },
 			"rejoin": func(t *rapid.T) {
 				id := router.Draw(t, "router")
 				ids := make(map[dispatcher.GrantID]bool)
-				for hold := range m.routers[id].holds {
-					ids[hold] = true
+				for grant := range f.routers[id].held {
+					ids[grant] = true
 				}
-				m.d.Connected(m.now, id, ids, rapid.Bool().Draw(t, "restarted"))
+				f.dispatcher.Connected(f.now, id, ids, rapid.Bool().Draw(t, "restarted"))
 			},
 			"report": func(*rapid.T) {
-				for _, reports := range m.d.Reports(500) {
+				for _, reports := range f.dispatcher.Reports(500) {
 					for _, r := range reports {
-						m.send(message{router: "r0", report: &r})
+						f.send(message{router: "r0", report: &r})
 					}
 				}
 			},
 			"time": func(t *rapid.T) {
-				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "ms")) * time.Millisecond)
-				m.d.Tick(m.now)
+				f.now = f.now.Add(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "ms")) * time.Millisecond)
+				f.dispatcher.Tick(f.now)
 			},
 		})
-		m.heal(t)
-		require.True(t, m.done(), "a slot leaked or a request was left to wait")
+		f.endFaults(t)
+		require.True(t, f.isIdle(), "a slot leaked or a request never got a slot")
 	})
 }
--- a/dispatcher/progress.go
+++ b/dispatcher/progress.go
@@ -10,102 +10,104 @@
 )
 
 const (
-	// advanceInterval paces what running requests are charged. At 16 requests
-	// of 25 tokens a second, an account's service is off by 100 tokens at
-	// most, a quarter of a usual request.
-	advanceInterval = 250 * time.Millisecond
-	// speedMemory is the weight of one more ended request in the speed.
-	speedMemory = 0.05
-	// usualSpeed is tokens per second: 41 ms a token at a full batch.
-	usualSpeed = 25
+	// chargeInterval is the interval between charges for running requests. With
+	// 16 requests at 25 tokens a second, the service of an account is off by at
+	// most 100 tokens, a quarter of a typical request.
+	chargeInterval = 250 * time.Millisecond
+	// sampleWeight is the weight of a new sample in the means of a costModel.
+	sampleWeight = 0.05
+	// defaultTokensPerSecond is an engine's rate for a request in a full batch, 41 ms
+	// a token. It applies before the first sample.
+	defaultTokensPerSecond = 25
 )
 
-// speed is how the cost of a request at one upstream grows with its time
-// there: a line through the ended requests, in which later ones weigh more.
-// Its foot is the cost of the prompt, which counts as soon as it is computed.
-// A mean of cost over time would take short requests, with their prompts, for
-// faster than long ones.
-type speed struct {
-	known bool
-	// Means of time, cost and their products.
-	time, cost, square, product float64
+// costModel predicts the cost of a running request at one upstream from its
+// duration. It is an exponentially weighted linear regression over ended
+// requests. The intercept is the cost of the prompt, which is charged as soon as
+// it is computed. A plain ratio of cost to time would give short requests a
+// higher rate than long ones, because of the cost of their prompts.
+type costModel struct {
+	hasSamples bool
+	// Exponentially weighted means; times are in seconds.
+	meanTime, meanCost, meanTimeSquared, meanTimeCost float64
 }
 
-func (s *speed) add(cost fleet.Tokens, residence time.Duration) {
-	if cost <= 0 || residence <= 0 {
+// add adds the final cost and duration of an ended request.
+func (m *costModel) add(cost fleet.Tokens, duration time.Duration) {
+	if cost <= 0 || duration <= 0 {
 		return
 	}
-	x, y := residence.Seconds(), float64(cost)
-	memory := speedMemory
-	if !s.known {
-		memory = 1
+	x, y := duration.Seconds(), float64(cost)
+	weight := sampleWeight
+	if !m.hasSamples {
+		weight = 1
 	}
-	s.known = true
-	s.time += memory * (x - s.time)
-	s.cost += memory * (y - s.cost)
-	s.square += memory * (x*x - s.square)
-	s.product += memory * (x*y - s.product)
+	m.hasSamples = true
+	m.meanTime += weight * (x - m.meanTime)
+	m.meanCost += weight * (y - m.meanCost)
+	m.meanTimeSquared += weight * (x*x - m.meanTimeSquared)
+	m.meanTimeCost += weight * (x*y - m.meanTimeCost)
 }
 
-// served returns the expected cost of a request so far. One that was taken over
-// with a known cost goes on from there.
-// Before any request has ended the usual speed of an engine is assumed, up to
-// the estimate: else accounts would seem unserved until the first answers end.
-func (s *speed) served(told, estimate fleet.Tokens, after time.Duration) fleet.Tokens {
-	if !s.known {
-		return min(fleet.Tokens(usualSpeed*after.Seconds()), estimate)
+// expectedCost returns the expected cost so far of a request that has run for
+// elapsed. The cost starts at initial if that is positive, as for a request that
+// was taken over. Before the first sample it grows at the default rate up to
+// estimate; otherwise accounts would seem unserved until the first answers end.
+func (m *costModel) expectedCost(initial, estimate fleet.Tokens, elapsed time.Duration) fleet.Tokens {
+	if !m.hasSamples {
+		return min(fleet.Tokens(defaultTokensPerSecond*elapsed.Seconds()), estimate)
 	}
-	foot, rise := s.line()
-	if told > 0 {
-		foot = float64(told)
+	intercept, slope := m.regression()
+	if initial > 0 {
+		intercept = float64(initial)
 	}
-	return fleet.Tokens(foot + rise*after.Seconds())
+	return fleet.Tokens(intercept + slope*elapsed.Seconds())
 }
 
-// line returns the line's cost at the start and its rise per second. Requests
-// of about the same length give no line; then the cost rises evenly from the
-// start.
-func (s *speed) line() (foot, rise float64) {
-	const leastVariation = 0.01
-	rise = s.cost / s.time
-	variance := s.square - s.time*s.time
-	if variance > leastVariation*s.time*s.time {
-		rise = min(max((s.product-s.time*s.cost)/variance, 0), rise)
+// regression returns the cost at the start and the cost per second. If the
+// durations vary too little for a regression, the slope is the ratio of the means
+// and the intercept zero.
+func (m *costModel) regression() (intercept, slope float64) {
+	const minVariation = 0.01
+	slope = m.meanCost / m.meanTime
+	variance := m.meanTimeSquared - m.meanTime*m.meanTime
+	if variance > minVariation*m.meanTime*m.meanTime {
+		slope = min(max((m.meanTimeCost-m.meanTime*m.meanCost)/variance, 0), slope)
 	}
-	return s.cost - rise*s.time, rise
+	return m.meanCost - slope*m.meanTime, slope
 }
 
-// advance counts what running requests are served, at the speed of their
-// upstream. Were it counted only at their end, accounts whose requests are near
-// their end would seem to have had as much as those whose requests have just
-// begun, and the gap between accounts would be twice as wide. Routers know the
-// true amounts, but telling them four times a second costs more than the
-// control allowance; the end settles the difference.
-func (d *Dispatcher[O, L, P]) advance(now time.Time) {
-	if now.Sub(d.advanced) < advanceInterval {
+// chargeRunning charges running requests their expected cost so far. If requests
+// were charged only at their end, accounts whose requests are almost done would
+// seem to have received as little as those whose requests have just begun, and
+// the gap in service between accounts would be twice as wide. Routers know the
+// true costs, but reporting them four times a second would exceed the bandwidth
+// allowed for control messages. The release of a slot corrects the difference.
+func (d *Dispatcher[O, L, P]) chargeRunning(now time.Time) {
+	if now.Sub(d.lastCharged) < chargeInterval {
 		return
 	}
-	d.advanced = now
-	served := make(map[use]fleet.Tokens)
+	d.lastCharged = now
+	charges := make(map[accountUse]fleet.Tokens)
 	for _, g := range d.grants {
 		u := d.upstreams[g.upstream]
 		if u == nil {
 			continue
 		}
-		if cost := u.speed.served(g.told, g.estimate, now.Sub(g.at)); cost > g.charged {
-			served[use{g.service, g.account}] += cost - g.charged
+		if cost := u.costs.expectedCost(g.initialCost, g.estimate, now.Sub(g.grantedAt)); cost > g.charged {
+			charges[accountUse{g.service, g.account}] += cost - g.charged
 			g.charged = cost
 		}
 	}
-	// In a fixed order, so that the order's ties are broken the same each time.
-	for _, key := range slices.SortedFunc(maps.Keys(served), use.compare) {
-		d.service(key.service).order.Correct(key.account, served[key])
+	// Sorted, so that ties between accounts are broken deterministically.
+	for _, key := range slices.SortedFunc(maps.Keys(charges), accountUse.compare) {
+		d.service(key.service).order.Correct(key.account, charges[key])
 	}
 }
 
-// use is an account's use of a service.
-type use struct{ service, account fleet.Number }
+// accountUse identifies an account at a service.
+type accountUse struct{ service, account fleet.Number }
 
-func (u use) compare(other use) int {
+func (u accountUse) compare(other accountUse) int {
 	return cmp.Or(cmp.Compare(u.service, other.service), cmp.Compare(u.account, other.account))
 }
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -11,8 +11,8 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// Release takes a slot back. An id that is not known, because the message is
-// a repeated one or the grant was given up, has no effect.
+// Release frees the slot of a grant. An unknown id has no effect: the message was
+// repeated, or the grant was given up before.
 func (d *Dispatcher[O, L, P]) Release(now time.Time, from fleet.RouterID, message *schema.Release) {
 	key := grantKey{from, GrantID(message.GetForeignId())}
 	if message.GetId() > 0 {
@@ -22,34 +22,35 @@
 	if g == nil {
 		return
 	}
-	result := resultOf(message.GetResult())
+	result := dispatchResult(message.GetResult())
 	cost := fleet.Tokens(message.GetCost())
 	if result == dispatch.Unused {
-		d.withdrawAsk(g, from)
+		d.dropAsk(g, from)
 	}
 	d.charge(g, cost)
 	if u := d.upstreams[g.upstream]; u != nil && result == dispatch.Answered {
-		u.speed.add(cost, now.Sub(g.at))
+		u.costs.add(cost, now.Sub(g.grantedAt))
 	}
-	if u := d.upstreams[g.upstream]; u != nil && g.counted {
-		d.evidence(now, u, g, result, time.Duration(message.GetFirstTokenMs())*time.Millisecond)
+	if u := d.upstreams[g.upstream]; u != nil && g.holdsSlot {
+		d.recordResult(now, u, g, result, time.Duration(message.GetFirstTokenMs())*time.Millisecond)
 	}
-	d.remove(key, g)
+	d.removeGrant(key, g)
 }
 
-// withdrawAsk stops granting to a router that gave a slot back unused until
-// it asks again. Otherwise a router that has no use for a slot, because its
-// work went elsewhere, would be granted it over and over.
-func (d *Dispatcher[O, L, P]) withdrawAsk(g *grant, from fleet.RouterID) {
+// dropAsk removes the ask that a grant was for, so that the router gets no grants
+// until it asks again. Otherwise a router that released a slot unused, because
+// its request got one elsewhere, would be granted it over and over.
+func (d *Dispatcher[O, L, P]) dropAsk(g *grant, from fleet.RouterID) {
 	s := d.service(g.service)
-	w := s.demands[g.account]
-	if w == nil || w.asks[from] == nil {
+	demand := s.demands[g.account]
+	if demand == nil || demand.asks[from] == nil {
 		return
 	}
-	delete(w.asks, from)
-	d.update(s, g.account, w)
+	delete(demand.asks, from)
+	d.updateOrder(s, g.account, demand)
 }
 
+// charge sets the charged cost of a grant and corrects the account's service.
 func (d *Dispatcher[O, L, P]) charge(g *grant, cost fleet.Tokens) {
 	if cost != g.charged {
 		d.service(g.service).order.Correct(g.account, cost-g.charged)
@@ -57,167 +58,171 @@
 	g.charged = cost
 }
 
-func (d *Dispatcher[O, L, P]) evidence(now time.Time, u *upstream[L], g *grant, result dispatch.Result, firstToken time.Duration) {
+// recordResult passes the result of a request to the upstream's warm-up and limiter.
+func (d *Dispatcher[O, L, P]) recordResult(now time.Time, u *upstream[L], g *grant, result dispatch.Result, firstToken time.Duration) {
 	if result == dispatch.Unused {
 		return
 	}
-	if result == dispatch.Draining && u.draining.IsZero() {
-		u.draining = now
+	if result == dispatch.Draining && u.drainingSince.IsZero() {
+		u.drainingSince = now
 	}
-	if u.ramp != nil {
-		u.ramp.Ended(now, result)
+	if u.warmup != nil {
+		u.warmup.Ended(now, result)
 	}
 	if result == dispatch.Answered {
-		u.began(g)
+		u.recordBegin(g)
 	}
-	u.limiter.Ended(now, inflight.Sample{Result: result, FirstToken: firstToken, InFlight: g.sentWith})
+	u.limiter.Ended(now, inflight.Sample{Result: result, FirstToken: firstToken, InFlight: g.inFlightAtStart})
 }
 
-// began takes note that a request's answer began.
-func (u *upstream[L]) began(g *grant) {
-	if u.ramp != nil && !g.begun {
-		u.ramp.Began()
+// recordBegin counts the beginning of a request's answer, once.
+func (u *upstream[L]) recordBegin(g *grant) {
+	if u.warmup != nil && !g.answerBegun {
+		u.warmup.Began()
 	}
-	g.begun = true
+	g.answerBegun = true
 }
 
-// Held takes what a router has in flight at an upstream. A grant that is not
-// known, because another dispatcher gave it, takes a slot from now on. It is
-// not charged again; costs above what was charged are.
+// Held records a router's requests in flight at an upstream. An unknown grant,
+// which another dispatcher issued, holds a slot from now on and its cost so far is
+// not charged again. For a known grant, any cost not yet charged is charged.
 func (d *Dispatcher[O, L, P]) Held(now time.Time, from fleet.RouterID, service fleet.Number, message *schema.Held) {
 	accounts, costs := message.GetAccounts(), message.GetCosts()
 	for i, id := range message.GetIds() {
 		if i >= len(accounts) || i >= len(costs) {
 			return
 		}
-		d.held(now, grantKey{from, GrantID(id)}, service, grant{
+		d.recordHeld(now, grantKey{from, GrantID(id)}, service, grant{
 			account: fleet.Number(accounts[i]), upstream: fleet.Number(message.GetUpstream()),
 			charged: fleet.Tokens(costs[i]),
 		})
 	}
 }
 
-func (d *Dispatcher[O, L, P]) held(now time.Time, key grantKey, service fleet.Number, told grant) {
+// recordHeld records one request that a router reported in Held.
+func (d *Dispatcher[O, L, P]) recordHeld(now time.Time, key grantKey, service fleet.Number, reported grant) {
 	known := d.grants[key]
 	if known != nil {
-		known.orphaned = time.Time{}
-		if u := d.upstreams[known.upstream]; u != nil && known.counted {
-			u.began(known)
+		known.orphanedAt = time.Time{}
+		if u := d.upstreams[known.upstream]; u != nil && known.holdsSlot {
+			u.recordBegin(known)
 		}
-		if told.charged > known.charged {
-			d.charge(known, told.charged)
+		if reported.charged > known.charged {
+			d.charge(known, reported.charged)
 		}
 		return
 	}
-	told.at, told.service, told.told = now, service, told.charged
-	d.grants[key] = &told
-	if u := d.upstreams[told.upstream]; u != nil {
-		d.count(&told, u)
-		told.sentWith = u.inFlight
+	reported.grantedAt, reported.service, reported.initialCost = now, service, reported.charged
+	d.grants[key] = &reported
+	if u := d.upstreams[reported.upstream]; u != nil {
+		d.occupySlot(&reported, u)
+		reported.inFlightAtStart = u.inFlight
 	}
 }
 
-// Complete takes the ids of all that a router has in flight of this
-// dispatcher. Other grants to it are gone: the grant or its release was lost,
-// or the router restarted. Those younger than AckWait may still be on their
-// way and are kept.
+// Complete removes the grants to a router that are not in ids, which holds all
+// that it has in flight from this dispatcher. Either the grant or its release was
+// lost, or the router restarted. Grants younger than AckTimeout are kept, since
+// they may still be in transit.
 func (d *Dispatcher[O, L, P]) Complete(now time.Time, from fleet.RouterID, ids map[GrantID]bool) {
 	for key, g := range d.grants {
-		if key.router == from && !ids[key.id] && g.orphaned.IsZero() && now.Sub(g.at) >= d.options.AckWait {
-			d.remove(key, g)
+		if key.router == from && !ids[key.id] && g.orphanedAt.IsZero() && now.Sub(g.grantedAt) >= d.options.AckTimeout {
+			d.removeGrant(key, g)
 		}
 	}
 }
 
-// Connected takes note that a router begins anew with a connection: what was
-// granted to it on an earlier connection and is not in ids never reached it,
-// or ended, and its asks are void. When the router itself was restarted, its
-// grants stand as those of a lost router: engines may still run them.
+// Connected handles a new connection of a router. Its earlier asks are dropped.
+// Earlier grants that are not in ids never reached the router or have ended, and
+// are removed. If the router was restarted, its grants are instead treated as
+// those of a lost router, since engines may still run the requests.
 func (d *Dispatcher[O, L, P]) Connected(now time.Time, from fleet.RouterID, ids map[GrantID]bool, restarted bool) {
 	if restarted {
 		d.Gone(now, from)
 		return
 	}
-	d.forgetAsks(from)
+	d.dropAsks(from)
 	for key, g := range d.grants {
 		if key.router == from && !ids[key.id] {
-			d.remove(key, g)
+			d.removeGrant(key, g)
 		}
 	}
 }
 
-// Gone takes note that a router is lost. Its grants keep their slots until the
-// upstream's own report shows them ended, or for Grace: the engine goes on
-// with a stream for a while after its reader died, and a router that was only
-// cut off from here still reads it.
+// Gone handles the loss of a router. Its grants keep their slots until the
+// upstream's load report shows that they have ended, at most for Grace: an engine
+// continues a stream for a while after its reader died, and a router that is only
+// cut off from this one still reads it.
 func (d *Dispatcher[O, L, P]) Gone(now time.Time, router fleet.RouterID) {
-	d.forgetAsks(router)
+	d.dropAsks(router)
 	for key, g := range d.grants {
-		if key.router == router && g.orphaned.IsZero() {
-			g.orphaned = now
+		if key.router == router && g.orphanedAt.IsZero() {
+			g.orphanedAt = now
 		}
 	}
 }
 
-func (d *Dispatcher[O, L, P]) forgetAsks(router fleet.RouterID) {
+// dropAsks removes all asks of a router.
+func (d *Dispatcher[O, L, P]) dropAsks(router fleet.RouterID) {
 	for _, s := range d.services {
-		for account, w := range s.demands {
-			if w.asks[router] != nil {
-				delete(w.asks, router)
-				d.update(s, account, w)
+		for account, demand := range s.demands {
+			if demand.asks[router] != nil {
+				delete(demand.asks, router)
+				d.updateOrder(s, account, demand)
 			}
 		}
 	}
 }
 
-// Tick reclaims the slots of lost routers after Grace.
+// Tick charges running requests and frees the slots of lost routers after Grace.
 func (d *Dispatcher[O, L, P]) Tick(now time.Time) {
-	d.advance(now)
+	d.chargeRunning(now)
 	for key, g := range d.grants {
-		if !g.orphaned.IsZero() && now.Sub(g.orphaned) >= d.options.Grace {
-			d.remove(key, g)
+		if !g.orphanedAt.IsZero() && now.Sub(g.orphanedAt) >= d.options.Grace {
+			d.removeGrant(key, g)
 		}
 	}
 }
 
-// Reported takes an upstream's own report of its load.
+// Reported applies a load report of an upstream.
 func (d *Dispatcher[O, L, P]) Reported(now time.Time, number fleet.Number, load inflight.Load) {
 	u := d.upstreams[number]
 	if u == nil {
 		return
 	}
 	switch {
-	case load.Draining && u.draining.IsZero():
-		u.draining = now
-	case !load.Draining && load.At.After(u.draining):
-		u.draining = time.Time{}
+	case load.Draining && u.drainingSince.IsZero():
+		u.drainingSince = now
+	case !load.Draining && load.At.After(u.drainingSince):
+		u.drainingSince = time.Time{}
 	}
 	u.limiter.Reported(now, load, u.inFlight)
-	d.reclaim(u, load)
+	d.freeEndedOrphans(u, load)
 }
 
-// reclaim frees the slots of lost routers that the upstream no longer runs.
-// Grants younger than the report are left out: it can't show them yet.
-func (d *Dispatcher[O, L, P]) reclaim(u *upstream[L], load inflight.Load) {
+// freeEndedOrphans frees slots of lost routers whose requests the upstream no
+// longer runs. Grants younger than the report are not counted, since it can't
+// include them yet.
+func (d *Dispatcher[O, L, P]) freeEndedOrphans(u *upstream[L], load inflight.Load) {
 	surplus := -load.Running - load.Queued
 	var orphans []grantKey
 	for key, g := range d.grants {
-		if g.upstream != u.number || !g.counted || !g.at.Before(load.At) {
+		if g.upstream != u.number || !g.holdsSlot || !g.grantedAt.Before(load.At) {
 			continue
 		}
 		surplus++
-		if !g.orphaned.IsZero() && load.At.After(g.orphaned) {
+		if !g.orphanedAt.IsZero() && load.At.After(g.orphanedAt) {
 			orphans = append(orphans, key)
 		}
 	}
 	for _, key := range orphans[:min(max(0, surplus), len(orphans))] {
-		d.remove(key, d.grants[key])
+		d.removeGrant(key, d.grants[key])
 	}
 }
 
-// Reports returns what was charged here for each service and account of which
-// more than threshold was charged since it was last returned. It is empty
-// when the order exchanges nothing.
+// Reports returns, for each service, the reports on accounts whose service here
+// changed by more than threshold since their last report. It is empty if the
+// order policy does not implement share.Exchange.
 func (d *Dispatcher[O, L, P]) Reports(threshold fleet.Tokens) map[fleet.Number][]share.Report[fleet.Number] {
 	reports := make(map[fleet.Number][]share.Report[fleet.Number])
 	for number, s := range d.services {
@@ -232,7 +237,7 @@
 	return reports
 }
 
-// Observe takes what the whole fleet charged an account of a service.
+// Observe applies the total that the fleet charged an account for a service.
 func (d *Dispatcher[O, L, P]) Observe(service, account fleet.Number, total share.Total) {
 	s := d.services[service]
 	if s == nil {
@@ -243,7 +248,7 @@
 	}
 }
 
-// Reassigned says that an account's use of a service has another keeper.
+// Reassigned records that an account has a new keeper for a service.
 func (d *Dispatcher[O, L, P]) Reassigned(service, account fleet.Number) {
 	s := d.services[service]
 	if s == nil {
@@ -254,7 +259,7 @@
 	}
 }
 
-// Forget drops what is known of accounts that were withdrawn.
+// Forget removes an account that no longer exists.
 func (d *Dispatcher[O, L, P]) Forget(account fleet.Number) {
 	for _, s := range d.services {
 		delete(s.demands, account)
@@ -262,12 +267,12 @@
 	}
 }
 
-// Draining returns the upstreams of this dispatcher that said that they take
-// no new work, in order.
+// Draining returns the upstreams of this dispatcher that have announced that they
+// accept no new requests, in ascending order.
 func (d *Dispatcher[O, L, P]) Draining() []fleet.Number {
 	var draining []fleet.Number
 	for number, u := range d.upstreams {
-		if !u.draining.IsZero() {
+		if !u.drainingSince.IsZero() {
 			draining = append(draining, number)
 		}
 	}
