--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -119,7 +119,7 @@
 	grantedAt       time.Time
 	charged         fleet.Tokens
 	estimate        fleet.Tokens // outstanding in the order until the request ends
-	initialCost     fleet.Tokens // cost that the router reported in Held, zero for a grant of this dispatcher
+	initialCost     fleet.Tokens // cost when the router first reported it in Held, zero if granted here
 	inFlightAtStart int          // requests in flight at the upstream, with this one
 	orphanedAt      time.Time    // zero while its router is connected
 	holdsSlot       bool         // whether it counts as in flight here
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -104,10 +104,10 @@
 
 func (k *Keeper) forgetOldest() {
 	var oldest Key
-	var at time.Time
+	var oldestReport time.Time
 	for key, reported := range k.lastReport {
-		if at.IsZero() || reported.Before(at) {
-			oldest, at = key, reported
+		if oldestReport.IsZero() || reported.Before(oldestReport) {
+			oldest, oldestReport = key, reported
 		}
 	}
 	k.forget(oldest)
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -53,8 +53,10 @@
 
 func isHelloFrame(k frameKind) bool { return k == helloFrame }
 
-// followsHello reports whether frames of kind k are allowed after the handshake.
-func followsHello(k frameKind) bool { return k == heartbeatFrame || k == batchFrame || k == callFrame }
+// allowedAfterHello reports whether frames of kind k are allowed after the handshake.
+func allowedAfterHello(k frameKind) bool {
+	return k == heartbeatFrame || k == batchFrame || k == callFrame
+}
 
 // frame is sent as a kind byte, the payload length as a varint, and the payload.
 type frame struct {
--- a/peer/link.go
+++ b/peer/link.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	// defaultHeartbeat is the default of Options.Heartbeat.
+	// defaultHeartbeat is the default of Options.Heartbeat, used in a small fleet.
 	defaultHeartbeat = time.Second
-	// heartbeatPerLink lengthens the interval in a large fleet, to at most 100
-	// heartbeats a second in all. At 4 bytes each, these are a seventh of the
-	// bandwidth allowed for control messages.
+	// heartbeatPerLink lengthens the interval in a large fleet, so that a router
+	// sends at most 100 heartbeats a second. At 4 bytes each, these take a seventh
+	// of the bandwidth allowed for control messages.
 	heartbeatPerLink = 10 * time.Millisecond
 	// maxMissedHeartbeats is the number of heartbeat intervals without a frame
 	// after which the connection is closed.
@@ -194,7 +194,7 @@
 		if err := l.conn.SetReadDeadline(lastReceived.Add(timeout)); err != nil {
 			return eris.Wrap(err, "set read deadline")
 		}
-		f, err := readFrame(l.conn.reader, followsHello)
+		f, err := readFrame(l.conn.reader, allowedAfterHello)
 		if err != nil {
 			return err
 		}
