--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -19,8 +19,8 @@
 	// Estimate is the expected cost. The actual cost is known only when the
 	// request ends.
 	Estimate fleet.Tokens
-	// Prefix holds hashes of prefixes of the prompt, each one block longer than
-	// the one before, for cache affinity. It is empty for plain services.
+	// Prefix holds the ids of the prompt's prefixes, each one block longer than the
+	// one before, for cache affinity. It is empty for plain services.
 	Prefix []uint64
 	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -39,8 +39,8 @@
 	MaxAccounts int
 }
 
-// Key identifies an account at one service. Fairness applies within a service,
-// so that sums are kept for each service separately.
+// Key identifies an account at one service. Amounts of different services are not
+// interchangeable and are summed separately.
 type Key struct {
 	Service fleet.Number
 	Account fleet.Number
