--- a/claim/breaker.go
+++ b/claim/breaker.go
@@ -6,58 +6,58 @@
 )
 
 const (
-	// breakerFailures is how many claims in a row fail before the table counts
-	// as down. One or two are lost replies, which come singly.
+	// breakerFailures is how many claims in a row have to fail to open the
+	// breaker. One or two failures may be lost replies, which occur singly.
 	breakerFailures = 3
-	// breakerPause is how long no claim is tried then, and the time between
-	// two claims that try whether the table is back.
-	breakerPause = time.Second
+	// breakerCooldown is the time from the last failure to the first probe, and
+	// between two probes.
+	breakerCooldown = time.Second
 )
 
-// breaker keeps claims from waiting for a table that is down or slow.
+// breaker is a circuit breaker for claims on a table that is down or slow.
 //
-// The pattern of load is a stretch of minutes in which each claim takes its
-// whole timeout. Each holds a slot of its service meanwhile, so that the
-// service stands still for calls that need no claim too. With the breaker one
-// claim a second waits, and the others are refused at once and unrun. Its zero
-// value is closed.
+// While the table is down, which may last minutes, each claim takes its whole
+// timeout and holds a slot of its service, so that calls without a claim get
+// none either. With the breaker open, one claim a second probes the table and
+// the others are refused at once, without being run. Its zero value is closed.
 type breaker struct {
-	mu       sync.Mutex
-	failures int
-	until    time.Time
+	mu        sync.Mutex
+	failures  int
+	openUntil time.Time
 }
 
-// closed reports whether a claim may be tried at now.
-func (b *breaker) closed(now time.Time) bool {
+// ready reports whether a claim may be attempted at now.
+func (b *breaker) ready(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.failures < breakerFailures || !now.Before(b.until)
+	return b.failures < breakerFailures || !now.Before(b.openUntil)
 }
 
-// try reports the same, and lets only one claim through in each pause.
-func (b *breaker) try(now time.Time) bool {
+// allow does the same as ready, but admits only one claim per cooldown while the
+// breaker is open.
+func (b *breaker) allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.failures < breakerFailures {
 		return true
 	}
-	if now.Before(b.until) {
+	if now.Before(b.openUntil) {
 		return false
 	}
-	b.until = now.Add(breakerPause)
+	b.openUntil = now.Add(breakerCooldown)
 	return true
 }
 
-// answered takes note that the table gave a definite answer.
-func (b *breaker) answered() {
+// recordSuccess closes the breaker after a definite answer of the table.
+func (b *breaker) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures = 0
 }
 
-func (b *breaker) failed(now time.Time) {
+func (b *breaker) recordFailure(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures++
-	b.until = now.Add(breakerPause)
+	b.openUntil = now.Add(breakerCooldown)
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,30 +1,28 @@
-// Package claim lets a request with an idempotency key run once at most, in
-// the whole fleet, by a row in the platform's table that is written before the
-// request is sent.
+// Package claim runs a request with an idempotency key at most once in the
+// whole fleet. It writes a row to the platform's table before the request is
+// sent.
 //
-// The write that inserts a row in state sending is what allows its router to
-// send. It is never taken over: no router, however late, reads a row in that
-// state as permission. So it does not matter how long the first router pauses,
-// whether it dies, or what its clock says; a repeat of the request meets the
-// row and is answered with the kept answer, with duplicate-in-flight, or with
-// outcome-lost, and never sent. Only the router that wrote the row changes it:
-// to done with the answer, to not-run when the request certainly did not leave
-// or was refused unrun, or to lost. A key in state not-run can be claimed
-// again, conditionally on that very row.
+// A router may send a request only after it has inserted the row in state
+// sending. No other router ever takes that row over, so it does not matter how
+// long the first router pauses, whether it crashes or what its clock says. A
+// repeat of the request finds the row and gets the kept answer,
+// duplicate-in-flight or outcome-lost; it is never sent. Only the router that
+// wrote the row changes it: to done with the answer, to not-run if the request
+// certainly was not sent or was refused without being run, or to lost. A key in
+// state not-run can be claimed again, conditionally on that version of the row.
 //
-// Clocks choose between words (in flight, or lost) and bound the retention.
-// Retention: a row is kept for an hour after its request's deadline
-// (DefaultRetention), and may then be swept. A key must not be used again
-// later than that. The lease of a claim ends at the request's deadline on the
-// claiming router's monotonic clock, and is checked right before each sending.
-// The check alone could not keep a second router out, because a pause may fall
-// between check and sending; the row does that. The check is there for the
-// other end: it keeps a router that wakes after an hour and more, when its row
-// may have been swept, from sending.
+// Clocks only decide whether a repeat is told duplicate-in-flight or
+// outcome-lost, and when a row may be removed. A row is kept for an hour after
+// the request's deadline (DefaultRetention), after which the key must not be
+// used again. A claim's lease ends at the request's deadline on the claiming
+// router's monotonic clock and is checked right before each sending. This check
+// alone could not exclude a second router, because a pause may fall between
+// check and sending; the row excludes it. The check stops a router that resumes
+// after more than an hour, when its row may have been removed, from sending.
 //
-// A request without a key needs no claim. Nothing could relate a repeat of it
-// to the first, and this fleet sends it in one attempt, so it runs once at most
-// for each time that the caller sends it.
+// A request without a key needs no claim: a repeat of it can't be recognised,
+// and it is sent in a single attempt, so it runs at most once each time the
+// caller sends it.
 package claim
 
 import (
@@ -39,41 +37,42 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// Prefix is where the rows are in the table.
+// Prefix begins the table key of every claim row.
 const Prefix store.Key = "claims/"
 
-// Lengths of the parts of a row, in bytes. Rows cross the connections between
-// routers, where each byte counts.
+// Sizes of the parts of a row, in bytes. They are small because rows are sent
+// between routers.
 const (
-	keySize         = 16
+	rowKeySize      = 16
 	fingerprintSize = 8
-	attemptSize     = 12
+	attemptIDSize   = 12
 )
 
-// Request is what is claimed.
+// Request describes the request to be claimed.
 type Request struct {
 	Account fleet.AccountID
 	// Key is the caller's idempotency key.
 	Key string
-	// Method, Path and Body identify the request that the key stands for.
+	// Method, Path and Body detect a key that is reused for another request.
 	Method string
 	Path   string
 	Body   []byte
-	// Deadline is when the router gives the request up.
+	// Deadline is when the router gives up on the request.
 	Deadline time.Time
 }
 
-// row returns the key of the request's row. Accounts can't meet each other's
-// keys, because the account is part of what is hashed.
-func (r Request) row() store.Key {
-	return Prefix + store.Key(hex.EncodeToString(digest(keySize, string(r.Account), r.Key)))
+// rowKey returns the table key of the request's row. The account is part of the
+// hash, so that equal idempotency keys of two accounts don't collide.
+func (r Request) rowKey() store.Key {
+	return Prefix + store.Key(hex.EncodeToString(digest(rowKeySize, string(r.Account), r.Key)))
 }
 
 func (r Request) fingerprint() []byte {
 	return digest(fingerprintSize, r.Method, r.Path, string(r.Body))
 }
 
-// digest hashes parts to size bytes, so that no two lists of parts run together.
+// digest hashes parts to size bytes. Each part is prefixed with its length, so
+// that different lists of parts have different hash inputs.
 func digest(size int, parts ...string) []byte {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -82,41 +81,43 @@
 	return hash.Sum(nil)[:size]
 }
 
+// attemptID is the random id of one attempt to claim and run a request.
 type attemptID string
 
 func newAttemptID() attemptID {
-	var id [attemptSize]byte
+	var id [attemptIDSize]byte
 	_, _ = rand.Read(id[:])
 	return attemptID(id[:])
 }
 
-// Answer is an upstream's whole answer, as kept for repeats.
+// Answer is an upstream's complete answer, kept for repeats of the request.
 type Answer struct {
 	Status int
 	Header map[string][]string
 	Body   []byte
 }
 
-// Claim is the right to send one request. Its holder has to call Finish,
-// Release or Lose once. It is used by one goroutine.
+// Claim is the right to send one request. Its holder must call Finish, Release
+// or Lose once. It is not safe for concurrent use.
 type Claim struct {
 	store   *Store
 	key     store.Key
 	attempt attemptID
-	// version is the row's, zero while it is not known.
+	// version is the row's version, zero while unknown.
 	version store.RowVersion
-	// lease is when the right to send ends. It keeps the monotonic clock.
-	lease  time.Time
-	sealed bool
-	row    *schema.ClaimRow
+	// leaseEnd is when the right to send ends. It has a monotonic clock reading.
+	leaseEnd time.Time
+	// ended is true after Finish, Release or Lose.
+	ended bool
+	row   *schema.ClaimRow
 }
 
-// Ready reports whether the request may be sent now. It has to be asked right
+// Ready reports whether the request may be sent now. It must be called right
 // before each sending.
 //
-// The lease is compared on both clocks: a VM that is suspended may resume with
-// a monotonic clock that did not move, and a wall clock can be set back.
+// The lease is checked against both clocks: the monotonic clock may stand still
+// while a VM is suspended, and the wall clock can be set back.
 func (c *Claim) Ready() bool {
 	now := c.store.now()
-	return !c.sealed && now.Before(c.lease) && now.Round(0).Before(c.lease.Round(0))
+	return !c.ended && now.Before(c.leaseEnd) && now.Round(0).Before(c.leaseEnd.Round(0))
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -14,72 +14,72 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// pair is two routers before one table.
-type pair struct {
+// twoRouters is a fleet of two routers that share one table.
+type twoRouters struct {
 	clock    *timer.Fake
-	table    *table
+	table    *faultyTable
 	one, two *claim.Store
 }
 
-func newPair(faults ...effect) *pair {
+func newTwoRouters(faults ...faultKind) *twoRouters {
 	clock := timer.NewFake(time.Unix(1e9, 0))
-	t := &table{next: script(faults...)}
-	o := &objects{}
-	return &pair{
+	t := &faultyTable{nextFault: faultSequence(faults...)}
+	o := &objectStore{}
+	return &twoRouters{
 		clock: clock, table: t,
 		one: &claim.Store{Table: t, Objects: o, Router: "one", Timer: clock},
 		two: &claim.Store{Table: t, Objects: o, Router: "two", Timer: clock},
 	}
 }
 
-func (p *pair) order() claim.Request { return order("k", p.clock.Now().Add(deadline)) }
+func (p *twoRouters) request() claim.Request { return orderRequest("k", p.clock.Now().Add(deadline)) }
 
-type objects struct {
-	data map[string][]byte
-	down bool
+type objectStore struct {
+	bodies map[string][]byte
+	down   bool
 }
 
-func (o *objects) Put(_ context.Context, name string, data []byte) error {
-	if o.data == nil {
-		o.data = map[string][]byte{}
+func (o *objectStore) Put(_ context.Context, name string, data []byte) error {
+	if o.bodies == nil {
+		o.bodies = map[string][]byte{}
 	}
-	o.data[name] = data
+	o.bodies[name] = data
 	return nil
 }
 
-func (o *objects) Get(_ context.Context, name string) ([]byte, error) {
+func (o *objectStore) Get(_ context.Context, name string) ([]byte, error) {
 	if o.down {
 		return nil, &store.UnavailableError{Operation: "get", Cause: errFault}
 	}
-	if data, ok := o.data[name]; ok {
+	if data, ok := o.bodies[name]; ok {
 		return data, nil
 	}
 	return nil, &store.NotFoundError{Name: name}
 }
 
-func refused(t *testing.T, err error, reason refusal.Reason, outcome refusal.Outcome) {
+func requireRefused(t *testing.T, err error, reason refusal.Reason, outcome refusal.Outcome) {
 	t.Helper()
 	var got *refusal.Error
 	require.ErrorAs(t, err, &got)
 	require.Equal(t, reason, got.Reason)
 	require.Equal(t, outcome, got.Outcome)
-	again := reason == refusal.DuplicateInFlight || reason == refusal.ClaimsUnavailable
-	require.Equal(t, again, got.RetryAfter > 0, "when to come back")
+	mayRetry := reason == refusal.DuplicateInFlight || reason == refusal.ClaimsUnavailable
+	require.Equal(t, mayRetry, got.RetryAfter > 0, "RetryAfter is set")
 }
 
-// A caller loses the answer to its order and repeats it through another
-// router. It gets the answer of the first, whatever its size.
+// A caller that did not receive the answer to its order repeats the order
+// through another router. It must get the first answer, whatever its size.
 func TestRepeatGetsTheFirstAnswer(t *testing.T) {
 	t.Parallel()
-	for _, body := range []string{"", "booked", strings.Repeat("b", claim.MaxInline+1)} {
-		p := newPair()
-		first, _, err := p.one.Claim(t.Context(), p.order())
+	for _, body := range []string{"", "booked", strings.Repeat("b", claim.MaxInlineBody+1)} {
+		p := newTwoRouters()
+		first, _, err := p.one.Claim(t.Context(), p.request())
 		require.NoError(t, err)
 		require.True(t, first.Ready())
 		header := map[string][]string{"Content-Type": {"text/plain"}, "Set-Cookie": {"secret"}}
 		first.Finish(t.Context(), claim.Answer{Status: 201, Header: header, Body: []byte(body)})
 
-		_, answer, err := p.two.Claim(t.Context(), p.order())
+		_, answer, err := p.two.Claim(t.Context(), p.request())
 
 		require.NoError(t, err)
 		require.Equal(t, 201, answer.Status)
@@ -88,139 +88,141 @@
 	}
 }
 
-// The router that sent the order dies. Nobody can know whether it ran, so a
-// repeat is refused: first as under way, later as lost. It is never sent.
+// The router that sent the order crashes. Whether the order ran is unknown, so a
+// repeat must not be sent: it is refused with duplicate-in-flight until the
+// deadline and with outcome-lost from then on.
 func TestRepeatAfterTheSenderDied(t *testing.T) {
 	t.Parallel()
-	p := newPair()
-	_, _, err := p.one.Claim(t.Context(), p.order())
+	p := newTwoRouters()
+	_, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 
-	_, _, err = p.two.Claim(t.Context(), p.order())
-	refused(t, err, refusal.DuplicateInFlight, refusal.Unknown)
+	_, _, err = p.two.Claim(t.Context(), p.request())
+	requireRefused(t, err, refusal.DuplicateInFlight, refusal.Unknown)
 
 	p.clock.Advance(deadline + 3*time.Second)
-	_, _, err = p.two.Claim(t.Context(), p.order())
-	refused(t, err, refusal.OutcomeLost, refusal.Unknown)
+	_, _, err = p.two.Claim(t.Context(), p.request())
+	requireRefused(t, err, refusal.OutcomeLost, refusal.Unknown)
 }
 
-func TestKeyStandsForOneRequest(t *testing.T) {
+func TestKeyReusedForAnotherRequestIsRefused(t *testing.T) {
 	t.Parallel()
-	p := newPair()
-	_, _, err := p.one.Claim(t.Context(), p.order())
+	p := newTwoRouters()
+	_, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
-	other := p.order()
-	other.Body = []byte("another order")
-	_, _, err = p.two.Claim(t.Context(), other)
-	refused(t, err, refusal.KeyReused, refusal.NotRun)
-
-	stranger := other
-	stranger.Account = "kilimanjaro"
-	_, _, err = p.two.Claim(t.Context(), stranger)
+	otherBody := p.request()
+	otherBody.Body = []byte("another order")
+	_, _, err = p.two.Claim(t.Context(), otherBody)
+	requireRefused(t, err, refusal.KeyReused, refusal.NotRun)
+
+	otherAccount := otherBody
+	otherAccount.Account = "kilimanjaro"
+	_, _, err = p.two.Claim(t.Context(), otherAccount)
 	require.NoError(t, err)
 }
 
-// The table is down. The caller must hear so at once and may repeat.
+// While the table is down, claims must fail at once, as not run.
 func TestTableDownIsNotRun(t *testing.T) {
 	t.Parallel()
-	p := newPair(down)
-	_, _, err := p.one.Claim(t.Context(), p.order())
-	refused(t, err, refusal.ClaimsUnavailable, refusal.NotRun)
+	p := newTwoRouters(down)
+	_, _, err := p.one.Claim(t.Context(), p.request())
+	requireRefused(t, err, refusal.ClaimsUnavailable, refusal.NotRun)
 	require.Equal(t, 1, p.table.commits)
 }
 
-// The table is down or slow for minutes. After a few claims have found out,
-// the others must not wait for it, and one a second tries whether it is back.
+// The table is down or slow for minutes. After a few failed claims the others
+// must not wait for it, and one claim a second probes whether it is back.
 func TestClaimsStopTryingATableThatIsDown(t *testing.T) {
 	t.Parallel()
-	p := newPair(down, down, down, down)
-	claimed := func() error {
-		_, _, err := p.one.Claim(t.Context(), order("k", p.clock.Now().Add(deadline)))
+	p := newTwoRouters(down, down, down, down)
+	claimErr := func() error {
+		_, _, err := p.one.Claim(t.Context(), orderRequest("k", p.clock.Now().Add(deadline)))
 		return err
 	}
 	for range 5 {
-		refused(t, claimed(), refusal.ClaimsUnavailable, refusal.NotRun)
+		requireRefused(t, claimErr(), refusal.ClaimsUnavailable, refusal.NotRun)
 	}
 	require.Equal(t, 3, p.table.commits)
-	refused(t, p.one.Available(), refusal.ClaimsUnavailable, refusal.NotRun)
+	requireRefused(t, p.one.Available(), refusal.ClaimsUnavailable, refusal.NotRun)
 
 	p.clock.Advance(time.Second)
 	require.NoError(t, p.one.Available())
 	for range 2 {
-		refused(t, claimed(), refusal.ClaimsUnavailable, refusal.NotRun)
+		requireRefused(t, claimErr(), refusal.ClaimsUnavailable, refusal.NotRun)
 	}
 	require.Equal(t, 4, p.table.commits)
 
 	p.clock.Advance(time.Second)
-	require.NoError(t, claimed())
+	require.NoError(t, claimErr())
 	require.NoError(t, p.one.Available())
 }
 
-// The table applied the claim and its reply was lost. The router must find
-// out, also through a stale read, or the order would be refused for nothing.
+// The table applied the claim but its reply was lost. The router must find this
+// out by reading the row back, even if the first read is stale; otherwise it
+// would refuse the order for no reason.
 func TestLostReplyIsSettledByReadingBack(t *testing.T) {
 	t.Parallel()
-	p := newPair(replyLost, none, stale)
-	got, _, err := p.one.Claim(t.Context(), p.order())
+	p := newTwoRouters(replyLost, noFault, stale)
+	got, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 	require.True(t, got.Ready())
 }
 
-// The first claim gets no reply and the router gives up; the caller hears
-// not-run. Then the claim takes effect after all, or is about to when the
-// caller repeats. The repeat has to run, and just once.
+// The first claim gets no reply, and the router gives up and reports not-run.
+// The claim then takes effect late, before or after the row is settled. The
+// repeat must run, exactly once.
 func TestFirstClaimTakesEffectLate(t *testing.T) {
 	t.Parallel()
-	for name, between := range map[string]func(p *pair){
-		"before it is settled": func(p *pair) { p.table.land(0); p.one.Settle(context.Background()) },
-		"after it is settled":  func(p *pair) { p.one.Settle(context.Background()); p.table.land(0) },
+	for name, between := range map[string]func(p *twoRouters){
+		"before it is settled": func(p *twoRouters) { p.table.applyPending(0); p.one.Settle(context.Background()) },
+		"after it is settled":  func(p *twoRouters) { p.one.Settle(context.Background()); p.table.applyPending(0) },
 	} {
 		for _, released := range []bool{false, true} {
-			p := newPair(late, down)
+			p := newTwoRouters(late, down)
 			if released {
-				p.table.next = nil
-				earlier, _, err := p.two.Claim(t.Context(), p.order())
+				p.table.nextFault = nil
+				earlier, _, err := p.two.Claim(t.Context(), p.request())
 				require.NoError(t, err)
 				earlier.Release(t.Context())
-				p.table.next = script(none, none, late, down)
+				p.table.nextFault = faultSequence(noFault, noFault, late, down)
 			}
-			_, _, err := p.one.Claim(t.Context(), p.order())
-			refused(t, err, refusal.ClaimsUnavailable, refusal.NotRun)
+			_, _, err := p.one.Claim(t.Context(), p.request())
+			requireRefused(t, err, refusal.ClaimsUnavailable, refusal.NotRun)
 
 			between(p)
 
-			_, _, err = p.two.Claim(t.Context(), p.order())
+			_, _, err = p.two.Claim(t.Context(), p.request())
 			require.NoError(t, err, name)
-			_, _, err = p.one.Claim(t.Context(), p.order())
-			refused(t, err, refusal.DuplicateInFlight, refusal.Unknown)
+			_, _, err = p.one.Claim(t.Context(), p.request())
+			requireRefused(t, err, refusal.DuplicateInFlight, refusal.Unknown)
 		}
 	}
 }
 
-// The same, but the repeat comes first: the late claim must not displace it.
+// As above, but the repeat is claimed first: the late claim must not replace it.
 func TestLateClaimDoesNotDisplaceTheRepeat(t *testing.T) {
 	t.Parallel()
-	p := newPair(late, down)
-	_, _, err := p.one.Claim(t.Context(), p.order())
+	p := newTwoRouters(late, down)
+	_, _, err := p.one.Claim(t.Context(), p.request())
 	require.Error(t, err)
-	second, _, err := p.two.Claim(t.Context(), p.order())
+	second, _, err := p.two.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 
-	p.table.land(0)
+	p.table.applyPending(0)
 	p.one.Settle(t.Context())
 
 	second.Finish(t.Context(), claim.Answer{Status: 200})
-	_, answer, err := p.one.Claim(t.Context(), p.order())
+	_, answer, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 	require.Equal(t, 200, answer.Status)
 }
 
-// The table is down when the order's answer arrives. The answer is kept as
-// soon as the table is back.
+// The table is down when the order's answer arrives. The answer must be stored
+// as soon as the table is back.
 func TestAnswerIsKeptAfterAnOutage(t *testing.T) {
 	t.Parallel()
-	p := newPair(none, down, down)
-	first, _, err := p.one.Claim(t.Context(), p.order())
+	p := newTwoRouters(noFault, down, down)
+	first, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 	first.Finish(t.Context(), claim.Answer{Status: 200, Body: []byte("booked")})
 	require.False(t, first.Ready())
@@ -228,62 +230,62 @@
 	p.one.Settle(t.Context())
 	p.one.Settle(t.Context())
 
-	_, answer, err := p.two.Claim(t.Context(), p.order())
+	_, answer, err := p.two.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 	require.Equal(t, "booked", string(answer.Body))
 }
 
-// A large answer's object was overwritten by another's. A repeat must not be
-// given the other answer.
+// The object of a large answer was overwritten by another answer. A repeat must
+// not get the other answer.
 func TestOverwrittenObjectIsNotReplayed(t *testing.T) {
 	t.Parallel()
-	p := newPair()
-	first, _, err := p.one.Claim(t.Context(), p.order())
+	p := newTwoRouters()
+	first, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
-	first.Finish(t.Context(), claim.Answer{Status: 200, Body: make([]byte, claim.MaxInline+1)})
-	store, ok := p.one.Objects.(*objects)
+	first.Finish(t.Context(), claim.Answer{Status: 200, Body: make([]byte, claim.MaxInlineBody+1)})
+	objects, ok := p.one.Objects.(*objectStore)
 	require.True(t, ok)
-	for name := range store.data {
-		store.data[name] = []byte("another's")
+	for name := range objects.bodies {
+		objects.bodies[name] = []byte("another's")
 	}
-	_, _, err = p.two.Claim(t.Context(), p.order())
-	refused(t, err, refusal.OutcomeLost, refusal.Run)
-	store.down = true
-	_, _, err = p.two.Claim(t.Context(), p.order())
-	refused(t, err, refusal.ClaimsUnavailable, refusal.Run)
+	_, _, err = p.two.Claim(t.Context(), p.request())
+	requireRefused(t, err, refusal.OutcomeLost, refusal.Run)
+	objects.down = true
+	_, _, err = p.two.Claim(t.Context(), p.request())
+	requireRefused(t, err, refusal.ClaimsUnavailable, refusal.Run)
 }
 
-// The sweeper reads an expired row, and before it removes it a router claims
-// the key again. The removal must not take the new claim away: the next repeat
-// would run the order a second time.
-func TestSweeperLeavesWhatWasClaimedAgain(t *testing.T) {
+// A router claims a key again after the sweeper has read its expired row and
+// before the removal. The removal must not delete the new claim, or the next
+// repeat would run the order a second time.
+func TestSweeperKeepsRowsClaimedAgain(t *testing.T) {
 	t.Parallel()
-	p := newPair()
-	first, _, err := p.one.Claim(t.Context(), p.order())
+	p := newTwoRouters()
+	first, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 	first.Release(t.Context())
 	p.clock.Advance(time.Hour)
-	p.table.next = func(bool) effect { return late }
+	p.table.nextFault = func(bool) faultKind { return late }
 	sweeper := &claim.Sweeper{Store: p.one}
 	for len(p.table.pending) == 0 {
 		_, _ = sweeper.Sweep(t.Context())
 	}
-	p.table.next = nil
-	_, _, err = p.two.Claim(t.Context(), p.order())
+	p.table.nextFault = nil
+	_, _, err = p.two.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 
-	p.table.land(0)
+	p.table.applyPending(0)
 
-	_, _, err = p.one.Claim(t.Context(), p.order())
-	refused(t, err, refusal.DuplicateInFlight, refusal.Unknown)
+	_, _, err = p.one.Claim(t.Context(), p.request())
+	requireRefused(t, err, refusal.DuplicateInFlight, refusal.Unknown)
 }
 
 func TestSweeperRemovesOnlyWhatHasExpired(t *testing.T) {
 	t.Parallel()
-	p := newPair()
+	p := newTwoRouters()
 	sweeper := &claim.Sweeper{Store: p.two}
 	for _, key := range []string{"a", "b", "c"} {
-		_, _, err := p.one.Claim(t.Context(), order(key, p.clock.Now().Add(deadline)))
+		_, _, err := p.one.Claim(t.Context(), orderRequest(key, p.clock.Now().Add(deadline)))
 		require.NoError(t, err)
 	}
 	sweepAll := func() int {
--- a/claim/collect.go
+++ b/claim/collect.go
@@ -21,79 +21,80 @@
 )
 
 const (
-	// collectDelay is how long a collector of a large fleet waits for more.
-	// Eight of them commit at most 200 times a second together.
-	collectDelay = 40 * time.Millisecond
-	// collectors is how many routers commit for a large fleet.
-	collectors = 8
-	// turn is for how long the same routers collect. A collector of a large
-	// fleet has some 16 KB/s of claims to pass; in turn each router has its
-	// part of that. Clocks that differ make some groups smaller at each change.
-	turn = 10 * time.Second
-	// smallFleet is up to how many routers each commits for itself: at 16, with
-	// two writes a claim and a group each 5 ms, a hundred claims a second are
-	// at most 200 writes.
-	smallFleet = 16
-	// collectTimeout bounds the wait for a collector, which answers within
-	// collectDelay, a commit and a round trip unless it is gone.
-	collectTimeout = 500 * time.Millisecond
-	// maxCollecting bounds what a collector holds for others at a time.
-	maxCollecting = 4096
+	// collectorDelay is how long a collector waits for more writes to join a
+	// group. Eight collectors together commit at most 200 times a second.
+	collectorDelay = 40 * time.Millisecond
+	// collectorCount is how many routers are collectors in a large fleet.
+	collectorCount = 8
+	// rotationPeriod is how long the same routers are collectors. A collector
+	// transfers some 16 KB/s of claims, so the load is rotated over all routers.
+	// Where clocks differ, some groups are smaller at each change.
+	rotationPeriod = 10 * time.Second
+	// smallFleetSize is the largest number of routers at which each commits for
+	// itself. With 16 routers, two writes a claim and a group each 5 ms, a hundred
+	// claims a second are at most 200 writes.
+	smallFleetSize = 16
+	// verdictTimeout bounds the wait for a collector's verdict. A live collector
+	// answers within collectorDelay, a commit and a round trip.
+	verdictTimeout = 500 * time.Millisecond
+	// maxPeerWrites bounds the concurrent writes of other routers at a collector.
+	maxPeerWrites = 4096
 )
 
-// Peers reaches the other routers.
+// Peers sends batches to the other routers.
 type Peers interface {
-	// Routers returns the live routers but this one.
+	// Routers returns the other live routers.
 	Routers() []fleet.RouterID
-	// Send hands a batch to a router. It may be lost.
+	// Send sends a batch to a router. Delivery is not guaranteed.
 	Send(to fleet.RouterID, batch *schema.Batch)
 }
 
-// Collected is a store.Table that sends transactions on one claim to a
-// router that collects those of many, once the fleet is large.
+// Collected is a store.Table that, in a large fleet, forwards the write of a
+// claim to a collector: a router that commits the writes of many routers in
+// groups.
 //
-// At 460 routers and 690 claims a second a router has three writes a second,
-// and no group of its own to speak of; the fleet would make some 1,400 commits
-// a second. Which router collects is nobody's agreement: two that believe they
-// do only make smaller groups. A collector that does not answer is passed by,
-// and the same transaction committed here, which settles what became of it,
-// because each row names the attempt that wrote it.
+// With 460 routers and 690 claims a second each router has three writes a
+// second, too few to group; the fleet would make some 1,400 commits a second.
+// Routers needn't agree on the collectors: if two routers act as the same
+// collector, groups only get smaller. If a collector does not answer, the same
+// transaction is committed here. If this second commit conflicts, the attempt id
+// in the row tells whether the first one was applied.
 //
-// All fields but Timer have to be set, and Receive be called with each batch of a peer.
-// It is safe for concurrent use.
+// All fields but Timer must be set, and Receive must be called with each batch
+// from a peer. It is safe for concurrent use.
 type Collected struct {
 	store.Table
 	Self  fleet.RouterID
 	Peers Peers
-	// Group commits for this router while the fleet is small, and when a
+	// Group commits this router's own writes while the fleet is small, or if a
 	// collector does not answer.
 	Group *Group
-	// Timer tells the time; nil means the machine's clock.
+	// Timer is the clock; nil means the system clock.
 	Timer timer.Service
 
-	once       sync.Once
-	large      Group
-	collecting atomic.Int64
-	mu         sync.Mutex
-	last       uint64
-	waiting    map[uint64]question
+	initCollectorGroup sync.Once
+	collectorGroup     Group
+	peerWrites         atomic.Int64
+	mu                 sync.Mutex
+	lastID             uint64
+	pending            map[uint64]pendingWrite
 }
 
-// question is a write that waits for the verdict of a collector.
-type question struct {
-	to     fleet.RouterID
-	answer chan *schema.ClaimVerdict
+// pendingWrite is a forwarded write that waits for its collector's verdict.
+type pendingWrite struct {
+	to      fleet.RouterID
+	verdict chan *schema.ClaimVerdict
 }
 
-// idBits bounds the random first id of a write. Were ids to start at one, a
-// router that restarts could take the verdict on a write of its earlier life
-// for one of its own, believe that it holds a claim, and run a request that
-// another router runs.
-const idBits = 48
+// firstIDBits is the number of random bits in the first id of a write. If ids
+// started at one, a restarted router could mistake the verdict on a write of its
+// previous process for that on a new one, and run a request without a claim
+// while another router runs it.
+const firstIDBits = 48
 
-// Commit applies a transaction. It fails as the table does.
+// Commit applies a transaction. It fails with the errors of store.Table.
 func (c *Collected) Commit(ctx context.Context, txn store.Txn) error {
-	write, ok := claimWrite(txn)
+	write, ok := newClaimWrite(txn)
 	if !ok {
 		return c.Group.Commit(ctx, txn)
 	}
@@ -102,111 +103,117 @@
 	case "":
 		return c.Group.Commit(ctx, txn)
 	case c.Self:
-		return c.collected().Commit(ctx, txn)
+		return c.groupAsCollector().Commit(ctx, txn)
 	}
-	verdict := c.ask(ctx, to, write)
+	verdict := c.forward(ctx, to, write)
 	if verdict == nil {
-		return definiteOnly(c.Group.Commit(ctx, txn))
+		return secondCommitError(c.Group.Commit(ctx, txn))
 	}
 	return verdictError(verdict, txn.Checks[0])
 }
 
-// definiteOnly weakens an error of a second commit of the same transaction:
-// that the second had no effect says nothing of the first.
-func definiteOnly(err error) error {
-	var none *store.UnavailableError
-	if errors.As(err, &none) {
-		return &store.IndefiniteError{Operation: none.Operation, Cause: err}
+// secondCommitError returns the error for a transaction that was committed twice,
+// from that of the second commit: if the second had no effect, the first still
+// may have had one.
+func secondCommitError(err error) error {
+	var unreachable *store.UnavailableError
+	if errors.As(err, &unreachable) {
+		return &store.IndefiniteError{Operation: unreachable.Operation, Cause: err}
 	}
 	return err
 }
 
-// ask sends a write to a collector and returns its verdict, nil without one.
-func (c *Collected) ask(ctx context.Context, to fleet.RouterID, write *schema.ClaimWrite) *schema.ClaimVerdict {
-	answer := make(chan *schema.ClaimVerdict, 1)
-	write.Id = c.remember(question{to, answer})
-	defer c.forget(write.GetId())
-	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
+// forward sends a write to a collector and returns its verdict, or nil if none
+// arrives in time.
+func (c *Collected) forward(ctx context.Context, to fleet.RouterID, write *schema.ClaimWrite) *schema.ClaimVerdict {
+	verdicts := make(chan *schema.ClaimVerdict, 1)
+	write.Id = c.addPending(pendingWrite{to, verdicts})
+	defer c.removePending(write.GetId())
+	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
 	c.Peers.Send(to, &schema.Batch{ClaimWrites: []*schema.ClaimWrite{write}})
 	select {
-	case verdict := <-answer:
+	case verdict := <-verdicts:
 		return verdict
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-func (c *Collected) remember(q question) (id uint64) {
+func (c *Collected) addPending(write pendingWrite) (id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting == nil {
-		c.waiting = map[uint64]question{}
-		c.last = rand.Uint64N(1 << idBits)
+	if c.pending == nil {
+		c.pending = map[uint64]pendingWrite{}
+		c.lastID = rand.Uint64N(1 << firstIDBits)
 	}
-	c.last++
-	c.waiting[c.last] = q
-	return c.last
+	c.lastID++
+	c.pending[c.lastID] = write
+	return c.lastID
 }
 
-func (c *Collected) forget(id uint64) {
+func (c *Collected) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
 
-// Receive takes the claims and verdicts in a batch. It does not block.
+// Receive handles the claim writes and verdicts in a batch from a peer. It does
+// not block.
 func (c *Collected) Receive(from fleet.RouterID, batch *schema.Batch) {
 	for _, verdict := range batch.GetClaimVerdicts() {
-		c.decide(from, verdict)
+		c.deliver(from, verdict)
 	}
 	for _, write := range batch.GetClaimWrites() {
-		if c.collecting.Add(1) > maxCollecting {
-			c.collecting.Add(-1)
-			c.reply(from, &schema.ClaimVerdict{Id: write.GetId(), Effect: schema.ClaimEffect_CLAIM_EFFECT_NONE})
+		if c.peerWrites.Add(1) > maxPeerWrites {
+			c.peerWrites.Add(-1)
+			c.sendVerdict(from, &schema.ClaimVerdict{Id: write.GetId(), Effect: schema.ClaimEffect_CLAIM_EFFECT_NONE})
 			continue
 		}
-		go c.collect(from, write)
+		go c.commitForPeer(from, write)
 	}
 }
 
-func (c *Collected) decide(from fleet.RouterID, verdict *schema.ClaimVerdict) {
+// deliver passes a verdict to the write that waits for it, if it comes from the
+// collector that the write was sent to.
+func (c *Collected) deliver(from fleet.RouterID, verdict *schema.ClaimVerdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q, ok := c.waiting[verdict.GetId()]
-	if !ok || q.to != from {
+	write, ok := c.pending[verdict.GetId()]
+	if !ok || write.to != from {
 		return
 	}
-	delete(c.waiting, verdict.GetId())
-	q.answer <- verdict
+	delete(c.pending, verdict.GetId())
+	write.verdict <- verdict
 }
 
-func (c *Collected) collect(from fleet.RouterID, write *schema.ClaimWrite) {
-	defer c.collecting.Add(-1)
+// commitForPeer commits a write of another router and sends it the verdict.
+func (c *Collected) commitForPeer(from fleet.RouterID, write *schema.ClaimWrite) {
+	defer c.peerWrites.Add(-1)
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	key := Prefix + store.Key(hex.EncodeToString(write.GetClaim()))
-	err := c.collected().Commit(ctx, store.Txn{
+	err := c.groupAsCollector().Commit(ctx, store.Txn{
 		Checks: []store.Check{{Key: key, Version: store.RowVersion(write.GetVersion())}},
 		Writes: []store.Write{{Key: key, Value: write.GetRow()}},
 	})
-	verdict := verdictOf(err)
+	verdict := newVerdict(err)
 	verdict.Id = write.GetId()
-	c.reply(from, verdict)
+	c.sendVerdict(from, verdict)
 }
 
-func (c *Collected) reply(to fleet.RouterID, verdict *schema.ClaimVerdict) {
+func (c *Collected) sendVerdict(to fleet.RouterID, verdict *schema.ClaimVerdict) {
 	c.Peers.Send(to, &schema.Batch{ClaimVerdicts: []*schema.ClaimVerdict{verdict}})
 }
 
-// claimWrite returns the message for a transaction that writes one claim's
-// row, and false for another.
-func claimWrite(txn store.Txn) (*schema.ClaimWrite, bool) {
+// newClaimWrite returns the message for a transaction that only writes the row
+// of one claim, and false for any other transaction.
+func newClaimWrite(txn store.Txn) (*schema.ClaimWrite, bool) {
 	if len(txn.Checks) != 1 || len(txn.Writes) != 1 || txn.Writes[0].Delete || txn.Checks[0].Key != txn.Writes[0].Key {
 		return nil, false
 	}
-	text, ok := strings.CutPrefix(string(txn.Checks[0].Key), string(Prefix))
-	claim, err := hex.DecodeString(text)
+	hexKey, ok := strings.CutPrefix(string(txn.Checks[0].Key), string(Prefix))
+	claim, err := hex.DecodeString(hexKey)
 	if !ok || err != nil {
 		return nil, false
 	}
@@ -215,27 +222,29 @@
 	}, true
 }
 
-func verdictOf(err error) *schema.ClaimVerdict {
+// newVerdict returns the verdict for the result of a commit. Its effect stays
+// unspecified, that is indefinite, for other errors.
+func newVerdict(err error) *schema.ClaimVerdict {
 	var (
-		conflict *store.ConflictError
-		none     *store.UnavailableError
+		conflict    *store.ConflictError
+		unreachable *store.UnavailableError
 	)
 	switch {
 	case err == nil:
 		return &schema.ClaimVerdict{Effect: schema.ClaimEffect_CLAIM_EFFECT_APPLIED}
 	case errors.As(err, &conflict):
 		return &schema.ClaimVerdict{Effect: schema.ClaimEffect_CLAIM_EFFECT_CONFLICT, Found: uint64(conflict.Found)}
-	case errors.As(err, &none):
+	case errors.As(err, &unreachable):
 		return &schema.ClaimVerdict{Effect: schema.ClaimEffect_CLAIM_EFFECT_NONE}
 	default:
 		return &schema.ClaimVerdict{}
 	}
 }
 
-// verdictError returns the error of a verdict. An effect that this version does
-// not know counts as indefinite.
+// verdictError returns the error that a verdict stands for. Effects that this
+// version does not know are indefinite.
 func verdictError(verdict *schema.ClaimVerdict, check store.Check) error {
-	cause := eris.New("at the router that collects claims")
+	cause := eris.New("reported by the collecting router")
 	switch verdict.GetEffect() {
 	case schema.ClaimEffect_CLAIM_EFFECT_APPLIED:
 		return nil
@@ -250,21 +259,25 @@
 	}
 }
 
-// collected returns the group of what this router collects for a large fleet.
-func (c *Collected) collected() *Group {
-	c.once.Do(func() { c.large.Table, c.large.Delay, c.large.Timer = c.Table, collectDelay, c.Timer })
-	return &c.large
+// groupAsCollector returns the group for the writes that this router commits as
+// a collector.
+func (c *Collected) groupAsCollector() *Group {
+	c.initCollectorGroup.Do(func() {
+		c.collectorGroup.Table, c.collectorGroup.Delay, c.collectorGroup.Timer = c.Table, collectorDelay, c.Timer
+	})
+	return &c.collectorGroup
 }
 
-// collector returns the router that writes a claim, none in a small fleet.
+// collector returns the router that commits writes of a claim, or "" in a small
+// fleet.
 func (c *Collected) collector(claim []byte) fleet.RouterID {
 	routers := append(slices.Clone(c.Peers.Routers()), c.Self)
-	if len(routers) <= smallFleet {
+	if len(routers) <= smallFleetSize {
 		return ""
 	}
-	slot := uint64(rendezvous.KeyOf("claim", string(claim))) % collectors
-	turns := uint64(c.now().UnixNano() / int64(turn))
-	return rendezvous.Pick(rendezvous.KeyOfNumber("claim-collector", turns*collectors+slot), routers)
+	slot := uint64(rendezvous.KeyOf("claim", string(claim))) % collectorCount
+	period := uint64(c.now().UnixNano() / int64(rotationPeriod))
+	return rendezvous.Pick(rendezvous.KeyOfNumber("claim-collector", period*collectorCount+slot), routers)
 }
 
 func (c *Collected) now() time.Time {
--- a/claim/group.go
+++ b/claim/group.go
@@ -12,77 +12,81 @@
 )
 
 const (
-	// defaultDelay is how long a transaction waits for others to join it.
+	// defaultDelay is the default of Group.Delay.
 	defaultDelay = 5 * time.Millisecond
-	// defaultMembers bounds the transactions in one commit.
-	defaultMembers = 128
-	// commitTimeout bounds one commit of a group.
+	// defaultMaxTransactions is the default of Group.MaxTransactions.
+	defaultMaxTransactions = 128
+	// commitTimeout bounds the commits of one group.
 	commitTimeout = 2 * time.Second
 )
 
-// Group is a store.Table that commits many transactions as one, because the
-// table takes several hundred writes a second whatever their size. Reads go to
-// Table as they are. Table has to be set. It is safe for concurrent use.
+// Group is a store.Table that commits several transactions as one (group
+// commit), because the table allows only several hundred commits a second,
+// whatever their size. Reads go to Table directly. Table must be set. It is safe
+// for concurrent use.
 //
-// One commit is under way at a time, so that a slow table sees larger groups
-// and not more of them. A conflict in a group names one row: the transaction
-// on it is answered, and the others are committed again without it.
+// Only one commit is in progress at a time, so that a slow table gets larger
+// groups, not more of them. If a group fails with a conflict, the transaction on
+// the conflicting row fails and the others are committed again without it.
 type Group struct {
 	store.Table
-	// Delay is how long the first transaction of a group waits; zero means 5 ms.
+	// Delay is how long the first transaction of a group waits for others to join;
+	// zero means 5 ms.
 	Delay time.Duration
-	// Members bounds a group; zero means 128.
-	Members int
-	// Timer tells the time; nil means the machine's clock.
+	// MaxTransactions bounds the transactions in a group; zero means 128.
+	MaxTransactions int
+	// Timer is the clock; nil means the system clock.
 	Timer timer.Service
 
 	mu      sync.Mutex
-	waiting []*member
-	busy    bool
+	waiting []*pendingTxn
+	// scheduled is true while a commit is scheduled or in progress.
+	scheduled bool
 }
 
-// member is a transaction that waits for its group.
-type member struct {
+// pendingTxn is a transaction that waits for its group's commit.
+type pendingTxn struct {
 	txn  store.Txn
 	done chan error
 }
 
-// Commit applies a transaction together with others. It fails as the table
-// does, and with *store.IndefiniteError when ctx ends while its group is
-// being committed.
+// Commit applies a transaction together with others. It fails with the errors
+// of store.Table, and with *store.IndefiniteError if ctx ends while its group
+// is being committed.
 func (g *Group) Commit(ctx context.Context, txn store.Txn) error {
-	m := &member{txn: txn, done: make(chan error, 1)}
-	g.join(m)
+	pending := &pendingTxn{txn: txn, done: make(chan error, 1)}
+	g.join(pending)
 	select {
-	case err := <-m.done:
+	case err := <-pending.done:
 		return err
 	case <-ctx.Done():
 	}
-	if g.leave(m) {
+	if g.leave(pending) {
 		return &store.UnavailableError{Operation: "commit", Cause: ctx.Err()}
 	}
 	return &store.IndefiniteError{Operation: "commit", Cause: ctx.Err()}
 }
 
-func (g *Group) join(m *member) {
+func (g *Group) join(pending *pendingTxn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.waiting = append(g.waiting, m)
-	if !g.busy {
-		g.busy = true
+	g.waiting = append(g.waiting, pending)
+	if !g.scheduled {
+		g.scheduled = true
 		g.schedule()
 	}
 }
 
-// leave reports whether the member left before its group was taken.
-func (g *Group) leave(m *member) bool {
+// leave removes a waiting transaction. It reports false if the transaction's
+// group was already taken.
+func (g *Group) leave(pending *pendingTxn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at := slices.Index(g.waiting, m)
-	if at < 0 {
+	index := slices.Index(g.waiting, pending)
+	if index < 0 {
 		return false
 	}
-	g.waiting = slices.Delete(g.waiting, at, at+1)
+	g.waiting = slices.Delete(g.waiting, index, index+1)
 	return true
 }
 
@@ -98,90 +102,92 @@
 	clock.After(delay, func(time.Time) { go g.run() })
 }
 
-// run commits one group and schedules the next when there is one.
+// run commits one group and schedules the next if transactions are waiting.
 func (g *Group) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	g.commit(ctx, g.take())
+	g.commit(ctx, g.takeNext())
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.busy = len(g.waiting) > 0; g.busy {
+	if g.scheduled = len(g.waiting) > 0; g.scheduled {
 		g.schedule()
 	}
 }
 
-// take removes the next group from those that wait. Two transactions on one
-// row can't be in one commit, so the second stays.
-func (g *Group) take() []*member {
-	limit := g.Members
+// takeNext removes the next group from the waiting transactions. Two
+// transactions on the same row can't share a commit, so the second stays.
+func (g *Group) takeNext() []*pendingTxn {
+	limit := g.MaxTransactions
 	if limit == 0 {
-		limit = defaultMembers
+		limit = defaultMaxTransactions
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	rows := map[store.Key]bool{}
-	var group, left []*member
-	for _, m := range g.waiting {
-		if len(group) == limit || m.touches(rows) {
-			left = append(left, m)
+	keys := map[store.Key]bool{}
+	var group, rest []*pendingTxn
+	for _, pending := range g.waiting {
+		if len(group) == limit || pending.sharesKeyWith(keys) {
+			rest = append(rest, pending)
 			continue
 		}
-		m.mark(rows)
-		group = append(group, m)
+		pending.addKeysTo(keys)
+		group = append(group, pending)
 	}
-	g.waiting = left
+	g.waiting = rest
 	return group
 }
 
-func (m *member) touches(rows map[store.Key]bool) bool {
-	for _, check := range m.txn.Checks {
-		if rows[check.Key] {
+// sharesKeyWith reports whether the transaction checks or writes one of keys.
+func (p *pendingTxn) sharesKeyWith(keys map[store.Key]bool) bool {
+	for _, check := range p.txn.Checks {
+		if keys[check.Key] {
 			return true
 		}
 	}
-	return slices.ContainsFunc(m.txn.Writes, func(w store.Write) bool { return rows[w.Key] })
+	return slices.ContainsFunc(p.txn.Writes, func(w store.Write) bool { return keys[w.Key] })
 }
 
-func (m *member) mark(rows map[store.Key]bool) {
-	for _, check := range m.txn.Checks {
-		rows[check.Key] = true
+// addKeysTo adds the keys that the transaction checks or writes.
+func (p *pendingTxn) addKeysTo(keys map[store.Key]bool) {
+	for _, check := range p.txn.Checks {
+		keys[check.Key] = true
 	}
-	for _, write := range m.txn.Writes {
-		rows[write.Key] = true
+	for _, write := range p.txn.Writes {
+		keys[write.Key] = true
 	}
 }
 
-func (g *Group) commit(ctx context.Context, group []*member) {
+func (g *Group) commit(ctx context.Context, group []*pendingTxn) {
 	for len(group) > 0 {
-		err := g.Table.Commit(ctx, merged(group))
+		err := g.Table.Commit(ctx, mergeTxns(group))
 		var conflict *store.ConflictError
 		if !errors.As(err, &conflict) || len(group) == 1 {
-			answerAll(group, err)
+			completeAll(group, err)
 			return
 		}
-		hit := slices.IndexFunc(group, func(m *member) bool {
-			return slices.ContainsFunc(m.txn.Checks, func(c store.Check) bool { return c.Key == conflict.Key })
+		index := slices.IndexFunc(group, func(pending *pendingTxn) bool {
+			return slices.ContainsFunc(pending.txn.Checks, func(c store.Check) bool { return c.Key == conflict.Key })
 		})
-		if hit < 0 {
-			answerAll(group, err)
+		if index < 0 {
+			completeAll(group, err)
 			return
 		}
-		group[hit].done <- err
-		group = slices.Delete(group, hit, hit+1)
+		group[index].done <- err
+		group = slices.Delete(group, index, index+1)
 	}
 }
 
-func answerAll(group []*member, err error) {
-	for _, m := range group {
-		m.done <- err
+func completeAll(group []*pendingTxn, err error) {
+	for _, pending := range group {
+		pending.done <- err
 	}
 }
 
-func merged(group []*member) store.Txn {
+func mergeTxns(group []*pendingTxn) store.Txn {
 	var txn store.Txn
-	for _, m := range group {
-		txn.Checks = append(txn.Checks, m.txn.Checks...)
-		txn.Writes = append(txn.Writes, m.txn.Writes...)
+	for _, pending := range group {
+		txn.Checks = append(txn.Checks, pending.txn.Checks...)
+		txn.Writes = append(txn.Writes, pending.txn.Writes...)
 	}
 	return txn
 }
--- a/claim/group_test.go
+++ b/claim/group_test.go
@@ -22,17 +22,18 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-func insert(key store.Key) store.Txn {
+func insertTxn(key store.Key) store.Txn {
 	return store.Txn{Checks: []store.Check{{Key: key}}, Writes: []store.Write{{Key: key, Value: []byte("v")}}}
 }
 
-// Among many claims in one commit is one whose key another router holds, and
-// two for one key. Only those that lost may hear of it.
+// Guards against a conflict that fails other claims in the same commit. One
+// claim of the group has a key that another router holds, and two have the same
+// key; only the claims that lost may fail.
 func TestConflictInAGroupConcernsOneClaim(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.New(timer.System{})
-		require.NoError(t, table.Commit(t.Context(), insert("held")))
+		require.NoError(t, table.Commit(t.Context(), insertTxn("held")))
 		group := &claim.Group{Table: table}
 		keys := []store.Key{"a", "held", "b", "twice", "twice", "c"}
 		conflicts := map[store.Key]int{}
@@ -42,7 +43,7 @@
 		)
 		for _, key := range keys {
 			wg.Go(func() {
-				err := group.Commit(t.Context(), insert(key))
+				err := group.Commit(t.Context(), insertTxn(key))
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -54,26 +55,26 @@
 		}
 		wg.Wait()
 		require.Equal(t, map[store.Key]int{"held": 1, "twice": 1}, conflicts)
-		require.Equal(t, uint64(2), table.Commits(), "the row that was there, and one group")
+		require.Equal(t, uint64(2), table.Commits(), "the existing row and one group")
 	})
 }
 
-// network connects the routers of a test; lost routers answer no more, and
-// mute ones do what they are asked but their replies are lost.
+// network connects the routers of a test. Unreachable routers receive nothing;
+// muted routers receive batches, but what they send is lost.
 type network struct {
-	mu      sync.Mutex
-	routers map[fleet.RouterID]*claim.Collected
-	lost    map[fleet.RouterID]bool
-	mute    map[fleet.RouterID]bool
-	bytes   map[fleet.RouterID]int
+	mu          sync.Mutex
+	routers     map[fleet.RouterID]*claim.Collected
+	unreachable map[fleet.RouterID]bool
+	muted       map[fleet.RouterID]bool
+	bytes       map[fleet.RouterID]int
 }
 
-type port struct {
+type networkPeers struct {
 	*network
 	self fleet.RouterID
 }
 
-func (p port) Routers() []fleet.RouterID {
+func (p networkPeers) Routers() []fleet.RouterID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []fleet.RouterID
@@ -86,31 +87,32 @@
 }
 
 // Send delivers a batch a millisecond later.
-func (p port) Send(to fleet.RouterID, batch *schema.Batch) {
+func (p networkPeers) Send(to fleet.RouterID, batch *schema.Batch) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	router, dropped := p.routers[to], p.lost[to] || p.mute[p.self]
+	router, dropped := p.routers[to], p.unreachable[to] || p.muted[p.self]
 	if dropped {
 		return
 	}
-	p.bytes[p.self] += frameSize + proto.Size(batch)
-	p.bytes[to] += frameSize + proto.Size(batch)
+	p.bytes[p.self] += frameHeaderSize + proto.Size(batch)
+	p.bytes[to] += frameHeaderSize + proto.Size(batch)
 	time.AfterFunc(time.Millisecond, func() { router.Receive(p.self, batch) })
 }
 
-// frameSize is the kind and the length before a batch on a connection.
-const frameSize = 2
+// frameHeaderSize is the size of a batch's kind and length on a connection, in
+// bytes.
+const frameHeaderSize = 2
 
 func newNetwork(table store.Table, routers int) (*network, []*claim.Store) {
 	n := &network{
-		routers: map[fleet.RouterID]*claim.Collected{},
-		lost:    map[fleet.RouterID]bool{}, mute: map[fleet.RouterID]bool{}, bytes: map[fleet.RouterID]int{},
+		routers:     map[fleet.RouterID]*claim.Collected{},
+		unreachable: map[fleet.RouterID]bool{}, muted: map[fleet.RouterID]bool{}, bytes: map[fleet.RouterID]int{},
 	}
 	stores := make([]*claim.Store, 0, routers)
 	for i := range routers {
 		id := fleet.RouterID(fmt.Sprintf("router-%03d", i))
 		collected := &claim.Collected{
-			Table: table, Self: id, Peers: port{n, id},
+			Table: table, Self: id, Peers: networkPeers{n, id},
 			Group: &claim.Group{Table: table},
 		}
 		n.routers[id] = collected
@@ -119,64 +121,64 @@
 	return n, stores
 }
 
-// A collector dies, or does its work and its reply is lost. The claims that
-// it was sent must be settled all the same.
+// A collector crashes, or commits a claim but its verdict is lost. The claims
+// sent to it must still succeed.
 func TestCollectorThatDoesNotAnswer(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.New(timer.System{})
 		n, stores := newNetwork(table, 40)
 		for id := range n.routers {
-			n.lost[id] = id[len(id)-1]%2 == 0
-			n.mute[id] = !n.lost[id]
+			n.unreachable[id] = id[len(id)-1]%2 == 0
+			n.muted[id] = !n.unreachable[id]
 		}
 		for i := range 20 {
-			request := order(fmt.Sprint(i), time.Now().Add(deadline))
-			held, _, err := stores[i].Claim(t.Context(), request)
+			request := orderRequest(fmt.Sprint(i), time.Now().Add(deadline))
+			claimed, _, err := stores[i].Claim(t.Context(), request)
 			require.NoError(t, err)
-			held.Finish(t.Context(), claim.Answer{Status: 200})
+			claimed.Finish(t.Context(), claim.Answer{Status: 200})
 			_, answer, err := stores[i+1].Claim(t.Context(), request)
 			require.NoError(t, err)
 			require.Equal(t, 200, answer.Status)
 		}
 
-		// With the table down, too, nobody knows what the collector did.
+		// With the table down as well, the effect of the collector's commit is unknown.
 		table.Faults.Set(fault.Fault{Kind: fault.Down})
 		collected, ok := stores[0].Table.(*claim.Collected)
 		require.True(t, ok)
 		var indefinite *store.IndefiniteError
-		require.ErrorAs(t, collected.Commit(t.Context(), insert("claims/00")), &indefinite)
+		require.ErrorAs(t, collected.Commit(t.Context(), insertTxn("claims/00")), &indefinite)
 	})
 }
 
-// A router restarts while a collector still works for its earlier life. The
-// late verdict must not be taken for one on a write of the new life, or the
-// router would believe that it holds a claim.
-func TestVerdictForAnEarlierLifeIsIgnored(t *testing.T) {
+// A router restarts while a collector still commits a write of the previous
+// process. The late verdict must not be taken for that on a new write, or the
+// router would run a request without a claim.
+func TestVerdictForPreviousProcessIsIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.New(timer.System{})
 		n, stores := newNetwork(table, 40)
 		for id, router := range n.routers {
-			n.mute[id] = true
+			n.muted[id] = true
 			time.AfterFunc(time.Millisecond, func() {
-				for early := range uint64(100) {
+				for id := range uint64(100) {
 					for from := range n.routers {
 						router.Receive(from, &schema.Batch{ClaimVerdicts: []*schema.ClaimVerdict{
-							{Id: early, Effect: schema.ClaimEffect_CLAIM_EFFECT_APPLIED},
+							{Id: id, Effect: schema.ClaimEffect_CLAIM_EFFECT_APPLIED},
 						}})
 					}
 				}
 			})
 		}
 		table.Faults.Set(fault.Fault{Kind: fault.Down})
-		_, _, err := stores[0].Claim(t.Context(), order("k", time.Now().Add(deadline)))
-		refused(t, err, refusal.ClaimsUnavailable, refusal.NotRun)
+		_, _, err := stores[0].Claim(t.Context(), orderRequest("k", time.Now().Add(deadline)))
+		requireRefused(t, err, refusal.ClaimsUnavailable, refusal.NotRun)
 	})
 }
 
-// At the size that the fleet has to carry, 460 routers claim 690 requests a
-// second together. The table takes several hundred writes a second.
+// At the required fleet size, 460 routers together claim 690 requests a second.
+// The table allows several hundred commits a second.
 func TestClaimsOfALargeFleetStayWithinTheWriteAllowance(t *testing.T) {
 	t.Parallel()
 	const (
@@ -189,33 +191,33 @@
 		n, stores := newNetwork(table, routers)
 		random := rand.New(rand.NewPCG(1, 2))
 		var (
-			wg    sync.WaitGroup
-			worst atomic.Int64
+			wg      sync.WaitGroup
+			slowest atomic.Int64
 		)
 		for i := range rate * seconds {
 			time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-			store := stores[random.IntN(routers)]
+			claims := stores[random.IntN(routers)]
 			wg.Go(func() {
 				start := time.Now()
-				held, _, err := store.Claim(t.Context(), order(fmt.Sprint(i), start.Add(deadline)))
+				claimed, _, err := claims.Claim(t.Context(), orderRequest(fmt.Sprint(i), start.Add(deadline)))
 				require.NoError(t, err)
-				if took := int64(time.Since(start)); took > worst.Load() {
-					worst.Store(took)
+				if took := int64(time.Since(start)); took > slowest.Load() {
+					slowest.Store(took)
 				}
 				time.Sleep(100 * time.Millisecond)
-				held.Finish(t.Context(), claim.Answer{Status: 200, Body: []byte("booked")})
+				claimed.Finish(t.Context(), claim.Answer{Status: 200, Body: []byte("booked")})
 			})
 		}
 		wg.Wait()
-		all, most := 0, 0
+		total, busiest := 0, 0
 		for _, bytes := range n.bytes {
-			all += bytes
-			most = max(most, bytes)
+			total += bytes
+			busiest = max(busiest, bytes)
 		}
 		commits := float64(table.Commits()) / seconds
 		t.Logf("%.0f commits/s for %d claims/s; slowest claim %v; %d bytes/s at a router, at the busiest %d",
-			commits, rate, time.Duration(worst.Load()), all/seconds/routers, most/seconds)
+			commits, rate, time.Duration(slowest.Load()), total/seconds/routers, busiest/seconds)
 		require.Less(t, commits, 250.0)
-		require.Less(t, all/seconds/routers, 600)
+		require.Less(t, total/seconds/routers, 600)
 	})
 }
--- a/claim/keep.go
+++ b/claim/keep.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// MaxInline is the largest body that is kept in the row itself, in bytes.
-	MaxInline = 4 << 10
-	// MaxKept is the largest body that is kept at all, in bytes.
+	// MaxInlineBody is the largest body that is stored in the row itself, in bytes.
+	MaxInlineBody = 4 << 10
+	// MaxKept is the largest body that is stored at all, in bytes.
 	MaxKept = 1 << 20
-	// objectDigits bounds the number of objects to 16^5, because the object
-	// store removes nothing: an old answer's object is overwritten in time, and
-	// a hash in the row tells that it was.
+	// objectDigits is the number of hex digits in an object's name. It limits the
+	// objects to 16^5, because the object store never deletes any. Old answers get
+	// overwritten, which the body's hash in the row detects.
 	objectDigits = 5
 )
 
-// keptFields are the header fields that are kept with an answer. The others
-// concern one connection or one moment.
+// keptFields are the header fields that are stored with an answer. The others
+// apply only to one connection or point in time.
 var keptFields = []string{
 	"Content-Type", "Content-Encoding", "Content-Language", "Content-Disposition",
 	"Location", "Etag", "Last-Modified", "Link", "Retry-After",
 }
 
-var errTooLarge = eris.New("answer is too large to be kept")
+var errTooLarge = eris.New("answer is too large to store")
 
-func (s *Store) keep(ctx context.Context, c *Claim, answer Answer) (*schema.KeptAnswer, error) {
+// storeAnswer stores a large body as an object and returns the answer for the row.
+func (s *Store) storeAnswer(ctx context.Context, c *Claim, answer Answer) (*schema.KeptAnswer, error) {
 	kept := &schema.KeptAnswer{Status: uint32(answer.Status), Header: keptHeader(answer.Header)}
-	if len(answer.Body) <= MaxInline {
+	if len(answer.Body) <= MaxInlineBody {
 		kept.Body = answer.Body
 		return kept, nil
 	}
@@ -60,8 +61,8 @@
 	return fields
 }
 
-// kept returns the answer of a row in state done.
-func (s *Store) kept(ctx context.Context, kept *schema.KeptAnswer) (*Answer, error) {
+// loadAnswer returns the answer of a row in state done, with its body.
+func (s *Store) loadAnswer(ctx context.Context, kept *schema.KeptAnswer) (*Answer, error) {
 	answer := &Answer{Status: int(kept.GetStatus()), Header: map[string][]string{}, Body: kept.GetBody()}
 	for _, field := range kept.GetHeader() {
 		answer.Header[field.GetName()] = field.GetValues()
@@ -69,7 +70,7 @@
 	if kept.GetObject() == "" {
 		return answer, nil
 	}
-	body, err := s.object(ctx, kept)
+	body, err := s.loadBody(ctx, kept)
 	if err != nil {
 		return nil, err
 	}
@@ -77,17 +78,18 @@
 	return answer, nil
 }
 
-func (s *Store) object(ctx context.Context, kept *schema.KeptAnswer) ([]byte, error) {
+// loadBody reads a body from the object store and checks its hash.
+func (s *Store) loadBody(ctx context.Context, kept *schema.KeptAnswer) ([]byte, error) {
 	lost := &refusal.Error{
 		Reason: refusal.OutcomeLost, Outcome: refusal.Run,
-		Detail: "The request with this idempotency key was run; its answer is no longer kept.",
+		Detail: "The request with this idempotency key was run; its answer is no longer stored.",
 	}
 	if s.Objects == nil {
 		return nil, lost
 	}
 	body, err := s.Objects.Get(ctx, kept.GetObject())
-	var missing *store.NotFoundError
-	if errors.As(err, &missing) {
+	var notFound *store.NotFoundError
+	if errors.As(err, &notFound) {
 		return nil, lost
 	}
 	if err != nil {
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -18,8 +18,8 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// The same 500 runs of about 120 steps come each time; -rapid.seed,
-// -rapid.checks and -rapid.steps try others and more.
+// The tests make the same 500 runs of about 120 steps each time; -rapid.seed,
+// -rapid.checks and -rapid.steps change that.
 func init() {
 	_ = flag.Set("rapid.seed", "11")
 	_ = flag.Set("rapid.steps", "200")
@@ -28,51 +28,52 @@
 
 const (
 	deadline = time.Minute
-	// keyLife is for how long callers repeat a request.
-	keyLife = 30 * time.Minute
+	// keyLifetime is how long callers repeat a request.
+	keyLifetime = 30 * time.Minute
 )
 
-// skewed is a router's clock.
-type skewed struct {
+// skewedClock is a router's clock, which differs from the others by offset.
+type skewedClock struct {
 	timer.Service
-	by time.Duration
+	offset time.Duration
 }
 
-func (s skewed) Now() time.Time { return s.Service.Now().Add(s.by) }
+func (s skewedClock) Now() time.Time { return s.Service.Now().Add(s.offset) }
 
-// held is a call whose router may send it, has sent it, or is done with it.
-type held struct {
-	router  int
-	key     string
-	claim   *claim.Claim
-	due     time.Time
-	sent    bool
-	ran     bool
-	notRun  bool
-	settled bool
+// claimedCall is a call that a router has claimed: to be sent, sent or ended.
+type claimedCall struct {
+	router   int
+	key      string
+	claim    *claim.Claim
+	deadline time.Time
+	sent     bool
+	ran      bool
+	notRun   bool
+	ended    bool
 }
 
-// fleetModel is some routers before one table, and what callers were told.
+// fleetModel simulates routers that share one table, and records what ran and
+// what callers were told.
 type fleetModel struct {
-	clock   *timer.Fake
-	table   *table
-	stores  []*claim.Store
-	sweeps  []*claim.Sweeper
-	calls   []*held
-	runs    map[string]int
-	answers map[string]string
-	keys    int
-	born    time.Time
+	clock         *timer.Fake
+	table         *faultyTable
+	stores        []*claim.Store
+	sweepers      []*claim.Sweeper
+	calls         []*claimedCall
+	runs          map[string]int
+	answers       map[string]string
+	keyGeneration int
+	keysSince     time.Time
 }
 
 func newFleetModel(t *rapid.T) *fleetModel {
 	m := &fleetModel{
 		clock: timer.NewFake(time.Unix(1e9, 0)), runs: map[string]int{}, answers: map[string]string{},
 	}
-	m.born = m.clock.Now()
-	writes := rapid.SampledFrom([]effect{none, none, none, none, down, replyLost, requestLost, late})
-	reads := rapid.SampledFrom([]effect{none, none, none, down, stale})
-	m.table = &table{next: func(write bool) effect {
+	m.keysSince = m.clock.Now()
+	writes := rapid.SampledFrom([]faultKind{noFault, noFault, noFault, noFault, down, replyLost, requestLost, late})
+	reads := rapid.SampledFrom([]faultKind{noFault, noFault, noFault, down, stale})
+	m.table = &faultyTable{nextFault: func(write bool) faultKind {
 		if write {
 			return writes.Draw(t, "write")
 		}
@@ -80,33 +81,33 @@
 	}}
 	for i := range 3 {
 		m.stores = append(m.stores, nil)
-		m.sweeps = append(m.sweeps, nil)
-		m.boot(i)
+		m.sweepers = append(m.sweepers, nil)
+		m.startRouter(i)
 	}
 	return m
 }
 
-func (m *fleetModel) boot(i int) {
+func (m *fleetModel) startRouter(i int) {
 	m.stores[i] = &claim.Store{
 		Table: m.table, Router: fleet.RouterID(strconv.Itoa(i)),
-		Timer: skewed{m.clock, time.Duration(i-1) * time.Second},
+		Timer: skewedClock{m.clock, time.Duration(i-1) * time.Second},
 	}
-	m.sweeps[i] = &claim.Sweeper{Store: m.stores[i]}
+	m.sweepers[i] = &claim.Sweeper{Store: m.stores[i]}
 }
 
-// request draws a key that is young enough to be repeated.
+// request draws a key that is not older than keyLifetime, and its request.
 func (m *fleetModel) request(t *rapid.T) (string, claim.Request) {
-	if m.clock.Now().Sub(m.born) > keyLife {
-		m.keys++
-		m.born = m.clock.Now()
+	if m.clock.Now().Sub(m.keysSince) > keyLifetime {
+		m.keyGeneration++
+		m.keysSince = m.clock.Now()
 	}
-	key := fmt.Sprintf("%d-%d", m.keys, rapid.IntRange(0, 1).Draw(t, "key"))
-	return key, order(key, m.clock.Now().Add(deadline))
+	key := fmt.Sprintf("%d-%d", m.keyGeneration, rapid.IntRange(0, 1).Draw(t, "key"))
+	return key, orderRequest(key, m.clock.Now().Add(deadline))
 }
 
-func order(key string, due time.Time) claim.Request {
+func orderRequest(key string, deadline time.Time) claim.Request {
 	return claim.Request{
-		Account: "halonen", Key: key, Method: "POST", Path: "/orders", Body: []byte(key), Deadline: due,
+		Account: "halonen", Key: key, Method: "POST", Path: "/orders", Body: []byte(key), Deadline: deadline,
 	}
 }
 
@@ -117,77 +118,77 @@
 	var refused *refusal.Error
 	switch {
 	case got != nil:
-		m.calls = append(m.calls, &held{router: router, key: key, claim: got, due: request.Deadline})
+		m.calls = append(m.calls, &claimedCall{router: router, key: key, claim: got, deadline: request.Deadline})
 	case answer != nil:
-		require.Equal(t, m.answers[key], string(answer.Body), "replayed another answer")
+		require.Equal(t, m.answers[key], string(answer.Body), "replayed a different answer")
 	default:
 		require.ErrorAs(t, err, &refused)
 		require.NotEqual(t, refusal.KeyReused, refused.Reason)
 	}
 }
 
-// pick draws one of the calls that match.
-func (m *fleetModel) pick(t *rapid.T, match func(*held) bool) *held {
-	var some []*held
-	for _, h := range m.calls {
-		if match(h) {
-			some = append(some, h)
+// drawCall draws one of the calls that match, or skips the step.
+func (m *fleetModel) drawCall(t *rapid.T, match func(*claimedCall) bool) *claimedCall {
+	var matching []*claimedCall
+	for _, call := range m.calls {
+		if match(call) {
+			matching = append(matching, call)
 		}
 	}
-	if len(some) == 0 {
+	if len(matching) == 0 {
 		t.Skip("none")
 	}
-	return rapid.SampledFrom(some).Draw(t, "call")
+	return rapid.SampledFrom(matching).Draw(t, "call")
 }
 
-// send is what a router does after any pause, also one that has since
-// released the claim.
+// send sends a claimed request, after any pause and also if the claim was
+// released meanwhile.
 func (m *fleetModel) send(t *rapid.T) {
-	h := m.pick(t, func(h *held) bool { return !h.sent })
-	if !h.claim.Ready() {
-		h.notRun = true
-		h.claim.Release(context.Background())
+	call := m.drawCall(t, func(call *claimedCall) bool { return !call.sent })
+	if !call.claim.Ready() {
+		call.notRun = true
+		call.claim.Release(context.Background())
 		return
 	}
-	require.False(t, h.notRun, "sent after not-run was said")
-	require.LessOrEqual(t, m.clock.Now(), h.due.Add(time.Second), "sent after the deadline")
-	h.sent = true
-	if h.ran = rapid.Bool().Draw(t, "runs"); h.ran {
-		m.runs[h.key]++
+	require.False(t, call.notRun, "sent after it was reported as not-run")
+	require.LessOrEqual(t, m.clock.Now(), call.deadline.Add(time.Second), "sent after the deadline")
+	call.sent = true
+	if call.ran = rapid.Bool().Draw(t, "runs"); call.ran {
+		m.runs[call.key]++
 	}
 }
 
-func (m *fleetModel) refusedUnrun(t *rapid.T) {
-	h := m.pick(t, func(h *held) bool { return !h.ran && !h.settled })
-	h.settled, h.notRun = true, true
-	h.claim.Release(context.Background())
+func (m *fleetModel) refusedNotRun(t *rapid.T) {
+	call := m.drawCall(t, func(call *claimedCall) bool { return !call.ran && !call.ended })
+	call.ended, call.notRun = true, true
+	call.claim.Release(context.Background())
 }
 
 func (m *fleetModel) answered(t *rapid.T) {
-	h := m.pick(t, func(h *held) bool { return h.ran && !h.settled })
-	h.settled = true
-	body := "answer " + h.key
-	m.answers[h.key] = body
-	h.claim.Finish(context.Background(), claim.Answer{Status: 200, Body: []byte(body)})
+	call := m.drawCall(t, func(call *claimedCall) bool { return call.ran && !call.ended })
+	call.ended = true
+	body := "answer " + call.key
+	m.answers[call.key] = body
+	call.claim.Finish(context.Background(), claim.Answer{Status: 200, Body: []byte(body)})
 }
 
-func (m *fleetModel) broken(t *rapid.T) {
-	h := m.pick(t, func(h *held) bool { return h.sent && !h.settled })
-	h.settled = true
-	h.claim.Lose(context.Background())
+func (m *fleetModel) answerLost(t *rapid.T) {
+	call := m.drawCall(t, func(call *claimedCall) bool { return call.sent && !call.ended })
+	call.ended = true
+	call.claim.Lose(context.Background())
 }
 
-func (m *fleetModel) die(t *rapid.T) {
+func (m *fleetModel) killRouter(t *rapid.T) {
 	router := rapid.IntRange(0, len(m.stores)-1).Draw(t, "router")
-	m.calls = slices.DeleteFunc(m.calls, func(h *held) bool { return h.router == router })
-	m.boot(router)
+	m.calls = slices.DeleteFunc(m.calls, func(call *claimedCall) bool { return call.router == router })
+	m.startRouter(router)
 }
 
-func (m *fleetModel) land(t *rapid.T) {
+func (m *fleetModel) applyLateWrite(t *rapid.T) {
 	if len(m.table.pending) == 0 {
 		t.Skip("none")
 	}
-	m.table.land(rapid.IntRange(0, len(m.table.pending)-1).Draw(t, "txn"))
+	m.table.applyPending(rapid.IntRange(0, len(m.table.pending)-1).Draw(t, "txn"))
 }
 
 func (m *fleetModel) settle(t *rapid.T) {
@@ -195,26 +196,27 @@
 }
 
 func (m *fleetModel) sweep(t *rapid.T) {
-	_, _ = m.sweeps[rapid.IntRange(0, len(m.stores)-1).Draw(t, "router")].Sweep(context.Background())
+	_, _ = m.sweepers[rapid.IntRange(0, len(m.stores)-1).Draw(t, "router")].Sweep(context.Background())
 }
 
-func (m *fleetModel) pass(t *rapid.T) {
+func (m *fleetModel) advanceClock(t *rapid.T) {
 	m.clock.Advance(rapid.SampledFrom([]time.Duration{time.Second, time.Minute, 10 * time.Minute, 2 * time.Hour}).Draw(t, "time"))
 }
 
-// Three routers claim, pause, die, wake, sweep and settle before a table that
-// is down, loses replies, applies writes late and reads stale, while callers
-// repeat their requests through any of them. A caller whose order ran twice
-// gets two crews; one who was told not-run and was run all the same, too.
+// Guards against a request that runs twice, or that runs although its caller was
+// told not-run and repeats it: both send two crews. Three routers claim, pause,
+// crash, restart, sweep and settle on a table that is down, loses replies,
+// applies writes late and reads stale, while callers repeat requests through any
+// of them.
 func TestAtMostOneRunUnderEveryFault(t *testing.T) {
 	t.Parallel()
 	steps, ran := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"call": m.call, "call again": m.call, "send": m.send, "refused unrun": m.refusedUnrun,
-			"answered": m.answered, "broken": m.broken, "router dies": m.die, "late write": m.land,
-			"settle": m.settle, "sweep": m.sweep, "time": m.pass,
+			"call": m.call, "call again": m.call, "send": m.send, "refused unrun": m.refusedNotRun,
+			"answered": m.answered, "broken": m.answerLost, "router dies": m.killRouter, "late write": m.applyLateWrite,
+			"settle": m.settle, "sweep": m.sweep, "time": m.advanceClock,
 			"": func(t *rapid.T) {
 				steps++
 				for key, runs := range m.runs {
@@ -225,6 +227,6 @@
 		ran += len(m.runs)
 	})
 	require.GreaterOrEqual(t, steps, 10_000)
-	require.GreaterOrEqual(t, ran, 100, "too few runs to mean anything")
+	require.GreaterOrEqual(t, ran, 100, "too few runs for a meaningful result")
 	t.Logf("%d steps, %d requests ran", steps, ran)
 }
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// maxBacklog bounds the rows that wait for the table, in bytes of memory.
-	// Beyond it rows stay in state sending, and repeats hear outcome-lost.
-	maxBacklog = 16 << 20
-	// settlementSize is added for each row that waits, in bytes.
-	settlementSize = 512
-	// settleFor is how long a row is tried.
-	settleFor = 10 * time.Minute
+	// maxBacklogSize bounds the memory of the backlog, in bytes. Writes beyond it
+	// are dropped: their rows stay in state sending, and repeats are refused with
+	// outcome-lost after the deadline.
+	maxBacklogSize = 16 << 20
+	// finalWriteOverhead is the memory of a waiting write beyond its row, in bytes.
+	finalWriteOverhead = 512
+	// finalWriteTimeout is how long a final write is retried.
+	finalWriteTimeout = 10 * time.Minute
 )
 
-// Finish keeps the request's answer, and waits for it as long as ctx lasts.
-// When the table doesn't take it by then, Settle tries again. Repeats of the
-// request get this answer from the moment at which it is kept.
+// Finish stores the request's answer, which repeats get from then on. ctx bounds
+// the write; Settle retries it if it fails. If the answer is too large or its
+// object can't be written, Finish records the answer as lost.
 func (c *Claim) Finish(ctx context.Context, answer Answer) {
-	kept, err := c.store.keep(ctx, c, answer)
+	kept, err := c.store.storeAnswer(ctx, c, answer)
 	if err != nil {
 		c.Lose(ctx)
 		return
@@ -34,138 +35,140 @@
 	c.end(ctx, schema.ClaimState_CLAIM_STATE_DONE, kept)
 }
 
-// Release gives the key back, because the request was certainly not run.
+// Release makes the key claimable again. The request must certainly not have run.
 func (c *Claim) Release(ctx context.Context) {
 	c.end(ctx, schema.ClaimState_CLAIM_STATE_NOT_RUN, nil)
 }
 
 // Lose records that the request may have been run and has no answer. Without
-// it a repeat would hear until the deadline that the request is under way.
+// it a repeat would be refused as a duplicate in flight until the deadline.
 func (c *Claim) Lose(ctx context.Context) {
 	c.end(ctx, schema.ClaimState_CLAIM_STATE_LOST, nil)
 }
 
-// end seals the claim before the write, so that nothing is sent under a row
-// that says not-run.
+// end marks the claim as ended before it writes the row, so that the request is
+// not sent after its row says not-run.
 func (c *Claim) end(ctx context.Context, state schema.ClaimState, answer *schema.KeptAnswer) {
-	if c.sealed {
+	if c.ended {
 		return
 	}
-	c.sealed = true
-	last := c.store.settlement(c, state, answer)
-	if !c.store.settle(ctx, last) {
-		c.store.backlog.add(last)
+	c.ended = true
+	final := c.store.newFinalWrite(c, state, answer)
+	if !c.store.tryFinalWrite(ctx, final) {
+		c.store.backlog.add(final)
 	}
 }
 
-// settlement is the last write of an attempt, tried until it is in effect.
-type settlement struct {
+// finalWrite is the last write of an attempt to its row. It is retried until
+// it is applied or obsolete, or finalWriteTimeout passes.
+type finalWrite struct {
 	key     store.Key
 	attempt attemptID
-	// version is the row's, zero while it is not known or absent.
+	// version is the row's version, zero while unknown or if there is no row.
 	version store.RowVersion
-	// unsettled is true for an attempt that gave up before it knew whether its
-	// claim is in effect.
-	unsettled bool
-	row       *schema.ClaimRow
-	until     time.Time
-	size      int
+	// indefinite is true if the attempt gave up without knowing whether its claim
+	// was written.
+	indefinite bool
+	row        *schema.ClaimRow
+	giveUpAt   time.Time
+	size       int
 }
 
-func (s *Store) settlement(c *Claim, state schema.ClaimState, answer *schema.KeptAnswer) *settlement {
+func (s *Store) newFinalWrite(c *Claim, state schema.ClaimState, answer *schema.KeptAnswer) *finalWrite {
 	row := proto.Clone(c.row).(*schema.ClaimRow) //nolint:forcetypeassert // a clone has its origin's type
 	row.State = state
 	row.Answer = answer
-	return &settlement{
+	return &finalWrite{
 		key: c.key, attempt: c.attempt, version: c.version, row: row,
-		until: s.now().Add(settleFor), size: settlementSize + proto.Size(row),
+		giveUpAt: s.now().Add(finalWriteTimeout), size: finalWriteOverhead + proto.Size(row),
 	}
 }
 
-// settle writes an attempt's last word if the row still allows it, and reports
-// whether there is nothing left to do.
-func (s *Store) settle(ctx context.Context, last *settlement) bool {
-	if !last.unsettled && last.version == 0 {
-		row, version, err := s.read(ctx, last.key, 1)
-		if err != nil || attemptID(row.GetAttempt()) != last.attempt {
+// tryFinalWrite writes the final row if it may still replace the current one,
+// and reports whether nothing is left to do.
+func (s *Store) tryFinalWrite(ctx context.Context, final *finalWrite) bool {
+	if !final.indefinite && final.version == 0 {
+		row, version, err := s.read(ctx, final.key, 1)
+		if err != nil || attemptID(row.GetAttempt()) != final.attempt {
 			return false
 		}
-		last.version = version
+		final.version = version
 	}
-	for range rounds {
+	for range maxTries {
 		var conflict *store.ConflictError
-		err := s.commit(ctx, last.key, last.version, last.row)
+		err := s.commit(ctx, final.key, final.version, final.row)
 		if err == nil {
 			return true
 		}
 		if !errors.As(err, &conflict) {
 			return false
 		}
-		row, version, err := s.read(ctx, last.key, conflict.Found)
+		row, version, err := s.read(ctx, final.key, conflict.Found)
 		if err != nil {
 			return false
 		}
-		if !last.mayReplace(row) {
+		if !final.mayReplace(row) {
 			return true
 		}
-		last.version = version
+		final.version = version
 	}
 	return false
 }
 
-// mayReplace reports whether the last word may take the place of a row.
+// mayReplace reports whether the final write may replace a row.
 //
-// The late claim of an unsettled attempt expects an absent row, or one that
-// another attempt released. Writing not-run over either makes the claim fail
-// when it arrives. Without that, the key would be held by an attempt that never
-// sends, and the caller, who was told not-run, would be refused its repeat.
-func (l *settlement) mayReplace(row *schema.ClaimRow) bool {
+// A delayed claim of an indefinite attempt expects no row, or one that another
+// attempt released. Writing not-run over either makes the claim fail when it
+// arrives. Otherwise an attempt that never sends would hold the key, and the
+// caller, who was told not-run, would have its repeat refused.
+func (f *finalWrite) mayReplace(row *schema.ClaimRow) bool {
 	if row == nil {
-		return l.unsettled
+		return f.indefinite
 	}
 	switch row.GetState() {
 	case schema.ClaimState_CLAIM_STATE_SENDING:
-		return attemptID(row.GetAttempt()) == l.attempt
+		return attemptID(row.GetAttempt()) == f.attempt
 	case schema.ClaimState_CLAIM_STATE_NOT_RUN:
-		return l.unsettled && attemptID(row.GetAttempt()) != l.attempt
+		return f.indefinite && attemptID(row.GetAttempt()) != f.attempt
 	default:
 		return false
 	}
 }
 
-// Settle tries once each write that the table did not take. The router calls
-// it every few seconds.
+// Settle retries each final write that failed, once. Sweeper.Start calls it
+// every few seconds.
 func (s *Store) Settle(ctx context.Context) {
 	now := s.now()
-	for _, last := range s.backlog.take() {
-		if now.After(last.until) || s.settle(ctx, last) {
+	for _, final := range s.backlog.takeAll() {
+		if now.After(final.giveUpAt) || s.tryFinalWrite(ctx, final) {
 			continue
 		}
-		s.backlog.add(last)
+		s.backlog.add(final)
 	}
 }
 
-// backlog holds settlements in bounded memory. Its zero value is empty.
+// backlog holds final writes to be retried, in bounded memory. Its zero value
+// is empty.
 type backlog struct {
-	mu   sync.Mutex
-	list []*settlement
-	size int
+	mu     sync.Mutex
+	writes []*finalWrite
+	size   int
 }
 
-func (b *backlog) add(last *settlement) {
+func (b *backlog) add(final *finalWrite) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.size+last.size > maxBacklog {
+	if b.size+final.size > maxBacklogSize {
 		return
 	}
-	b.size += last.size
-	b.list = append(b.list, last)
+	b.size += final.size
+	b.writes = append(b.writes, final)
 }
 
-func (b *backlog) take() []*settlement {
+func (b *backlog) takeAll() []*finalWrite {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	list := b.list
-	b.list, b.size = nil, 0
-	return list
+	writes := b.writes
+	b.writes, b.size = nil, 0
+	return writes
 }
--- a/claim/store.go
+++ b/claim/store.go
@@ -17,51 +17,51 @@
 )
 
 const (
-	// DefaultRetention is how long a row outlives its request's deadline. At
-	// 690 claims a second it makes about 2.5 million rows of some 200 bytes.
+	// DefaultRetention is how long a row is kept after its request's deadline. At
+	// 690 claims a second the table holds about 2.5 million rows of some 200 bytes.
 	DefaultRetention = time.Hour
-	// releasedRetention is how long a row in state not-run outlives its
-	// deadline. It has to outlive writes that may yet take effect.
+	// releasedRetention is how long a row in state not-run is kept after its
+	// deadline. It has to exceed the delay of writes that take effect late.
 	releasedRetention = 10 * time.Minute
-	// rounds bounds the tries of one claim: the first, one to settle a lost
-	// reply, and two for rows that change meanwhile.
-	rounds = 4
-	// clockSkew is how far the clocks of two routers may differ when one reads
-	// the other's deadline.
-	clockSkew = 2 * time.Second
-	// retryAfterOutage is when a caller may repeat a request that was refused
-	// because the table is down.
+	// maxTries bounds the writes of one claim: the first, one to find out the
+	// effect of a write without a reply, and two for rows that change meanwhile.
+	maxTries = 4
+	// maxClockSkew is how far the clocks of two routers may differ when one
+	// compares the other's deadline with its own clock.
+	maxClockSkew = 2 * time.Second
+	// retryAfterOutage is the Retry-After of a request that was refused because
+	// the table is down.
 	retryAfterOutage = 2 * time.Second
-	// maxRetryAfter bounds when a caller asks again for an answer in flight.
+	// maxRetryAfter bounds the Retry-After of a duplicate in flight.
 	maxRetryAfter = 5 * time.Second
 )
 
-// Store claims requests. Table has to be set; Objects may be nil, and answers
-// over MaxInline are then not kept. It is safe for concurrent use.
+// Store claims requests. Table must be set. Without Objects, answers larger
+// than MaxInlineBody are not kept. It is safe for concurrent use.
 type Store struct {
 	Table   store.Table
 	Objects store.Objects
-	// Router decides where the sweeper begins.
+	// Router determines the row at which this router's Sweeper starts.
 	Router fleet.RouterID
-	// Timer tells the time; nil means the machine's clock.
+	// Timer is the clock; nil means the system clock.
 	Timer timer.Service
-	// Retention is how long a row outlives its deadline; zero means an hour.
+	// Retention is how long a row is kept after its deadline; zero means an hour.
 	Retention time.Duration
 
 	backlog backlog
 	breaker breaker
 }
 
-// Available reports whether claims can probably be had now, so that a request
-// need not wait for its turn first.
+// Available returns an error if claims are likely to fail now, so that a
+// request can be refused before it waits for a slot.
 func (s *Store) Available() error {
-	if s.breaker.closed(s.now()) {
+	if s.breaker.ready(s.now()) {
 		return nil
 	}
-	return unavailable(errBroken)
+	return unavailable(errBreakerOpen)
 }
 
-var errBroken = eris.New("the last claims failed")
+var errBreakerOpen = eris.New("too many recent claims failed")
 
 func (s *Store) now() time.Time {
 	if s.Timer == nil {
@@ -77,7 +77,7 @@
 	return s.Retention
 }
 
-// expired reports whether a row may be removed.
+// expired reports whether the retention of a row is over.
 func (s *Store) expired(row *schema.ClaimRow) bool {
 	retention := s.retention()
 	if row.GetState() == schema.ClaimState_CLAIM_STATE_NOT_RUN {
@@ -86,66 +86,66 @@
 	return time.UnixMilli(row.GetDeadlineUnixMs()).Add(retention).Before(s.now())
 }
 
-// Claim returns a claim when this router may send the request, or the answer
-// that is kept for it. It fails with *refusal.Error: claims-unavailable (and
-// not run) when the table can't be asked, duplicate-in-flight or outcome-lost
-// when another attempt has or had the claim, and idempotency-key-reused.
+// Claim returns a claim if this router may send the request, or else the answer
+// that is kept for it. It fails with *refusal.Error: claims-unavailable (not
+// run) if the table is unavailable, duplicate-in-flight or outcome-lost if
+// another attempt has or had the claim, and idempotency-key-reused.
 func (s *Store) Claim(ctx context.Context, request Request) (*Claim, *Answer, error) {
-	if !s.breaker.try(s.now()) {
-		return nil, nil, unavailable(errBroken)
+	if !s.breaker.allow(s.now()) {
+		return nil, nil, unavailable(errBreakerOpen)
 	}
-	held, answer, err := s.claim(ctx, request)
+	claimed, answer, err := s.claim(ctx, request)
 	var refused *refusal.Error
 	switch {
 	case !errors.As(err, &refused) || refused.Reason != refusal.ClaimsUnavailable || refused.Outcome != refusal.NotRun:
-		s.breaker.answered()
+		s.breaker.recordSuccess()
 	case !errors.Is(ctx.Err(), context.Canceled):
-		s.breaker.failed(s.now())
+		s.breaker.recordFailure(s.now())
 	}
-	return held, answer, err
+	return claimed, answer, err
 }
 
 func (s *Store) claim(ctx context.Context, request Request) (*Claim, *Answer, error) {
 	c := s.newClaim(request)
 	expected := store.RowVersion(0)
-	var unsettled bool
+	var indefinite bool
 	var cause error
-	for range rounds {
+	for range maxTries {
 		var conflict *store.ConflictError
 		cause = s.commit(ctx, c.key, expected, c.row)
 		switch {
 		case cause == nil:
 			return c, nil, nil
 		case isIndefinite(cause):
-			// The write may be in effect or may yet be. Writing the same again
-			// settles it: only one of the two can find the row as expected, and
-			// both carry this attempt's id.
-			unsettled = true
+			// The write may have been applied or may yet be. Repeating it is safe:
+			// only one of the two can find the expected version, and both carry
+			// this attempt's id.
+			indefinite = true
 			continue
 		case !errors.As(cause, &conflict):
-			return nil, nil, s.giveUp(c, unsettled, cause)
+			return nil, nil, s.giveUp(c, indefinite, cause)
 		}
 		row, version, err := s.read(ctx, c.key, conflict.Found)
 		if err != nil {
-			return nil, nil, s.giveUp(c, unsettled, err)
+			return nil, nil, s.giveUp(c, indefinite, err)
 		}
 		if row != nil && attemptID(row.GetAttempt()) == c.attempt {
 			c.version = version
 			return c, nil, nil
 		}
 		if row != nil && row.GetState() != schema.ClaimState_CLAIM_STATE_NOT_RUN {
-			answer, err := s.meet(ctx, row, request)
+			answer, err := s.resolveDuplicate(ctx, row, request)
 			return nil, answer, err
 		}
 		expected = version
 	}
-	return nil, nil, s.giveUp(c, unsettled, cause)
+	return nil, nil, s.giveUp(c, indefinite, cause)
 }
 
 func (s *Store) newClaim(request Request) *Claim {
 	attempt := newAttemptID()
 	return &Claim{
-		store: s, key: request.row(), attempt: attempt, lease: request.Deadline,
+		store: s, key: request.rowKey(), attempt: attempt, leaseEnd: request.Deadline,
 		row: &schema.ClaimRow{
 			Attempt: []byte(attempt), State: schema.ClaimState_CLAIM_STATE_SENDING,
 			Fingerprint: request.fingerprint(), DeadlineUnixMs: request.Deadline.UnixMilli(),
@@ -153,40 +153,42 @@
 	}
 }
 
-// giveUp refuses a request that will not be sent. When one of its writes
-// may yet take effect, the row would make the caller's repeat look like a
-// duplicate of a request that is never sent. So the attempt is released later.
-func (s *Store) giveUp(c *Claim, unsettled bool, cause error) error {
-	if unsettled {
-		c.sealed = true
-		last := s.settlement(c, schema.ClaimState_CLAIM_STATE_NOT_RUN, nil)
-		last.unsettled = true
-		s.backlog.add(last)
+// giveUp returns the refusal of a request that will not be sent. If one of the
+// claim's writes may yet take effect, its row would make the caller's repeat
+// look like a duplicate of a request that is never sent. The backlog then
+// releases the key later.
+func (s *Store) giveUp(c *Claim, indefinite bool, cause error) error {
+	if indefinite {
+		c.ended = true
+		final := s.newFinalWrite(c, schema.ClaimState_CLAIM_STATE_NOT_RUN, nil)
+		final.indefinite = true
+		s.backlog.add(final)
 	}
 	return unavailable(cause)
 }
 
 func unavailable(cause error) error {
 	refused := refusal.New(refusal.ClaimsUnavailable,
-		"The request may run once at most, and the table that ensures it can't be reached.", retryAfterOutage)
+		"The table that prevents a second run of the request can't be reached.", retryAfterOutage)
 	refused.Cause = cause
 	return refused
 }
 
-// meet answers a request whose key another attempt holds.
-func (s *Store) meet(ctx context.Context, row *schema.ClaimRow, request Request) (*Answer, error) {
+// resolveDuplicate returns the kept answer, or the refusal, of a request whose
+// key another attempt has claimed.
+func (s *Store) resolveDuplicate(ctx context.Context, row *schema.ClaimRow, request Request) (*Answer, error) {
 	if !bytes.Equal(row.GetFingerprint(), request.fingerprint()) {
-		return nil, refusal.New(refusal.KeyReused, "The idempotency key stands for another request.", 0)
+		return nil, refusal.New(refusal.KeyReused, "The idempotency key was used for another request.", 0)
 	}
 	switch row.GetState() {
 	case schema.ClaimState_CLAIM_STATE_DONE:
-		return s.kept(ctx, row.GetAnswer())
+		return s.loadAnswer(ctx, row.GetAnswer())
 	case schema.ClaimState_CLAIM_STATE_SENDING:
-		left := time.UnixMilli(row.GetDeadlineUnixMs()).Add(clockSkew).Sub(s.now())
+		left := time.UnixMilli(row.GetDeadlineUnixMs()).Add(maxClockSkew).Sub(s.now())
 		if left > 0 {
 			return nil, &refusal.Error{
 				Reason: refusal.DuplicateInFlight, Outcome: refusal.Unknown,
-				Detail:     "The request with this idempotency key is still under way.",
+				Detail:     "The request with this idempotency key is still in progress.",
 				RetryAfter: min(left, maxRetryAfter),
 			}
 		}
@@ -197,7 +199,7 @@
 	}
 }
 
-// commit writes a row if it is at the version expected.
+// commit writes a row if its version in the table is expected.
 func (s *Store) commit(ctx context.Context, key store.Key, expected store.RowVersion, row *schema.ClaimRow) error {
 	value, err := proto.Marshal(row)
 	if err != nil {
@@ -209,27 +211,28 @@
 	})
 }
 
-// read returns the row at a version that is not older than least. The table may
-// answer from an older state, in which a row that exists seems absent.
-func (s *Store) read(ctx context.Context, key store.Key, least store.RowVersion) (*schema.ClaimRow, store.RowVersion, error) {
-	if least == 0 {
+// read returns a row and its version, which is at least minVersion, or nil for
+// a minVersion of zero. It retries because a read may return an older state, in
+// which a new row does not exist yet.
+func (s *Store) read(ctx context.Context, key store.Key, minVersion store.RowVersion) (*schema.ClaimRow, store.RowVersion, error) {
+	if minVersion == 0 {
 		return nil, 0, nil
 	}
-	for range rounds {
+	for range maxTries {
 		rows, err := s.Table.Read(ctx, key)
 		if err != nil {
 			return nil, 0, err
 		}
-		if len(rows) != 1 || rows[0].Version < least {
+		if len(rows) != 1 || rows[0].Version < minVersion {
 			continue
 		}
 		row := &schema.ClaimRow{}
 		if err := proto.Unmarshal(rows[0].Value, row); err != nil {
-			return nil, 0, eris.Wrapf(err, "row %s", key)
+			return nil, 0, eris.Wrapf(err, "decode row %s", key)
 		}
 		return row, rows[0].Version, nil
 	}
-	return nil, 0, eris.Errorf("row %s: reads are older than version %d", key, least)
+	return nil, 0, eris.Errorf("row %s: reads return versions older than %d", key, minVersion)
 }
 
 func isIndefinite(err error) bool {
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -13,75 +13,76 @@
 )
 
 const (
-	// sweepPage is how many rows one scan reads, and at most removes.
-	sweepPage = 100
-	// busyShare is the expired part of a page, as one in so many, from which
-	// the sweeper goes on without a rest.
-	busyShare = 4
-	// restTicks is how many ticks a sweeper rests otherwise. With 460 routers
-	// and 2.5 million rows each row is seen about every half hour; with six
-	// routers and 36,000 rows too.
-	restTicks = 30
-	sweepTick = time.Second
-	// settleTick is how often writes that the table did not take are tried.
-	settleTick = 2 * time.Second
-	// housekeepingTimeout bounds one round of either.
+	// sweepPageSize is how many rows a scan reads, and thus how many it can remove.
+	sweepPageSize = 100
+	// busyPageDivisor divides sweepPageSize: with at least that many expired rows
+	// on a page the sweeper reads the next page without idle ticks.
+	busyPageDivisor = 4
+	// idleTicks is the number of ticks per page otherwise. Each row is then
+	// scanned about every half hour, with 460 routers and 2.5 million rows as
+	// well as with six routers and 36,000 rows.
+	idleTicks = 30
+	// sweepInterval is the time between two ticks.
+	sweepInterval = time.Second
+	// settleInterval is the time between two calls of Settle.
+	settleInterval = 2 * time.Second
+	// housekeepingTimeout bounds one tick or call of Settle.
 	housekeepingTimeout = 5 * time.Second
 )
 
-// Sweeper removes expired rows, a page at a time, at most one a second. Each
-// router runs one, from a place on that its id gives, so that they share the table
-// without agreeing on anything.
+// Sweeper removes expired rows, at most one page a second. Each router runs one
+// and starts at a hash of its id, which spreads the routers over the table
+// without coordination.
 type Sweeper struct {
 	Store *Store
 
-	cursor store.Key
-	rest   int
+	cursor    store.Key
+	skipTicks int
 }
 
-// Start subscribes the sweeper and the store's settling to timers. stop ends both.
+// Start calls Tick and the store's Settle periodically until stop is called.
 func (w *Sweeper) Start(timers timer.Service) (stop func()) {
-	sweeping := timers.Every(sweepTick, func(time.Time) { bounded(w.Tick) })
-	settling := timers.Every(settleTick, func(time.Time) { bounded(w.Store.Settle) })
+	sweeping := timers.Every(sweepInterval, func(time.Time) { runWithTimeout(w.Tick) })
+	settling := timers.Every(settleInterval, func(time.Time) { runWithTimeout(w.Store.Settle) })
 	return func() {
 		sweeping.Cancel()
 		settling.Cancel()
 	}
 }
 
-func bounded(fn func(context.Context)) {
+func runWithTimeout(fn func(context.Context)) {
 	ctx, cancel := context.WithTimeout(context.Background(), housekeepingTimeout)
 	defer cancel()
 	fn(ctx)
 }
 
-// Tick sweeps one page, unless the sweeper rests.
+// Tick sweeps one page, or does nothing during idle ticks.
 func (w *Sweeper) Tick(ctx context.Context) {
-	if w.rest > 0 {
-		w.rest--
+	if w.skipTicks > 0 {
+		w.skipTicks--
 		return
 	}
-	if removed, err := w.Sweep(ctx); err != nil || removed < sweepPage/busyShare {
-		w.rest = restTicks - 1
+	if removed, err := w.Sweep(ctx); err != nil || removed < sweepPageSize/busyPageDivisor {
+		w.skipTicks = idleTicks - 1
 	}
 }
 
 // Sweep removes the expired rows of the next page and returns their number. It
-// fails with the table's errors; what it did not remove, a later pass does.
+// fails with the table's errors; a later pass removes the rows then.
 func (w *Sweeper) Sweep(ctx context.Context) (int, error) {
 	if w.cursor == "" {
-		w.cursor = Prefix + store.Key(hex.EncodeToString(digest(keySize, string(w.Store.Router))))
+		w.cursor = Prefix + store.Key(hex.EncodeToString(digest(rowKeySize, string(w.Store.Router))))
 	}
-	rows, err := w.Store.Table.Scan(ctx, Prefix, w.cursor, sweepPage)
+	rows, err := w.Store.Table.Scan(ctx, Prefix, w.cursor, sweepPageSize)
 	if err != nil {
 		return 0, err
 	}
-	if len(rows) < sweepPage {
+	if len(rows) < sweepPageSize {
 		w.cursor = Prefix
 	} else {
 		w.cursor = rows[len(rows)-1].Key
 	}
-	txn := w.expired(rows)
+	txn := w.removalTxn(rows)
 	if len(txn.Writes) == 0 {
 		return 0, nil
 	}
@@ -91,10 +92,10 @@
 	return len(txn.Writes), nil
 }
 
-// expired returns the transaction that removes what has expired, on condition
-// that nobody wrote it since: a row in state not-run may be claimed again at
-// the very moment at which it expires.
-func (w *Sweeper) expired(rows []store.Row) store.Txn {
+// removalTxn returns a transaction that removes the expired rows, provided that
+// they are unchanged: a row in state not-run may be claimed again just when it
+// expires.
+func (w *Sweeper) removalTxn(rows []store.Row) store.Txn {
 	var txn store.Txn
 	for _, row := range rows {
 		claim := &schema.ClaimRow{}
--- a/claim/table_test.go
+++ b/claim/table_test.go
@@ -9,11 +9,13 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// effect is what befalls one call of the table.
-type effect int
+// faultKind is the fault of one call of the table.
+type faultKind int
 
+// Late transactions are applied by applyPending; stale reads return the previous
+// version of a row.
 const (
-	none effect = iota
+	noFault faultKind = iota
 	down
 	replyLost
 	requestLost
@@ -23,41 +25,41 @@
 
 var errFault = errors.New("fault")
 
-// table is a platform table whose faults are drawn by next.
-type table struct {
-	next    func(write bool) effect
-	rows    map[store.Key][]store.Row
-	version store.RowVersion
-	commits int
-	pending []store.Txn
+// faultyTable is an in-memory table whose faults are chosen by nextFault.
+type faultyTable struct {
+	nextFault func(write bool) faultKind
+	history   map[store.Key][]store.Row
+	version   store.RowVersion
+	commits   int
+	pending   []store.Txn
 }
 
-func (t *table) fault(write bool) effect {
-	if t.next == nil {
-		return none
+func (t *faultyTable) drawFault(write bool) faultKind {
+	if t.nextFault == nil {
+		return noFault
 	}
-	return t.next(write)
+	return t.nextFault(write)
 }
 
-func (t *table) latest(key store.Key) store.Row {
-	if all := t.rows[key]; len(all) > 0 {
-		return all[len(all)-1]
+func (t *faultyTable) latest(key store.Key) store.Row {
+	if versions := t.history[key]; len(versions) > 0 {
+		return versions[len(versions)-1]
 	}
 	return store.Row{Key: key}
 }
 
-func (t *table) Read(_ context.Context, keys ...store.Key) ([]store.Row, error) {
-	f := t.fault(false)
-	if f == down {
+func (t *faultyTable) Read(_ context.Context, keys ...store.Key) ([]store.Row, error) {
+	fault := t.drawFault(false)
+	if fault == down {
 		return nil, &store.UnavailableError{Operation: "read", Cause: errFault}
 	}
 	out := make([]store.Row, 0, len(keys))
 	for _, key := range keys {
 		row := t.latest(key)
-		if n := len(t.rows[key]); f == stale && n > 0 {
+		if n := len(t.history[key]); fault == stale && n > 0 {
 			row = store.Row{Key: key}
 			if n > 1 {
-				row = t.rows[key][n-2]
+				row = t.history[key][n-2]
 			}
 		}
 		out = append(out, row)
@@ -65,12 +67,12 @@
 	return out, nil
 }
 
-func (t *table) Scan(_ context.Context, prefix, after store.Key, limit int) ([]store.Row, error) {
-	if t.fault(false) == down {
+func (t *faultyTable) Scan(_ context.Context, prefix, after store.Key, limit int) ([]store.Row, error) {
+	if t.drawFault(false) == down {
 		return nil, &store.UnavailableError{Operation: "scan", Cause: errFault}
 	}
 	var out []store.Row
-	for key := range t.rows {
+	for key := range t.history {
 		if row := t.latest(key); row.Version > 0 && strings.HasPrefix(string(key), string(prefix)) && key > after {
 			out = append(out, row)
 		}
@@ -79,10 +81,10 @@
 	return out[:min(limit, len(out))], nil
 }
 
-func (t *table) Commit(_ context.Context, txn store.Txn) error {
+func (t *faultyTable) Commit(_ context.Context, txn store.Txn) error {
 	t.commits++
 	lost := &store.IndefiniteError{Operation: "commit", Cause: errFault}
-	switch t.fault(true) {
+	switch t.drawFault(true) {
 	case down:
 		return &store.UnavailableError{Operation: "commit", Cause: errFault}
 	case replyLost:
@@ -98,14 +100,14 @@
 	}
 }
 
-func (t *table) apply(txn store.Txn) error {
+func (t *faultyTable) apply(txn store.Txn) error {
 	for _, check := range txn.Checks {
 		if found := t.latest(check.Key).Version; found != check.Version {
 			return &store.ConflictError{Key: check.Key, Expected: check.Version, Found: found}
 		}
 	}
-	if t.rows == nil {
-		t.rows = map[store.Key][]store.Row{}
+	if t.history == nil {
+		t.history = map[store.Key][]store.Row{}
 	}
 	t.version++
 	for _, w := range txn.Writes {
@@ -113,26 +115,26 @@
 		if !w.Delete {
 			row = store.Row{Key: w.Key, Value: w.Value, Version: t.version}
 		}
-		t.rows[w.Key] = append(t.rows[w.Key], row)
+		t.history[w.Key] = append(t.history[w.Key], row)
 	}
 	return nil
 }
 
-// land lets the pending transaction at i take effect, if its checks hold.
-func (t *table) land(i int) {
+// applyPending applies the pending transaction at i if its checks hold.
+func (t *faultyTable) applyPending(i int) {
 	txn := t.pending[i]
 	t.pending = slices.Delete(t.pending, i, i+1)
 	_ = t.apply(txn)
 }
 
-// script returns faults in turn, then none.
-func script(faults ...effect) func(bool) effect {
-	return func(bool) effect {
+// faultSequence returns a function that returns faults in order, then noFault.
+func faultSequence(faults ...faultKind) func(bool) faultKind {
+	return func(bool) faultKind {
 		if len(faults) == 0 {
-			return none
+			return noFault
 		}
-		f := faults[0]
+		next := faults[0]
 		faults = faults[1:]
-		return f
+		return next
 	}
 }
