--- a/call/bench_test.go
+++ b/call/bench_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkAnswer compares answers that come straight from an upstream with
-// the same through a router's part after admission.
+// BenchmarkAnswer compares answers read directly from an upstream with the same
+// answers relayed by a Runner.
 func BenchmarkAnswer(b *testing.B) {
 	const events = 320
-	text := answer(events)
+	body := fullStream(events)
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if r.URL.Path == "/orders" {
@@ -23,17 +23,17 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/event-stream")
-		for part := range strings.SplitAfterSeq(text, "\n\n") {
-			_, _ = io.WriteString(w, part)
+		for event := range strings.SplitAfterSeq(body, "\n\n") {
+			_, _ = io.WriteString(w, event)
 			_ = http.NewResponseController(w).Flush()
 		}
 	}))
 	defer upstream.Close()
-	runner := newRunner(upstreams(upstream.URL))
+	runner := newRunner(newSource(upstream.URL))
 	routed := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		request := chat()
+		request := chatRequest()
 		if r.URL.Path == "/orders" {
-			request = order()
+			request = orderRequest()
 			request.Idempotent = true
 		}
 		request.Deadline = time.Now().Add(time.Minute)
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -25,25 +25,28 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// engine is a model engine that cuts the first cuts connections of a stream
-// after the events given, and counts runs and cancellations.
+// engine is a model engine that streams a number of events, and records runs,
+// resumptions and cancellations.
 type engine struct {
 	*httptest.Server
-	mu        sync.Mutex
-	events    int
-	cuts      []int
+	mu     sync.Mutex
+	events int
+	// cutsAt lists, for each connection, the event within which it is closed.
+	cutsAt    []int
 	runs      int
 	resumed   []string
 	cancelled []string
 	stream    string
-	renamed   string
-	skip      int
-	done      chan struct{}
+	// resumedStream, if set, is the wrong stream id of resumed connections.
+	resumedStream string
+	// skip is the number of events left out of resumed connections.
+	skip         int
+	cancellation chan struct{}
 }
 
-func newEngine(t *testing.T, events int, cuts ...int) *engine {
+func newEngine(t *testing.T, events int, cutsAt ...int) *engine {
 	t.Helper()
-	e := &engine{events: events, cuts: cuts, done: make(chan struct{}, 8)}
+	e := &engine{events: events, cutsAt: cutsAt, cancellation: make(chan struct{}, 8)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
@@ -69,7 +72,7 @@
 		e.cancelled = append(e.cancelled, r.PathValue("id"))
 		e.mu.Unlock()
 		w.WriteHeader(http.StatusNoContent)
-		e.done <- struct{}{}
+		e.cancellation <- struct{}{}
 	})
 	e.Server = httptest.NewServer(mux)
 	t.Cleanup(e.Close)
@@ -78,30 +81,32 @@
 
 func (e *engine) send(w http.ResponseWriter, after int) {
 	e.mu.Lock()
-	cut := e.events + 1
-	if len(e.cuts) > 0 {
-		cut, e.cuts = e.cuts[0], e.cuts[1:]
+	cutAt := e.events + 1
+	if len(e.cutsAt) > 0 {
+		cutAt, e.cutsAt = e.cutsAt[0], e.cutsAt[1:]
 	}
-	name := e.stream
-	if after > 0 && e.renamed != "" {
-		name = e.renamed
+	streamID := e.stream
+	if after > 0 && e.resumedStream != "" {
+		streamID = e.resumedStream
 	}
 	e.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
-	w.Header().Set(attempt.StreamIDHeader, name)
+	w.Header().Set(attempt.StreamIDHeader, streamID)
 	w.WriteHeader(http.StatusOK)
 	for n := after + 1; n <= e.events; n++ {
-		if n == cut {
-			_, _ = io.WriteString(w, event(n, e.events)[:9])
+		if n == cutAt {
+			_, _ = io.WriteString(w, eventText(n, e.events)[:9])
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = io.WriteString(w, event(n, e.events))
+		_, _ = io.WriteString(w, eventText(n, e.events))
 		_ = http.NewResponseController(w).Flush()
 	}
 }
 
-func event(n, last int) string {
+// eventText returns event n of a stream of last events: the last two are the
+// usage and the end mark.
+func eventText(n, last int) string {
 	switch n {
 	case last:
 		return fmt.Sprintf("id: %d\ndata: [DONE]\n\n", n)
@@ -112,70 +117,71 @@
 	}
 }
 
-func answer(last int) string {
-	var all strings.Builder
+func fullStream(last int) string {
+	var events strings.Builder
 	for n := 1; n <= last; n++ {
-		all.WriteString(event(n, last))
+		events.WriteString(eventText(n, last))
 	}
-	return all.String()
+	return events.String()
 }
 
-// slots hands out the upstreams in turn and keeps what is reported.
-type slots struct {
-	mu       sync.Mutex
-	ups      []*schema.Upstream
-	next     int
-	done     []dispatch.Done
-	progress []fleet.Tokens
+// fakeSource returns slots at its upstreams in turn and records the reports on
+// them.
+type fakeSource struct {
+	mu        sync.Mutex
+	upstreams []*schema.Upstream
+	next      int
+	done      []dispatch.Done
+	progress  []fleet.Tokens
 }
 
-func (s *slots) Acquire(context.Context, dispatch.Work) (dispatch.Slot, error) {
+func (s *fakeSource) Acquire(context.Context, dispatch.Work) (dispatch.Slot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	up := s.ups[s.next%len(s.ups)]
+	upstream := s.upstreams[s.next%len(s.upstreams)]
 	s.next++
-	return &slot{owner: s, up: up}, nil
+	return &fakeSlot{source: s, upstream: upstream}, nil
 }
 
-type slot struct {
-	owner *slots
-	up    *schema.Upstream
+type fakeSlot struct {
+	source   *fakeSource
+	upstream *schema.Upstream
 }
 
-func (s *slot) Upstream() *schema.Upstream { return s.up }
+func (s *fakeSlot) Upstream() *schema.Upstream { return s.upstream }
 
-func (s *slot) Progress(cost fleet.Tokens) {
-	s.owner.mu.Lock()
-	defer s.owner.mu.Unlock()
-	s.owner.progress = append(s.owner.progress, cost)
+func (s *fakeSlot) Progress(cost fleet.Tokens) {
+	s.source.mu.Lock()
+	defer s.source.mu.Unlock()
+	s.source.progress = append(s.source.progress, cost)
 }
 
-func (s *slot) Done(done dispatch.Done) {
-	s.owner.mu.Lock()
-	defer s.owner.mu.Unlock()
-	s.owner.done = append(s.owner.done, done)
+func (s *fakeSlot) Done(done dispatch.Done) {
+	s.source.mu.Lock()
+	defer s.source.mu.Unlock()
+	s.source.done = append(s.source.done, done)
 }
 
-func upstreams(addresses ...string) *slots {
-	s := &slots{}
+func newSource(addresses ...string) *fakeSource {
+	s := &fakeSource{}
 	for _, address := range addresses {
-		s.ups = append(s.ups, &schema.Upstream{Id: address, Address: strings.TrimPrefix(address, "http://")})
+		s.upstreams = append(s.upstreams, &schema.Upstream{Id: address, Address: strings.TrimPrefix(address, "http://")})
 	}
 	return s
 }
 
-// hasty is a timer whose delays are over at once.
-type hasty struct{ timer.System }
+// instantTimer is a timer without delays.
+type instantTimer struct{ timer.System }
 
-func (hasty) After(_ time.Duration, fn func(time.Time)) timer.Subscription {
+func (instantTimer) After(_ time.Duration, fn func(time.Time)) timer.Subscription {
 	return timer.System{}.After(0, fn)
 }
 
-func newRunner(source *slots) *call.Runner {
-	return &call.Runner{Source: source, Retry: &retry.Budget{Attempts: 4}, Client: &attempt.Client{}, Timer: hasty{}}
+func newRunner(source *fakeSource) *call.Runner {
+	return &call.Runner{Source: source, Retry: &retry.Budget{Attempts: 4}, Client: &attempt.Client{}, Timer: instantTimer{}}
 }
 
-func chat() call.Request {
+func chatRequest() call.Request {
 	return call.Request{
 		ID: "r-1", Account: &schema.Account{Id: "halonen"}, Service: &schema.Service{Id: "findings", Kind: "model"},
 		Method: http.MethodPost, Path: "/v1/chat/completions", Body: []byte(`{"stream":true}`), Idempotent: true,
@@ -183,7 +189,7 @@
 	}
 }
 
-// reports keeps what an observer of one request at a time is told.
+// reports is an Observer that keeps the reports. It is not safe for concurrent use.
 type reports []call.Report
 
 func (r *reports) Ended(report call.Report) { *r = append(*r, report) }
@@ -191,15 +197,15 @@
 func TestStreamIsRelayedByteForByteAndCharged(t *testing.T) {
 	t.Parallel()
 	e := newEngine(t, 10)
-	source := upstreams(e.URL)
+	source := newSource(e.URL)
 	w := httptest.NewRecorder()
 	runner := newRunner(source)
 	reports := &reports{}
 	runner.Observers = call.Observers{reports}
 
-	require.NoError(t, runner.Run(t.Context(), w, chat()))
+	require.NoError(t, runner.Run(t.Context(), w, chatRequest()))
 
-	require.Equal(t, answer(10), w.Body.String())
+	require.Equal(t, fullStream(10), w.Body.String())
 	require.Len(t, *reports, 1)
 	report := (*reports)[0]
 	require.Empty(t, report.Refused)
@@ -211,57 +217,58 @@
 	require.Len(t, source.progress, 9)
 }
 
-// An engine sends its header at once and its first token when the prompt is
-// processed. The limit of requests in flight is set by the second.
+// An engine sends its header at once, but its first token only when the prompt is
+// processed. FirstToken must be the time to the latter, because it controls the
+// limit of requests in flight.
 func TestFirstTokenIsTimedByTheFirstEvent(t *testing.T) {
 	t.Parallel()
 	const prefill = 20 * time.Millisecond
-	address, _ := plain(t, func(w http.ResponseWriter, _ *http.Request) {
+	address, _ := plainService(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_ = http.NewResponseController(w).Flush()
 		time.Sleep(prefill)
-		_, _ = io.WriteString(w, answer(3))
+		_, _ = io.WriteString(w, fullStream(3))
 	})
-	source := upstreams(address)
+	source := newSource(address)
 
-	require.NoError(t, newRunner(source).Run(t.Context(), httptest.NewRecorder(), chat()))
+	require.NoError(t, newRunner(source).Run(t.Context(), httptest.NewRecorder(), chatRequest()))
 
 	require.GreaterOrEqual(t, source.done[0].FirstToken, prefill)
 }
 
-// An engine's connection breaks off in the middle of a stream, more often than
-// one break is tried again. The caller must not notice.
+// The connection to an engine breaks within a stream, more often than the number
+// of tries after one break. The caller must get the whole stream.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	t.Parallel()
 	e := newEngine(t, 12, 2, 3, 4, 5, 6, 7, 8)
-	source := upstreams(e.URL)
+	source := newSource(e.URL)
 	w := httptest.NewRecorder()
 
-	require.NoError(t, newRunner(source).Run(t.Context(), w, chat()))
+	require.NoError(t, newRunner(source).Run(t.Context(), w, chatRequest()))
 
-	require.Equal(t, answer(12), w.Body.String())
+	require.Equal(t, fullStream(12), w.Body.String())
 	require.Equal(t, []string{"1", "2", "3", "4", "5", "6", "7"}, e.resumed)
 	require.Equal(t, 1, e.runs)
 }
 
-// After a break the engine answers with another stream, or leaves an event
-// out. The caller must see that its answer is not whole.
+// After a break the engine answers with a different stream or leaves an event
+// out. The caller must get an error event, not a normal end.
 func TestStreamThatCannotBeJoinedEndsInAnError(t *testing.T) {
 	t.Parallel()
-	for _, spoil := range []func(*engine){
-		func(e *engine) { e.renamed = "other" },
+	for _, misbehave := range []func(*engine){
+		func(e *engine) { e.resumedStream = "other" },
 		func(e *engine) { e.skip = 1 },
 	} {
 		e := newEngine(t, 12, 4)
-		spoil(e)
+		misbehave(e)
 		w := httptest.NewRecorder()
-		runner := newRunner(upstreams(e.URL))
+		runner := newRunner(newSource(e.URL))
 		var broken *call.BrokenError
 
-		require.ErrorAs(t, runner.Run(t.Context(), w, chat()), &broken)
+		require.ErrorAs(t, runner.Run(t.Context(), w, chatRequest()), &broken)
 
 		require.Equal(t, refusal.Run, broken.Outcome)
-		body, found := strings.CutPrefix(w.Body.String(), answer(12)[:len(event(1, 12))*3])
+		body, found := strings.CutPrefix(w.Body.String(), fullStream(12)[:len(eventText(1, 12))*3])
 		require.True(t, found)
 		require.Contains(t, body, "event: error\ndata: {")
 		runner.Wait()
@@ -269,14 +276,14 @@
 	}
 }
 
-// leaving is a caller that goes away after some events.
-type leaving struct {
+// leavingCaller is a caller that disconnects after a number of writes.
+type leavingCaller struct {
 	*httptest.ResponseRecorder
 	writes int
 	cancel context.CancelFunc
 }
 
-func (l *leaving) Write(p []byte) (int, error) {
+func (l *leavingCaller) Write(p []byte) (int, error) {
 	if l.writes--; l.writes < 0 {
 		l.cancel()
 		return 0, io.ErrClosedPipe
@@ -284,21 +291,21 @@
 	return l.ResponseRecorder.Write(p)
 }
 
-// A caller closes its connection in the middle of a stream. The engine would
-// go on with an answer for nobody, unless the caller said that it may return.
+// A caller disconnects within a stream. The stream must be cancelled, because
+// nobody would read it, unless the caller asked for it to be resumable.
 func TestCallerThatGoesAwayCancelsItsStream(t *testing.T) {
 	t.Parallel()
 	for _, resumable := range []bool{false, true} {
 		e := newEngine(t, 12)
-		source := upstreams(e.URL)
+		source := newSource(e.URL)
 		runner := newRunner(source)
-		request := chat()
+		request := chatRequest()
 		if resumable {
 			request.Header = http.Header{call.ResumableHeader: {"true"}}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 
-		require.Error(t, runner.Run(ctx, &leaving{httptest.NewRecorder(), 3, cancel}, request))
+		require.Error(t, runner.Run(ctx, &leavingCaller{httptest.NewRecorder(), 3, cancel}, request))
 
 		runner.Wait()
 		if resumable {
@@ -310,19 +317,19 @@
 	}
 }
 
-// A caller sends long prompts and leaves before the first token. The engine
-// has worked for it all the same, and is not to blame.
+// A caller sends a long prompt and disconnects before the first token. It must be
+// charged for the work of the engine, and the engine must not count as failed.
 func TestCallerThatLeavesEarlyIsCharged(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
-	address, _ := plain(t, func(_ http.ResponseWriter, r *http.Request) {
+	address, _ := plainService(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		cancel()
 		<-r.Context().Done()
 	}, ok)
-	source := upstreams(address)
+	source := newSource(address)
 	runner := newRunner(source)
-	request := chat()
+	request := chatRequest()
 	request.Body = make([]byte, 8000)
 
 	requireRefused(t, runner.Run(ctx, httptest.NewRecorder(), request), refusal.CallerGone, refusal.Unknown)
@@ -331,15 +338,15 @@
 	require.Equal(t, []dispatch.Done{{Result: dispatch.Answered, Cost: 8000 / 4 / 4}}, source.done)
 }
 
-// A caller asks for a long stream and stops reading, with its connection open.
-// It must not hold the engine's slot beyond its deadline.
+// A caller requests a long stream and stops reading, but keeps its connection
+// open. It must not hold the engine's slot after its deadline.
 func TestCallerThatStopsReadingLosesItsSlot(t *testing.T) {
 	t.Parallel()
 	e := newEngine(t, 400_000)
-	source := upstreams(e.URL)
+	source := newSource(e.URL)
 	ended := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		request := chat()
+		request := chatRequest()
 		request.Deadline = time.Now().Add(500 * time.Millisecond)
 		ended <- newRunner(source).Run(r.Context(), w, request)
 	}))
@@ -354,6 +361,6 @@
 	case err := <-ended:
 		require.Error(t, err)
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "the caller holds its slot")
+		require.Fail(t, "the caller still holds its slot")
 	}
 }
--- a/call/caller.go
+++ b/call/caller.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// callerStall is for how long a caller may take no bytes: a mobile network's
-// gap, short against an answer.
-const callerStall = 30 * time.Second
+// callerWriteTimeout bounds one write to a caller. It covers a gap in a mobile
+// network and is short compared with an answer.
+const callerWriteTimeout = 30 * time.Second
 
-// boundedWriter writes to a caller that may stop reading.
+// deadlineWriter bounds each write to a caller by callerWriteTimeout and the
+// request's deadline.
 //
-// Such a caller keeps its connection open, and a write to it blocks once the
-// buffers are full, whatever the request's context says. It would hold a slot
-// of an upstream for as long as it likes; a few hundred of them would stop a
-// service. Here each write has to end within callerStall and by the request's
-// deadline.
-type boundedWriter struct {
+// If a caller stops reading but keeps its connection open, writes block once the
+// buffers are full, whatever the request's context says. The request would hold
+// its upstream slot without limit; a few hundred such callers would block a
+// service.
+type deadlineWriter struct {
 	http.ResponseWriter
-	control  *http.ResponseController
-	deadline time.Time
+	controller *http.ResponseController
+	deadline   time.Time
 }
 
-func bound(w http.ResponseWriter, deadline time.Time) *boundedWriter {
-	return &boundedWriter{ResponseWriter: w, control: http.NewResponseController(w), deadline: deadline}
+func newDeadlineWriter(w http.ResponseWriter, deadline time.Time) *deadlineWriter {
+	return &deadlineWriter{ResponseWriter: w, controller: http.NewResponseController(w), deadline: deadline}
 }
 
-// Write writes to the caller. The flush that follows has the same bound.
-func (b *boundedWriter) Write(p []byte) (int, error) {
-	end := time.Now().Add(callerStall)
-	if b.deadline.Before(end) {
-		end = b.deadline
+// Write writes to the caller. The flush that follows has the same deadline.
+func (d *deadlineWriter) Write(p []byte) (int, error) {
+	deadline := time.Now().Add(callerWriteTimeout)
+	if d.deadline.Before(deadline) {
+		deadline = d.deadline
 	}
-	_ = b.control.SetWriteDeadline(end)
-	return b.ResponseWriter.Write(p)
+	_ = d.controller.SetWriteDeadline(deadline)
+	return d.ResponseWriter.Write(p)
 }
 
 // Unwrap lets an http.ResponseController reach the connection.
-func (b *boundedWriter) Unwrap() http.ResponseWriter { return b.ResponseWriter }
+func (d *deadlineWriter) Unwrap() http.ResponseWriter { return d.ResponseWriter }
--- a/call/cancel.go
+++ b/call/cancel.go
@@ -9,15 +9,15 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// cancelTimeout bounds a cancellation. An engine that does not take it in time
-// drops the stream by itself when nobody has read it for a while.
+// cancelTimeout bounds a cancellation. If it fails, the engine drops the stream
+// itself once nobody has read it for a while.
 const cancelTimeout = 2 * time.Second
 
-// cancelStream tells an engine to stop a stream that nobody will read. It does
-// not wait: the caller is gone or is being served elsewhere. Without it an
-// engine spends its slots on answers that go nowhere.
+// cancelStream tells an engine to stop a stream that nobody will read, so that
+// it does not occupy a slot of the engine. It returns at once: the caller has
+// disconnected or is served by another upstream.
 func (r *Runner) cancelStream(request fleet.RequestID, address, id string) {
-	r.cancels.Go(func() {
+	r.cancellations.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		answer, err := r.Client.Do(ctx, address, attempt.Request{
--- a/call/cost.go
+++ b/call/cost.go
@@ -7,23 +7,24 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// meter follows what one request costs.
-type meter struct {
+// costMeter tracks the cost of one request.
+type costMeter struct {
 	service *schema.Service
 	input   int64
 	output  int64
 }
 
-func newMeter(request *Request) meter {
-	return meter{service: request.Service, input: estimate.InputTokens(int64(len(request.Body)))}
+func newCostMeter(request *Request) costMeter {
+	return costMeter{service: request.Service, input: estimate.InputTokens(int64(len(request.Body)))}
 }
 
-func (m *meter) settle(usage stream.Usage) {
+// setUsage replaces the estimated tokens by those that the engine reported.
+func (m *costMeter) setUsage(usage stream.Usage) {
 	m.input = usage.PromptTokens
 	m.output = usage.CompletionTokens
 }
 
-func (m *meter) cost() fleet.Tokens {
+func (m *costMeter) cost() fleet.Tokens {
 	if fleet.Kind(m.service.GetKind()) == fleet.Model {
 		weights := estimate.Weights{Input: m.service.GetInputWeight(), Output: m.service.GetOutputWeight()}
 		return weights.Cost(m.input, m.output)
--- a/call/event.go
+++ b/call/event.go
@@ -13,39 +13,39 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// eventWriter writes events to a caller as they come.
+// eventWriter writes events to a caller as they arrive.
 type eventWriter struct {
-	w     http.ResponseWriter
-	flush *http.ResponseController
+	w          http.ResponseWriter
+	controller *http.ResponseController
 }
 
 func newEventWriter(w http.ResponseWriter) *eventWriter {
-	return &eventWriter{w: w, flush: http.NewResponseController(w)}
+	return &eventWriter{w: w, controller: http.NewResponseController(w)}
 }
 
-// write sends an event on, and flushes it unless another is at hand.
+// write writes an event, and flushes it unless more events are available.
 func (e *eventWriter) write(event stream.Event, more bool) error {
 	if _, err := e.w.Write(event.Raw); err != nil || more {
 		return err
 	}
-	return e.flush.Flush()
+	return e.controller.Flush()
 }
 
-// fail writes an event without an id that holds the refusal, so that a caller
-// which reads events learns why its stream ends early. A caller that ignores
-// it still sees the connection cut before the last event.
-func (e *eventWriter) fail(ctx context.Context, request fleet.RequestID, cause error) {
+// writeError writes an error event without an id, which tells the caller why its
+// stream ends early. A caller that ignores it still sees the connection closed
+// before the last event.
+func (e *eventWriter) writeError(ctx context.Context, request fleet.RequestID, cause error) {
 	reason := reasonOf(ctx, cause)
 	if reason == refusal.CallerGone {
 		return
 	}
 	body, err := protojson.Marshal(&schema.RefusalBody{Error: &schema.RefusalDetail{
 		RequestId: string(request), Outcome: string(refusal.Run), Reason: string(reason),
-		Message: "The stream broke off and could not be resumed.",
+		Message: "The stream was interrupted and could not be resumed.",
 	}})
 	if err != nil {
 		return
 	}
 	_, _ = fmt.Fprintf(e.w, "event: error\ndata: %s\n\n", body)
-	_ = e.flush.Flush()
+	_ = e.controller.Flush()
 }
--- a/call/failure.go
+++ b/call/failure.go
@@ -10,29 +10,29 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// retryAfter is when a caller may repeat a request whose upstream failed: long
-// enough for an upstream to be seen as gone, short against a person's wait.
+// retryAfter is the Retry-After of a request whose upstream failed: long enough
+// for the failure of the upstream to be detected, short for a waiting person.
 const retryAfter = time.Second
 
-// BrokenError is the error of an answer that broke off after a part of it went
-// out. The connection to the caller has to be aborted, because a normal end
-// would make the part look whole.
+// BrokenError is the error of an answer that ended after only a part of it was
+// written. The connection to the caller must be aborted, because a normal end
+// would make the part look complete.
 type BrokenError struct {
-	// Outcome is what became of the request, as far as it is known.
+	// Outcome tells whether the request was run, as far as known.
 	Outcome refusal.Outcome
-	// Cause is why the answer broke off.
+	// Cause is the error that ended the answer.
 	Cause error
 }
 
 // Error names the outcome and the cause.
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("answer broke off, %s: %v", e.Outcome, e.Cause)
+	return fmt.Sprintf("answer incomplete, %s: %v", e.Outcome, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Cause }
 
-// outcomeOf returns what a failed try says of the request.
+// outcomeOf returns whether the request was run by an attempt that failed with err.
 func outcomeOf(err error) refusal.Outcome {
 	var (
 		failed  *attempt.Error
@@ -48,9 +48,9 @@
 	}
 }
 
-// worse returns the outcome that rules the other out: what an earlier attempt
-// may have done stays true when a later one certainly was not run.
-func worse(a, b refusal.Outcome) refusal.Outcome {
+// worseOutcome returns the outcome of two attempts together: if one of them was
+// or may have been run, so was the request, even if the other was not run.
+func worseOutcome(a, b refusal.Outcome) refusal.Outcome {
 	if a == refusal.Run || b == refusal.Run {
 		return refusal.Run
 	}
@@ -60,21 +60,21 @@
 	return refusal.NotRun
 }
 
-// callerGone reports whether a request's context ended because its caller went
-// away, and not by its deadline.
+// callerGone reports whether a request's context ended because its caller
+// disconnected, not because its deadline passed.
 func callerGone(ctx context.Context) bool { return errors.Is(context.Cause(ctx), context.Canceled) }
 
-// refuse returns the caller's final word on err.
-func (e *execution) refuse(ctx context.Context, err error) *refusal.Error {
-	out := &refusal.Error{Outcome: worse(e.outcome, outcomeOf(err)), Cause: err}
+// refusalFor returns the refusal to be sent to the caller for err.
+func (e *execution) refusalFor(ctx context.Context, err error) *refusal.Error {
+	out := &refusal.Error{Outcome: worseOutcome(e.worstOutcome, outcomeOf(err)), Cause: err}
 	var (
 		refused *refusal.Error
 		failed  *attempt.Error
 	)
 	switch {
 	case errors.As(err, &refused) && refused.Reason == refusal.CallerGone && !callerGone(ctx):
-		// A source that waits sees only that its context ended. A caller told
-		// that it had gone away would not know when to come back.
+		// A waiting source sees only that its context ended. Its refusal has no
+		// Retry-After, which a caller that is still connected needs.
 		out.Reason, out.Detail = refusal.DeadlineBeforeTurn, "The deadline passed before the request's turn."
 		out.RetryAfter = retryAfter
 		return out
@@ -86,10 +86,10 @@
 		return out
 	case ctx.Err() != nil:
 		out.Reason, out.Detail = refusal.DeadlinePassed, "The deadline passed before the answer began."
-	case e.tries > 1:
+	case e.attempts > 1:
 		out.Reason, out.Detail = refusal.RetriesExhausted, "Each upstream that was tried failed."
 	case errors.As(err, &failed) && failed.Facts.Refused != "":
-		out.Reason, out.Detail = refusal.UpstreamBusy, "The upstream takes no more work now."
+		out.Reason, out.Detail = refusal.UpstreamBusy, "The upstream accepts no more requests now."
 	default:
 		out.Reason, out.Detail = refusal.UpstreamFailed, "The upstream failed before its answer began."
 	}
--- a/call/link.go
+++ b/call/link.go
@@ -16,8 +16,8 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// engineLink resumes one stream at its engine.
-type engineLink struct {
+// engineSource is the stream.Source of one stream; it resumes it at its engine.
+type engineSource struct {
 	client  *attempt.Client
 	request fleet.RequestID
 	address string
@@ -25,23 +25,23 @@
 }
 
 // Resume asks the engine for the events after the one with id after.
-func (l *engineLink) Resume(ctx context.Context, after stream.EventID) (*stream.Connection, error) {
-	answer, err := l.client.Do(ctx, l.address, attempt.Request{
-		ID: l.request, Method: http.MethodGet, Idempotent: true,
-		Path: streamPath(l.stream) + "?after=" + strconv.FormatUint(uint64(after), 10),
+func (s *engineSource) Resume(ctx context.Context, after stream.EventID) (*stream.Connection, error) {
+	answer, err := s.client.Do(ctx, s.address, attempt.Request{
+		ID: s.request, Method: http.MethodGet, Idempotent: true,
+		Path: streamPath(s.stream) + "?after=" + strconv.FormatUint(uint64(after), 10),
 	})
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case answer.Status == http.StatusOK && eventStream(answer.Header):
+	case answer.Status == http.StatusOK && isEventStream(answer.Header):
 		return &stream.Connection{Stream: answer.Header.Get(attempt.StreamIDHeader), Body: answer.Body}, nil
 	case answer.Status == http.StatusNotFound:
 		closeBody(answer.Body)
-		return nil, &stream.GoneError{Stream: l.stream}
+		return nil, &stream.GoneError{Stream: s.stream}
 	default:
 		closeBody(answer.Body)
-		return nil, eris.Errorf("engine answered a resumption with status %d", answer.Status)
+		return nil, eris.Errorf("resume stream: engine answered with status %d", answer.Status)
 	}
 }
 
@@ -49,54 +49,54 @@
 
 func closeBody(body io.Closer) { _ = body.Close() }
 
-// pauses are the times before each try to reach an engine again after one
-// break: a lost packet is mended at once, a link that flaps within seconds.
-// Their sum stays below the ten seconds for which an engine keeps a stream
-// without a reader.
-var pauses = []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second}
+// resumeDelays are the delays before the tries to resume a stream after one
+// break: the first for a lost packet, the others for a link that flaps for
+// seconds. Their sum must stay below the ten seconds for which an engine keeps a
+// stream without a reader.
+var resumeDelays = []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second}
 
-// spacing decides on the tries to reach an engine again.
-type spacing struct {
+// resumeBackoff decides whether and when a broken stream is resumed.
+type resumeBackoff struct {
 	runner   *Runner
 	deadline time.Time
-	// tries counts those since the last event.
-	tries int
-	after stream.EventID
+	// tries counts the tries since lastEvent.
+	tries     int
+	lastEvent stream.EventID
 }
 
-// allow reports whether a broken stream is asked for again, after a pause. The
-// retry policy is asked once for each break: the further tries repeat a read
-// that never reached the engine or ended at once, and add no work there.
-// A connection that brought an event ends its break, or a long answer over a
-// poor network would run out of tries although each break was mended.
-func (a *spacing) allow(ctx context.Context, after stream.EventID) bool {
-	if after > a.after {
-		a.after, a.tries = after, 0
+// allow reports whether to resume a broken stream, after a delay. It asks the
+// retry policy only once per break: further tries repeat a read that did not
+// reach the engine or ended at once, and add no work there. A connection that
+// delivered an event resets the tries, or a long answer over a poor network
+// would run out of them although each break was repaired.
+func (b *resumeBackoff) allow(ctx context.Context, after stream.EventID) bool {
+	if after > b.lastEvent {
+		b.lastEvent, b.tries = after, 0
 	}
-	if a.tries == len(pauses) || (a.tries == 0 && !a.allowed()) {
+	if b.tries == len(resumeDelays) || (b.tries == 0 && !b.policyAllows()) {
 		return false
 	}
-	a.tries++
-	a.runner.countRetry(retry.StreamBroken)
-	return a.runner.pause(ctx, pauses[a.tries-1])
+	b.tries++
+	b.runner.countRetry(retry.StreamBroken)
+	return b.runner.sleep(ctx, resumeDelays[b.tries-1])
 }
 
-func (a *spacing) allowed() bool {
-	return a.runner.Retry.Allow(a.runner.now(), retry.Attempt{
-		Count: 1, Outcome: refusal.Run, Resumable: true, AnswerStarted: true, Deadline: a.deadline,
+func (b *resumeBackoff) policyAllows() bool {
+	return b.runner.Retry.Allow(b.runner.now(), retry.Attempt{
+		Count: 1, Outcome: refusal.Run, Resumable: true, AnswerStarted: true, Deadline: b.deadline,
 	})
 }
 
-// pause waits and reports false when ctx ends before.
-func (r *Runner) pause(ctx context.Context, length time.Duration) bool {
+// sleep waits for length and reports false if ctx ends first.
+func (r *Runner) sleep(ctx context.Context, length time.Duration) bool {
 	if length <= 0 {
 		return ctx.Err() == nil
 	}
-	over := make(chan struct{})
-	wait := r.clock().After(length, func(time.Time) { close(over) })
-	defer wait.Cancel()
+	expired := make(chan struct{})
+	subscription := r.clock().After(length, func(time.Time) { close(expired) })
+	defer subscription.Cancel()
 	select {
-	case <-over:
+	case <-expired:
 		return true
 	case <-ctx.Done():
 		return false
--- a/call/once.go
+++ b/call/once.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// claimTimeout bounds a claim while it holds a slot.
+	// claimTimeout bounds a claim, during which the request holds a slot.
 	claimTimeout = 2 * time.Second
-	// keepTimeout is how long an answer waits until it is kept. A caller that
-	// has seen it can then be sure to get it again. When the table is down the
-	// answer goes out all the same and is kept later.
-	keepTimeout = 250 * time.Millisecond
+	// storeTimeout bounds how long an answer is held back to be stored. A caller
+	// that received it can then get it again. If the table is down, the answer is
+	// sent anyway and stored later.
+	storeTimeout = 250 * time.Millisecond
 )
 
-// claimable refuses a request that can't be claimed before it waits for a slot.
-func (e *execution) claimable() error {
-	if !e.request.claimed() {
+// checkClaims refuses a request that needs a claim if claims are unavailable, so
+// that it need not wait for a slot.
+func (e *execution) checkClaims() error {
+	if !e.request.needsClaim() {
 		return nil
 	}
 	if e.runner.Claims == nil {
-		return refusal.New(refusal.ClaimsUnavailable, "This router keeps no claims.", 0)
+		return refusal.New(refusal.ClaimsUnavailable, "This router does not support claims.", 0)
 	}
 	return e.runner.Claims.Available()
 }
 
-// takeClaim claims the request, or replays the answer of its first run. It is
-// asked for with a slot in hand, so that an account that floods the queue does
-// not fill the table with claims of requests that are turned away.
-func (e *execution) takeClaim(ctx context.Context, slot dispatch.Slot) (replayed bool, err error) {
+// acquireClaim claims the request, or replays the answer of its first run. The
+// request must already hold a slot, so that an account that floods the queue
+// does not fill the table with claims of requests that are then refused.
+func (e *execution) acquireClaim(ctx context.Context, slot dispatch.Slot) (replayed bool, err error) {
 	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	taken, answer, err := e.runner.Claims.Claim(claimCtx, claim.Request{
+	acquired, answer, err := e.runner.Claims.Claim(claimCtx, claim.Request{
 		Account: fleet.AccountID(e.request.Account.GetId()), Key: e.request.Key, Method: e.request.Method,
 		Path: e.request.Path, Body: e.request.Body, Deadline: e.request.Deadline,
 	})
@@ -46,19 +47,19 @@
 		slot.Done(dispatch.Done{Result: dispatch.Unused})
 	}
 	if err != nil {
-		return false, e.refuse(ctx, err)
+		return false, e.refusalFor(ctx, err)
 	}
 	if answer != nil {
 		return true, e.replay(answer)
 	}
-	e.claim = taken
+	e.claim = acquired
 	return false, nil
 }
 
-// outliveCaller returns a context that ends at the deadline alone. A caller
-// whose connection breaks repeats its order through another router; that
-// router can only give it an answer if this one goes on to get it.
-func (e *execution) outliveCaller(ctx context.Context) (context.Context, context.CancelFunc) {
+// detachFromCaller returns a context that ends only at the deadline. A caller
+// whose connection breaks may repeat its request through another router, which
+// can only replay the answer if this router still waits for it.
+func (e *execution) detachFromCaller(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(context.WithoutCancel(ctx), e.request.Deadline)
 }
 
@@ -69,7 +70,7 @@
 		header[name] = values
 	}
 	header.Set(ReplayedHeader, "true")
-	e.started = true
+	e.answerStarted = true
 	e.w.WriteHeader(answer.Status)
 	if _, err := e.w.Write(answer.Body); err != nil {
 		return &BrokenError{Outcome: refusal.Run, Cause: err}
@@ -77,22 +78,23 @@
 	return nil
 }
 
-// keepAnswer keeps a whole answer for repeats of its request.
-func (t *try) keepAnswer(ctx context.Context, answer *attempt.Answer, body []byte) {
-	if t.claim == nil {
+// storeAnswer stores a complete answer for repeats of its request.
+func (a *upstreamAttempt) storeAnswer(ctx context.Context, answer *attempt.Answer, body []byte) {
+	if a.claim == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 	defer cancel()
-	t.claim.Finish(ctx, claim.Answer{Status: answer.Status, Header: answer.Header, Body: body})
+	a.claim.Finish(ctx, claim.Answer{Status: answer.Status, Header: answer.Header, Body: body})
 }
 
-// endClaim says what became of a claimed request that has no kept answer.
+// endClaim ends the claim of a request without a stored answer: it releases the
+// key if the request was certainly not run, else it records the answer as lost.
 func (e *execution) endClaim(ctx context.Context, err error) {
 	if e.claim == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 	defer cancel()
 	var refused *refusal.Error
 	if errors.As(err, &refused) && refused.Outcome == refusal.NotRun {
--- a/call/once_test.go
+++ b/call/once_test.go
@@ -20,18 +20,18 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// routers returns two routers before one platform and one upstream.
-func routers(address string) (one, two *call.Runner, source *slots, table *memory.Platform) {
+// newRouters returns two routers that share one platform and one upstream.
+func newRouters(address string) (one, two *call.Runner, source *fakeSource, table *memory.Platform) {
 	table = memory.New(timer.System{})
-	source = upstreams(address)
+	source = newSource(address)
 	one, two = newRunner(source), newRunner(source)
 	one.Claims = &claim.Store{Table: table, Objects: table, Router: "one"}
 	two.Claims = &claim.Store{Table: table, Objects: table, Router: "two"}
 	return one, two, source, table
 }
 
-func keyed() call.Request {
-	request := order()
+func keyedRequest() call.Request {
+	request := orderRequest()
 	request.Key = "k"
 	return request
 }
@@ -44,16 +44,16 @@
 	require.Equal(t, outcome, refused.Outcome)
 }
 
-// A caller does not see the answer to its order and sends it again, through
-// another router. There must be one order, and the caller gets its answer.
+// A caller does not receive the answer to its order and repeats it through
+// another router. The order must run once, and the caller must get its answer.
 func TestOrderIsRunOnceThroughTwoRouters(t *testing.T) {
 	t.Parallel()
-	address, runs := plain(t, ok)
-	one, two, source, _ := routers(address)
+	address, runs := plainService(t, ok)
+	one, two, source, _ := newRouters(address)
 	first, again := httptest.NewRecorder(), httptest.NewRecorder()
 
-	require.NoError(t, one.Run(t.Context(), first, keyed()))
-	require.NoError(t, two.Run(t.Context(), again, keyed()))
+	require.NoError(t, one.Run(t.Context(), first, keyedRequest()))
+	require.NoError(t, two.Run(t.Context(), again, keyedRequest()))
 
 	require.Equal(t, 1, runs())
 	require.Equal(t, first.Body.String(), again.Body.String())
@@ -62,111 +62,112 @@
 	require.Equal(t, dispatch.Unused, source.done[1].Result)
 }
 
-// The caller's connection breaks while its order runs. The router has to get
-// the answer all the same, for the repeat.
-func TestOrderOfACallerThatWentAwayIsKept(t *testing.T) {
+// The caller's connection breaks while its order runs. The router must still
+// read the answer, for the repeat.
+func TestAnswerIsKeptForCallerThatDisconnected(t *testing.T) {
 	t.Parallel()
-	arrived, gone := make(chan struct{}), make(chan struct{})
-	address, runs := plain(t, func(w http.ResponseWriter, _ *http.Request) {
+	arrived, disconnected := make(chan struct{}), make(chan struct{})
+	address, runs := plainService(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(arrived)
-		<-gone
+		<-disconnected
 		_, _ = io.WriteString(w, "booked")
 	})
-	one, two, _, _ := routers(address)
+	one, two, _, _ := newRouters(address)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-arrived
 		cancel()
-		close(gone)
+		close(disconnected)
 	}()
-	_ = one.Run(ctx, httptest.NewRecorder(), keyed())
+	_ = one.Run(ctx, httptest.NewRecorder(), keyedRequest())
 	again := httptest.NewRecorder()
 
-	require.NoError(t, two.Run(t.Context(), again, keyed()))
+	require.NoError(t, two.Run(t.Context(), again, keyedRequest()))
 
 	require.Equal(t, 1, runs())
 	require.Equal(t, "booked", again.Body.String())
 }
 
-// The upstream breaks off. The order may have been run, so a repeat is
-// refused, at once and for good.
+// The upstream closes the connection before its answer. The order may have been
+// run, so a repeat must be refused at once, with outcome-lost.
 func TestOrderWithoutAnAnswerIsNotRunAgain(t *testing.T) {
 	t.Parallel()
-	address, runs := plain(t, cut, ok)
-	one, two, _, _ := routers(address)
-	requireRefused(t, one.Run(t.Context(), httptest.NewRecorder(), keyed()), refusal.UpstreamFailed, refusal.Unknown)
-	requireRefused(t, two.Run(t.Context(), httptest.NewRecorder(), keyed()), refusal.OutcomeLost, refusal.Unknown)
+	address, runs := plainService(t, cutBeforeAnswer, ok)
+	one, two, _, _ := newRouters(address)
+	requireRefused(t, one.Run(t.Context(), httptest.NewRecorder(), keyedRequest()), refusal.UpstreamFailed, refusal.Unknown)
+	requireRefused(t, two.Run(t.Context(), httptest.NewRecorder(), keyedRequest()), refusal.OutcomeLost, refusal.Unknown)
 	require.Equal(t, 1, runs())
 }
 
-// Every upstream turns the order away unrun, so the caller hears not-run and
-// may repeat it.
+// Every upstream refuses the order without running it. The caller must be told
+// not-run and be able to repeat it.
 func TestOrderThatWasNotRunCanBeRepeated(t *testing.T) {
 	t.Parallel()
-	address, runs := plain(t, draining, draining, draining, draining, ok)
-	one, two, _, _ := routers(address)
-	requireRefused(t, one.Run(t.Context(), httptest.NewRecorder(), keyed()), refusal.RetriesExhausted, refusal.NotRun)
+	address, runs := plainService(t, draining, draining, draining, draining, ok)
+	one, two, _, _ := newRouters(address)
+	requireRefused(t, one.Run(t.Context(), httptest.NewRecorder(), keyedRequest()), refusal.RetriesExhausted, refusal.NotRun)
 	require.Equal(t, 4, runs())
-	require.NoError(t, two.Run(t.Context(), httptest.NewRecorder(), keyed()))
+	require.NoError(t, two.Run(t.Context(), httptest.NewRecorder(), keyedRequest()))
 }
 
-// The table is down. An order is refused at once, unrun; when it goes down
-// only after the claim, the answer goes out and is kept later.
+// If the table is down, an order must be refused at once, as not run. If the
+// table goes down after the claim, the answer must be sent and stored later.
 func TestOrderWhileTheTableIsDown(t *testing.T) {
 	t.Parallel()
-	address, runs := plain(t, ok)
-	one, two, _, table := routers(address)
+	address, runs := plainService(t, ok)
+	one, two, _, table := newRouters(address)
 	table.Faults.Set(fault.Fault{Kind: fault.Down})
-	requireRefused(t, one.Run(t.Context(), httptest.NewRecorder(), keyed()), refusal.ClaimsUnavailable, refusal.NotRun)
+	requireRefused(t, one.Run(t.Context(), httptest.NewRecorder(), keyedRequest()), refusal.ClaimsUnavailable, refusal.NotRun)
 	require.Zero(t, runs())
 
 	table.Faults.Set()
-	seen := httptest.NewRecorder()
-	one.Source = &cutTable{slots: upstreams(address), table: table}
-	require.NoError(t, one.Run(t.Context(), seen, keyed()))
-	require.Equal(t, "booked", seen.Body.String())
+	received := httptest.NewRecorder()
+	one.Source = &failingSource{fakeSource: newSource(address), table: table}
+	require.NoError(t, one.Run(t.Context(), received, keyedRequest()))
+	require.Equal(t, "booked", received.Body.String())
 
 	table.Faults.Set()
-	requireRefused(t, two.Run(t.Context(), httptest.NewRecorder(), keyed()), refusal.DuplicateInFlight, refusal.Unknown)
+	requireRefused(t, two.Run(t.Context(), httptest.NewRecorder(), keyedRequest()), refusal.DuplicateInFlight, refusal.Unknown)
 	one.Claims.Settle(t.Context())
-	require.NoError(t, two.Run(t.Context(), httptest.NewRecorder(), keyed()))
+	require.NoError(t, two.Run(t.Context(), httptest.NewRecorder(), keyedRequest()))
 	require.Equal(t, 1, runs())
 }
 
-// cutTable takes the table down one commit after a slot was given.
-type cutTable struct {
-	*slots
+// failingSource takes the table down after the first commit since a slot was
+// acquired.
+type failingSource struct {
+	*fakeSource
 	table *memory.Platform
 }
 
-func (c *cutTable) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Slot, error) {
+func (c *failingSource) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Slot, error) {
 	c.table.Faults.Set(fault.Fault{Kind: fault.Slow, Operation: memory.OperationCommit, Times: 1}, fault.Fault{Kind: fault.Down})
-	return c.slots.Acquire(ctx, work)
+	return c.fakeSource.Acquire(ctx, work)
 }
 
-// The router is frozen between its claim and the sending, and wakes when the
-// caller has long gone elsewhere.
-func TestRouterThatWakesDoesNotSend(t *testing.T) {
+// The router is suspended between its claim and the sending, and resumes after
+// the deadline, when the caller may have repeated the request elsewhere.
+func TestRouterResumedAfterDeadlineDoesNotSend(t *testing.T) {
 	t.Parallel()
-	address, runs := plain(t, ok)
-	one, _, _, table := routers(address)
+	address, runs := plainService(t, ok)
+	one, _, _, table := newRouters(address)
 	clock := timer.NewFake(time.Now())
 	one.Claims.Timer = clock
-	one.Claims.Table = &freezing{Platform: table, clock: clock}
+	one.Claims.Table = &freezingTable{Platform: table, clock: clock}
 
-	err := one.Run(t.Context(), httptest.NewRecorder(), keyed())
+	err := one.Run(t.Context(), httptest.NewRecorder(), keyedRequest())
 
 	requireRefused(t, err, refusal.DeadlinePassed, refusal.NotRun)
 	require.Zero(t, runs())
 }
 
-// freezing lets an hour pass with each commit.
-type freezing struct {
+// freezingTable advances the clock by an hour with each commit.
+type freezingTable struct {
 	*memory.Platform
 	clock *timer.Fake
 }
 
-func (f *freezing) Commit(ctx context.Context, txn store.Txn) error {
+func (f *freezingTable) Commit(ctx context.Context, txn store.Txn) error {
 	defer f.clock.Advance(time.Hour)
 	return f.Platform.Commit(ctx, txn)
 }
--- a/call/plain_test.go
+++ b/call/plain_test.go
@@ -18,17 +18,18 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// plain is a service that counts runs and treats each request by its turn.
-func plain(t *testing.T, turns ...http.HandlerFunc) (address string, runs func() int) {
+// plainService starts a plain service that counts its runs. It handles the n-th
+// request with the n-th handler, and further ones with the last.
+func plainService(t *testing.T, handlers ...http.HandlerFunc) (address string, runs func() int) {
 	t.Helper()
 	var mu sync.Mutex
 	count := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		turn := turns[min(count, len(turns)-1)]
+		handle := handlers[min(count, len(handlers)-1)]
 		count++
 		mu.Unlock()
-		turn(w, r)
+		handle(w, r)
 	}))
 	t.Cleanup(server.Close)
 	return server.URL, func() int {
@@ -40,9 +41,9 @@
 
 func ok(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "booked") }
 
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func cutBeforeAnswer(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func cutMidway(w http.ResponseWriter, _ *http.Request) {
+func cutWithinAnswer(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "6")
 	_, _ = io.WriteString(w, "boo")
 	_ = http.NewResponseController(w).Flush()
@@ -54,15 +55,15 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func order() call.Request {
+func orderRequest() call.Request {
 	return call.Request{
 		ID: "r-2", Account: &schema.Account{Id: "halonen"}, Service: &schema.Service{Id: "orders", Kind: "plain"},
 		Method: http.MethodPost, Path: "/orders", Body: []byte(`{}`), Deadline: time.Now().Add(time.Minute),
 	}
 }
 
-// Upstreams fail in the ways they do. What may be run again is, elsewhere; an
-// order that may have been run is not, and its caller is told so.
+// Upstreams fail in different ways. Idempotent requests must be retried; an order
+// that may have been run must not be, and its caller must be told so.
 func TestRetriesOnlyWhatMayBeRepeated(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -72,18 +73,18 @@
 		reason     refusal.Reason
 		outcome    refusal.Outcome
 	}{
-		"broken, idempotent":     {[]http.HandlerFunc{cut, ok}, true, 2, "", ""},
-		"broken, order":          {[]http.HandlerFunc{cut, ok}, false, 1, refusal.UpstreamFailed, refusal.Unknown},
+		"broken, idempotent":     {[]http.HandlerFunc{cutBeforeAnswer, ok}, true, 2, "", ""},
+		"broken, order":          {[]http.HandlerFunc{cutBeforeAnswer, ok}, false, 1, refusal.UpstreamFailed, refusal.Unknown},
 		"draining, idempotent":   {[]http.HandlerFunc{draining, ok}, true, 2, "", ""},
 		"draining, order":        {[]http.HandlerFunc{draining, ok}, false, 1, refusal.UpstreamBusy, refusal.NotRun},
-		"broken, then all drain": {[]http.HandlerFunc{cut, draining}, true, 4, refusal.RetriesExhausted, refusal.Unknown},
+		"broken, then all drain": {[]http.HandlerFunc{cutBeforeAnswer, draining}, true, 4, refusal.RetriesExhausted, refusal.Unknown},
 	} {
-		address, runs := plain(t, c.turns...)
-		request := order()
+		address, runs := plainService(t, c.turns...)
+		request := orderRequest()
 		request.Idempotent = c.idempotent
 		w := httptest.NewRecorder()
 
-		runner, reports := newRunner(upstreams(address)), &reports{}
+		runner, reports := newRunner(newSource(address)), &reports{}
 		runner.Observers = call.Observers{reports}
 
 		err := runner.Run(t.Context(), w, request)
@@ -106,49 +107,49 @@
 
 func TestAnswerThatBreaksOffIsNotEndedNormally(t *testing.T) {
 	t.Parallel()
-	address, runs := plain(t, cutMidway, ok)
-	request := order()
+	address, runs := plainService(t, cutWithinAnswer, ok)
+	request := orderRequest()
 	request.Idempotent = true
 	w := httptest.NewRecorder()
 	var broken *call.BrokenError
 
-	require.ErrorAs(t, newRunner(upstreams(address)).Run(t.Context(), w, request), &broken)
+	require.ErrorAs(t, newRunner(newSource(address)).Run(t.Context(), w, request), &broken)
 
 	require.Equal(t, "boo", w.Body.String())
 	require.Equal(t, 1, runs())
 }
 
-// The model's answer breaks off while it is still held here. Another engine
-// can give it whole.
-func TestHeldAnswerIsFetchedElsewhere(t *testing.T) {
+// A model's answer is cut off while it is still buffered. It must be fetched from
+// another engine.
+func TestBufferedAnswerIsFetchedFromAnotherUpstream(t *testing.T) {
 	t.Parallel()
-	address, runs := plain(t, cutMidway, ok, ok)
+	address, runs := plainService(t, cutWithinAnswer, ok, ok)
 	w := httptest.NewRecorder()
 
-	runner := newRunner(upstreams(address))
-	require.NoError(t, runner.Run(t.Context(), w, chat()))
+	runner := newRunner(newSource(address))
+	require.NoError(t, runner.Run(t.Context(), w, chatRequest()))
 
 	runner.Wait()
 	require.Equal(t, "booked", w.Body.String())
 	require.Equal(t, 3, runs(), "two attempts and the cancellation of the first")
 }
 
-// waiting is a source without a free slot.
-type waiting struct{}
+// fullSource is a Source that never has a free slot.
+type fullSource struct{}
 
-func (waiting) Acquire(ctx context.Context, _ dispatch.Work) (dispatch.Slot, error) {
+func (fullSource) Acquire(ctx context.Context, _ dispatch.Work) (dispatch.Slot, error) {
 	<-ctx.Done()
 	return nil, refusal.New(refusal.CallerGone, "gone", 0)
 }
 
-// All slots are taken and the caller's deadline passes while its request
-// waits. The source sees only that its context ended; told that it had gone
-// away, a caller which is still there would not know when to come back.
-func TestDeadlineThatPassesInTheQueueIsNoCallerThatWentAway(t *testing.T) {
+// All slots are taken and the deadline passes while a request waits. The source
+// sees only that its context ended and reports caller-gone. A caller that is
+// still connected must get deadline-before-turn with a Retry-After instead.
+func TestDeadlineInQueueIsNotReportedAsCallerGone(t *testing.T) {
 	t.Parallel()
 	runner := newRunner(nil)
-	runner.Source = waiting{}
-	request := order()
+	runner.Source = fullSource{}
+	request := orderRequest()
 	request.Deadline = time.Now().Add(time.Millisecond)
 	err := runner.Run(t.Context(), httptest.NewRecorder(), request)
 	requireRefused(t, err, refusal.DeadlineBeforeTurn, refusal.NotRun)
@@ -156,7 +157,7 @@
 	require.ErrorAs(t, err, &refused)
 	require.Positive(t, refused.RetryAfter)
 
-	gone, leave := context.WithCancel(t.Context())
-	leave()
-	requireRefused(t, runner.Run(gone, httptest.NewRecorder(), order()), refusal.CallerGone, refusal.NotRun)
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	requireRefused(t, runner.Run(cancelled, httptest.NewRecorder(), orderRequest()), refusal.CallerGone, refusal.NotRun)
 }
--- a/call/report.go
+++ b/call/report.go
@@ -10,55 +10,57 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// Report is what became of one request.
+// Report describes a request that ended.
 type Report struct {
-	Account       fleet.AccountID
-	Service       fleet.ServiceID
+	Account fleet.AccountID
+	Service fleet.ServiceID
+	// Model is true for a request to a model service.
 	Model         bool
 	NonIdempotent bool
 	Arrived       time.Time
-	// Deadline is how long after its arrival the caller gives up.
+	// Deadline is the time from the arrival to the request's deadline.
 	Deadline time.Duration
-	// Input and Output are the tokens of a model's request, as far as it came;
-	// zero when nothing was sent to an upstream.
+	// Input and Output are the tokens of a request to a model so far; zero if
+	// nothing was sent to an upstream.
 	Input  int64
 	Output int64
-	// Queue is the time from the arrival to the first slot, zero without one.
+	// Queue is the time from the arrival to the first slot, zero if there was none.
 	Queue time.Duration
-	// FirstToken is the time from the arrival to the first event of a stream,
-	// or to the header of a plain answer. It is zero for a model's whole answer.
+	// FirstToken is the time from the arrival to the first event of a stream, or
+	// to the header of a plain service's answer. It is zero for a model's answer
+	// that is not streamed.
 	FirstToken time.Duration
-	// Run is how long the last attempt took at its upstream.
+	// Run is the duration of the last attempt at its upstream.
 	Run time.Duration
 	// Total is the time from the arrival to the end.
 	Total time.Duration
-	// Refused is why there is no whole answer, empty when there is one.
+	// Refused is the reason why the answer is missing or incomplete, else empty.
 	Refused refusal.Reason
 }
 
-// Observer is told of each request that ended.
+// Observer receives a report of each request that ended.
 type Observer interface {
-	// Ended is called once for a request, before its caller sees the end of a
-	// refusal. It may be called from any goroutine and must not block.
+	// Ended is called once per request, before a refusal is written to the caller.
+	// It may be called from any goroutine and must not block.
 	Ended(report Report)
 }
 
-// Observers tells each of several observers.
+// Observers is an Observer that passes reports on to several others.
 type Observers []Observer
 
-// Ended tells each observer.
+// Ended passes the report to each observer.
 func (o Observers) Ended(report Report) {
 	for _, observer := range o {
 		observer.Ended(report)
 	}
 }
 
-// report tells the observers what became of the request.
+// report completes the request's report and passes it to the observers.
 func (e *execution) report(ctx context.Context, err error) {
-	report := e.ended
+	report := e.partialReport
 	report.Account = fleet.AccountID(e.request.Account.GetId())
 	report.Service = fleet.ServiceID(e.request.Service.GetId())
-	report.Model = e.request.model()
+	report.Model = e.request.isModel()
 	report.NonIdempotent = !e.request.Idempotent
 	report.Arrived = e.arrived
 	report.Deadline = e.request.Deadline.Sub(e.arrived)
@@ -67,18 +69,19 @@
 	e.runner.Observers.Ended(report)
 }
 
-// reasonOf returns why a request has no whole answer, empty when err is nil.
+// reasonOf returns the reason why an answer is missing or incomplete, empty if
+// err is nil.
 func reasonOf(ctx context.Context, err error) refusal.Reason {
 	var (
 		refused *refusal.Error
-		gone    *stream.SinkError
+		sinkErr *stream.SinkError
 	)
 	switch {
 	case err == nil:
 		return ""
 	case errors.As(err, &refused):
 		return refused.Reason
-	case errors.As(err, &gone), callerGone(ctx):
+	case errors.As(err, &sinkErr), callerGone(ctx):
 		return refusal.CallerGone
 	case ctx.Err() != nil:
 		return refusal.DeadlinePassed
--- a/call/request.go
+++ b/call/request.go
@@ -1,6 +1,5 @@
-// Package call takes one accepted request from its slot to the whole answer:
-// it waits for a turn, sends the request, repeats what may be repeated, relays
-// the answer and reports the cost.
+// Package call runs accepted requests: it waits for an upstream slot, sends the
+// request, retries it where that is safe, relays the answer and reports the cost.
 package call
 
 import (
@@ -13,30 +12,30 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Headers that a router adds to an answer, and that a caller may send.
+// Headers of a router's answers, and ResumableHeader of callers' requests.
 const (
 	ResumeTokenHeader = "Nutmeglock-Resume-Token" //nolint:gosec // a header name
-	// ResumableHeader set to true keeps a stream alive at its engine when the
-	// caller's connection breaks, for a resumption. Without it the stream is
-	// cancelled at once, because nobody is left to read it.
+	// ResumableHeader set to true keeps a stream running at its engine after the
+	// caller's connection broke, so that it can be resumed. Without it the stream
+	// is cancelled at once, because nobody would read it.
 	ResumableHeader = "Nutmeglock-Resumable"
-	// ReplayedHeader marks an answer that was kept from the first run.
+	// ReplayedHeader marks a stored answer of an earlier run of the request.
 	ReplayedHeader = "Nutmeglock-Replayed"
 )
 
-// Request is one accepted request. The router has authenticated and checked it.
+// Request is an accepted request, already authenticated and validated.
 type Request struct {
 	ID      fleet.RequestID
 	Account *schema.Account
 	Service *schema.Service
 	Method  string
-	// Path is the escaped path and query that the upstream is to get.
+	// Path is the escaped path and query to send to the upstream.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Idempotent is false when a second run would do harm.
+	// Idempotent is false if a second run would do harm.
 	Idempotent bool
-	// Key is the caller's idempotency key, empty when it sent none.
+	// Key is the caller's idempotency key, empty if there is none.
 	Key string
 	// Estimate is the expected cost.
 	Estimate fleet.Tokens
@@ -45,17 +44,17 @@
 	Deadline time.Time
 }
 
-func (r *Request) model() bool { return fleet.Kind(r.Service.GetKind()) == fleet.Model }
+func (r *Request) isModel() bool { return fleet.Kind(r.Service.GetKind()) == fleet.Model }
 
-// claimed reports whether the request needs a claim. Without a key a claim
-// could not be related to the caller's repeat.
-func (r *Request) claimed() bool { return !r.Idempotent && r.Key != "" }
+// needsClaim reports whether the request needs a claim. Without a key, a repeat
+// could not be matched with the claim.
+func (r *Request) needsClaim() bool { return !r.Idempotent && r.Key != "" }
 
 func (r *Request) resumable() bool {
 	return strings.EqualFold(r.Header.Get(ResumableHeader), "true")
 }
 
-func (r *Request) work(avoid []fleet.UpstreamID) dispatch.Work {
+func (r *Request) dispatchWork(avoid []fleet.UpstreamID) dispatch.Work {
 	return dispatch.Work{
 		Request: r.ID, Account: r.Account, Service: r.Service, Estimate: r.Estimate,
 		Prefix: r.Prefix, Deadline: r.Deadline, Avoid: avoid,
--- a/call/resume.go
+++ b/call/resume.go
@@ -12,22 +12,22 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// Resumption is a caller's wish to take up a stream that broke off, be it at
-// this router or at another.
+// Resumption is a caller's request to resume an interrupted stream that this or
+// another router started.
 type Resumption struct {
 	ID      fleet.RequestID
 	Account *schema.Account
 	// Token is the text of the resume token.
 	Token string
-	// After is the id of the last event that the caller has.
+	// After is the id of the last event that the caller received.
 	After    stream.EventID
 	Deadline time.Time
 }
 
-// Resume writes the rest of a stream to w. It fails as Run does, with
-// bad-resume-token and resume-expired besides. It takes no slot: the stream
-// runs already, and was charged by the router that began it. A stream that
-// breaks off again stays alive at its engine for as long as that keeps one.
+// Resume writes the rest of a stream to w. It fails like Run, and also with
+// bad-resume-token and resume-expired. It takes no slot, because the stream is
+// already running and was charged by the router that started it. If it is
+// interrupted again, the stream stays resumable while its engine keeps it.
 func (r *Runner) Resume(ctx context.Context, w http.ResponseWriter, resumption Resumption) error {
 	if r.Tokens == nil {
 		return refusal.New(refusal.BadResumeToken, "This router issues no resume tokens.", 0)
@@ -38,28 +38,28 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, resumption.Deadline)
 	defer cancel()
-	again := &spacing{runner: r, deadline: resumption.Deadline, after: resumption.After}
+	backoff := &resumeBackoff{runner: r, deadline: resumption.Deadline, lastEvent: resumption.After}
 	relay := &stream.Relay{
 		Stream: token.GetStream(), After: resumption.After,
-		Source: &engineLink{client: r.Client, request: resumption.ID, address: token.GetAddress(), stream: token.GetStream()},
+		Source: &engineSource{client: r.Client, request: resumption.ID, address: token.GetAddress(), stream: token.GetStream()},
 	}
-	relay.Again = func(ctx context.Context, _ error) bool { return again.allow(ctx, relay.After) }
-	sink := &restSink{out: newEventWriter(bound(w, resumption.Deadline)), token: resumption.Token}
+	relay.Again = func(ctx context.Context, _ error) bool { return backoff.allow(ctx, relay.After) }
+	sink := &resumeSink{out: newEventWriter(newDeadlineWriter(w, resumption.Deadline)), token: resumption.Token}
 	err = relay.Open(ctx, sink)
 	switch {
 	case err == nil:
 		return nil
 	case sink.started:
-		sink.out.fail(ctx, resumption.ID, err)
+		sink.out.writeError(ctx, resumption.ID, err)
 		return &BrokenError{Outcome: refusal.Run, Cause: err}
 	default:
-		return notResumed(ctx, err)
+		return resumeRefusal(ctx, err)
 	}
 }
 
-// notResumed returns the refusal of a resumption that gave no event. The
-// request itself was run, or is.
-func notResumed(ctx context.Context, err error) *refusal.Error {
+// resumeRefusal returns the refusal of a resumption that delivered no event. The
+// request itself was run or still is.
+func resumeRefusal(ctx context.Context, err error) *refusal.Error {
 	refused := &refusal.Error{Outcome: refusal.Run, Cause: err}
 	var (
 		gone   *stream.GoneError
@@ -72,7 +72,7 @@
 	case callerGone(ctx):
 		refused.Reason, refused.Detail = refusal.CallerGone, "The caller closed the connection."
 	case ctx.Err() != nil:
-		refused.Reason, refused.Detail = refusal.DeadlinePassed, "The deadline passed before the stream went on."
+		refused.Reason, refused.Detail = refusal.DeadlinePassed, "The deadline passed before the stream was resumed."
 		refused.RetryAfter = retryAfter
 	default:
 		refused.Reason, refused.Detail = refusal.UpstreamFailed, "The stream's upstream could not be reached."
@@ -81,15 +81,15 @@
 	return refused
 }
 
-// restSink writes the rest of a stream.
-type restSink struct {
+// resumeSink writes the rest of a resumed stream to the caller.
+type resumeSink struct {
 	out     *eventWriter
 	token   string
 	started bool
 }
 
 // Event writes one event.
-func (s *restSink) Event(event stream.Event, more bool) error {
+func (s *resumeSink) Event(event stream.Event, more bool) error {
 	if !s.started {
 		header := s.out.w.Header()
 		header.Set("Content-Type", "text/event-stream")
--- a/call/runner.go
+++ b/call/runner.go
@@ -20,41 +20,41 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Runner runs accepted requests. Source, Retry and Client have to be set. It is
+// Runner runs accepted requests. Source, Retry and Client must be set. It is
 // safe for concurrent use.
 type Runner struct {
 	Source dispatch.Source
 	Retry  retry.Policy
 	Client *attempt.Client
-	// Claims lets calls with an idempotency key run once; without it they are
-	// refused.
+	// Claims lets non-idempotent requests with an idempotency key run once;
+	// without it they are refused.
 	Claims *claim.Store
-	// Tokens issues resume tokens; without it streams have none.
+	// Tokens issues resume tokens; without it streams can't be resumed by callers.
 	Tokens *resume.Issuer
-	// Timer tells the time; nil means the machine's clock.
+	// Timer is the clock; nil means the system clock.
 	Timer timer.Service
-	// Metrics counts retries, service and first bytes; it may be nil. What
-	// waits and is in flight is the Source's to count.
+	// Metrics counts retries, cost and times to the first byte; it may be nil. The
+	// Source counts waiting requests and those in flight.
 	Metrics *metric.Set
-	// Observers are told of each request that ended.
+	// Observers receive a report of each request that ended.
 	Observers Observers
 
-	cancels sync.WaitGroup
+	cancellations sync.WaitGroup
 }
 
-// Run serves a request and writes the answer to w. It returns nil when the
-// answer is out whole, *refusal.Error when nothing was written, and
-// *BrokenError when the answer broke off. ctx ends when the caller is gone.
+// Run runs a request and writes the answer to w. It returns nil if the answer
+// was written in full, *refusal.Error if nothing was written, and *BrokenError
+// if only a part was. ctx must end when the caller disconnects.
 func (r *Runner) Run(ctx context.Context, w http.ResponseWriter, request Request) error {
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	e := &execution{runner: r, request: &request, w: bound(w, request.Deadline), arrived: r.now(), outcome: refusal.NotRun}
+	e := &execution{runner: r, request: &request, w: newDeadlineWriter(w, request.Deadline), arrived: r.now(), worstOutcome: refusal.NotRun}
 	return e.run(ctx)
 }
 
-// Wait returns when the cancellations that are under way have ended, at most
-// two seconds after the last Run.
-func (r *Runner) Wait() { r.cancels.Wait() }
+// Wait waits for the pending cancellations of streams, at most two seconds after
+// the last Run.
+func (r *Runner) Wait() { r.cancellations.Wait() }
 
 func (r *Runner) now() time.Time {
 	return r.clock().Now()
@@ -67,73 +67,74 @@
 	return r.Timer
 }
 
-// execution is one Run.
+// execution is the state of one call of Run.
 type execution struct {
 	runner  *Runner
 	request *Request
 	w       http.ResponseWriter
 	arrived time.Time
-	// ended is what the request's report has so far.
-	ended Report
-	tries int
+	// partialReport holds the fields of the report that are known so far.
+	partialReport Report
+	attempts      int
+	// avoid lists the upstreams of failed attempts.
 	avoid []fleet.UpstreamID
-	// outcome is the worst of the attempts so far.
-	outcome refusal.Outcome
-	// started is true once a byte of an answer went out.
-	started bool
-	// claim is the right to send a call that may run once; nil without a key.
+	// worstOutcome is the worst outcome of the failed attempts so far.
+	worstOutcome refusal.Outcome
+	// answerStarted is true once the header of an answer was written.
+	answerStarted bool
+	// claim is the claim of a non-idempotent request with a key, else nil.
 	claim *claim.Claim
 }
 
 func (e *execution) run(ctx context.Context) error {
-	err := e.repeat(ctx)
+	err := e.runWithRetries(ctx)
 	e.endClaim(ctx, err)
 	e.report(ctx, err)
 	return err
 }
 
-// repeat makes attempts until one answers, or none may follow.
-func (e *execution) repeat(ctx context.Context) error {
-	if err := e.claimable(); err != nil {
+// runWithRetries makes attempts until one succeeds or no retry is allowed.
+func (e *execution) runWithRetries(ctx context.Context) error {
+	if err := e.checkClaims(); err != nil {
 		return err
 	}
 	e.runner.Retry.First(e.arrived)
 	for {
-		slot, err := e.runner.Source.Acquire(ctx, e.request.work(e.avoid))
+		slot, err := e.runner.Source.Acquire(ctx, e.request.dispatchWork(e.avoid))
 		if err != nil {
-			return e.refuse(ctx, err)
+			return e.refusalFor(ctx, err)
 		}
-		if e.tries == 0 {
-			e.ended.Queue = e.runner.now().Sub(e.arrived)
+		if e.attempts == 0 {
+			e.partialReport.Queue = e.runner.now().Sub(e.arrived)
 		}
-		if e.request.claimed() && e.claim == nil {
+		if e.request.needsClaim() && e.claim == nil {
 			var replayed bool
-			if replayed, err = e.takeClaim(ctx, slot); replayed || err != nil {
+			if replayed, err = e.acquireClaim(ctx, slot); replayed || err != nil {
 				return err
 			}
 			var cancel context.CancelFunc
-			ctx, cancel = e.outliveCaller(ctx)
+			ctx, cancel = e.detachFromCaller(ctx)
 			defer cancel()
 		}
-		e.tries++
-		err = e.try(ctx, slot)
+		e.attempts++
+		err = e.runAttempt(ctx, slot)
 		if err == nil {
 			return nil
 		}
-		if e.started {
-			return &BrokenError{Outcome: worse(e.outcome, refusal.Run), Cause: err}
+		if e.answerStarted {
+			return &BrokenError{Outcome: worseOutcome(e.worstOutcome, refusal.Run), Cause: err}
 		}
-		if !e.again(ctx, err) {
-			return e.refuse(ctx, err)
+		if !e.shouldRetry(ctx, err) {
+			return e.refusalFor(ctx, err)
 		}
-		e.outcome = worse(e.outcome, outcomeOf(err))
+		e.worstOutcome = worseOutcome(e.worstOutcome, outcomeOf(err))
 		e.avoid = append(e.avoid, fleet.UpstreamID(slot.Upstream().GetId()))
 	}
 }
 
-// again decides whether another attempt follows. A call that may run once at
-// most and came without an idempotency key is never repeated.
-func (e *execution) again(ctx context.Context, err error) bool {
+// shouldRetry reports whether another attempt follows. A non-idempotent request
+// without an idempotency key is never retried.
+func (e *execution) shouldRetry(ctx context.Context, err error) bool {
 	var failed *attempt.Error
 	if ctx.Err() != nil || !errors.As(err, &failed) {
 		return false
@@ -143,7 +144,7 @@
 	}
 	now := e.runner.now()
 	allowed := e.runner.Retry.Allow(now, retry.Attempt{
-		Count: e.tries, Outcome: failed.Facts.Outcome(), Idempotent: e.request.Idempotent,
+		Count: e.attempts, Outcome: failed.Facts.Outcome(), Idempotent: e.request.Idempotent,
 		Deadline: e.request.Deadline,
 	})
 	if allowed {
@@ -158,8 +159,8 @@
 	}
 }
 
-// newStreamID returns 128 random bits in hex. Nobody can guess another
-// caller's stream by it.
+// newStreamID returns 128 random bits in hex, so that the ids of other callers'
+// streams can't be guessed.
 func newStreamID() string {
 	var id [16]byte
 	_, _ = rand.Read(id[:])
--- a/call/storm_test.go
+++ b/call/storm_test.go
@@ -20,12 +20,13 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// The same faults come in each run; -rapid.seed tries others.
+// The tests draw the same faults in each run; -rapid.seed changes them.
 func init() { _ = flag.Set("rapid.seed", "3") }
 
-// A caller repeats one order through any router until it has an answer, while
-// the table and the service fail in every way that their stand-ins know. The
-// service counts what it ran.
+// Guards against an order that runs twice, or that runs although its caller was
+// told not-run. A caller repeats one order through random routers, while the
+// table and the service fail in every way that their test doubles support. The
+// service counts its runs.
 func TestOrderRunsOnceUnderFaults(t *testing.T) {
 	t.Parallel()
 	answers := 0
@@ -35,7 +36,7 @@
 		defer server.Close()
 		var runners []*call.Runner
 		for range 3 {
-			runner := newRunner(upstreams(server.URL))
+			runner := newRunner(newSource(server.URL))
 			runner.Claims = &claim.Store{Table: table, Objects: table}
 			defer runner.Client.Close()
 			runners = append(runners, runner)
@@ -50,16 +51,16 @@
 			service.Faults.Set(fault.Fault{Kind: serviceFault.Draw(t, "service"), Times: 1})
 			before := service.Runs()["k"]
 			runner := rapid.SampledFrom(runners).Draw(t, "router")
-			answer, outcome := place(t, runner)
+			answer, outcome := sendOrder(t, runner)
 			after := service.Runs()["k"]
 			require.LessOrEqual(t, after, 1)
 			if outcome == refusal.NotRun {
-				require.Equal(t, before, after, "ran, and was called not-run")
+				require.Equal(t, before, after, "ran, but was reported as not-run")
 			}
 			if answer != "" {
 				answers++
 				require.Equal(t, 1, after)
-				require.True(t, first == "" || first == answer, "another answer than the first")
+				require.True(t, first == "" || first == answer, "the answer differs from the first")
 				first = answer
 			}
 			if rapid.Bool().Draw(t, "settle") {
@@ -67,13 +68,14 @@
 			}
 		}
 	})
-	require.GreaterOrEqual(t, answers, 50, "too few answers to mean anything")
+	require.GreaterOrEqual(t, answers, 50, "too few answers for a meaningful result")
 	t.Logf("%d answers", answers)
 }
 
-// place sends the order and returns the answer, or what the caller is told.
-func place(t *rapid.T, runner *call.Runner) (answer string, outcome refusal.Outcome) {
-	request := keyed()
+// sendOrder sends the order and returns the answer, or the outcome that the
+// caller is told.
+func sendOrder(t *rapid.T, runner *call.Runner) (answer string, outcome refusal.Outcome) {
+	request := keyedRequest()
 	request.Header = http.Header{"Idempotency-Key": {"k"}}
 	request.Deadline = time.Now().Add(time.Minute)
 	w := httptest.NewRecorder()
--- a/call/streamed.go
+++ b/call/streamed.go
@@ -10,97 +10,99 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// resumeGrace is how long after its request's deadline a stream can be
-// resumed. Engines keep a stream without a reader for some ten seconds.
+// resumeGrace is how long a resume token is valid after its request's deadline.
+// Engines keep a stream without a reader for some ten seconds.
 const resumeGrace = time.Minute
 
-// relayStream passes on a streamed answer. The header goes out with the first
-// event, so that an answer without one can still be had from another upstream.
-func (t *try) relayStream(ctx context.Context, answer *attempt.Answer) error {
-	named := answer.Header.Get(attempt.StreamIDHeader)
-	if named == "" {
-		named = t.stream
+// relayStream relays a streamed answer. The header is written with the first
+// event, so that another upstream can be tried if no event arrives.
+func (a *upstreamAttempt) relayStream(ctx context.Context, answer *attempt.Answer) error {
+	streamID := answer.Header.Get(attempt.StreamIDHeader)
+	if streamID == "" {
+		streamID = a.streamID
 	}
-	again := &spacing{runner: t.runner, deadline: t.request.Deadline}
-	relay := &stream.Relay{Stream: t.stream, Source: t.link()}
-	relay.Again = func(ctx context.Context, _ error) bool { return t.started && again.allow(ctx, relay.After) }
-	sink := &streamSink{try: t, answer: answer, out: newEventWriter(t.w)}
-	err := relay.Run(ctx, &stream.Connection{Stream: named, Body: answer.Body}, sink)
+	backoff := &resumeBackoff{runner: a.runner, deadline: a.request.Deadline}
+	relay := &stream.Relay{Stream: a.streamID, Source: a.engineSource()}
+	relay.Again = func(ctx context.Context, _ error) bool { return a.answerStarted && backoff.allow(ctx, relay.After) }
+	sink := &streamSink{upstreamAttempt: a, answer: answer, out: newEventWriter(a.w)}
+	err := relay.Run(ctx, &stream.Connection{Stream: streamID, Body: answer.Body}, sink)
 	if err != nil {
-		if t.started {
-			sink.out.fail(ctx, t.request.ID, err)
+		if a.answerStarted {
+			sink.out.writeError(ctx, a.request.ID, err)
 		}
 		return err
 	}
-	t.keepAnswer(ctx, answer, sink.kept)
-	if sink.gone != nil {
-		return &stream.SinkError{Cause: sink.gone}
+	a.storeAnswer(ctx, answer, sink.storedBody)
+	if sink.callerErr != nil {
+		return &stream.SinkError{Cause: sink.callerErr}
 	}
 	return nil
 }
 
-func (t *try) link() *engineLink {
-	return &engineLink{client: t.runner.Client, request: t.request.ID, address: t.address, stream: t.stream}
+func (a *upstreamAttempt) engineSource() *engineSource {
+	return &engineSource{client: a.runner.Client, request: a.request.ID, address: a.address, stream: a.streamID}
 }
 
-// token returns the stream's resume token, empty when none can be issued.
-func (t *try) token() string {
-	if t.runner.Tokens == nil {
+// issueResumeToken returns a resume token for the stream, or "" if none can be
+// issued.
+func (a *upstreamAttempt) issueResumeToken() string {
+	if a.runner.Tokens == nil {
 		return ""
 	}
-	text, err := t.runner.Tokens.Issue(&schema.ResumeToken{
-		Account: t.request.Account.GetId(), Service: t.request.Service.GetId(),
-		Upstream: t.slot.Upstream().GetId(), Address: t.address, Stream: t.stream,
-		ExpiresUnixMs: t.request.Deadline.Add(resumeGrace).UnixMilli(),
+	token, err := a.runner.Tokens.Issue(&schema.ResumeToken{
+		Account: a.request.Account.GetId(), Service: a.request.Service.GetId(),
+		Upstream: a.slot.Upstream().GetId(), Address: a.address, Stream: a.streamID,
+		ExpiresUnixMs: a.request.Deadline.Add(resumeGrace).UnixMilli(),
 	})
 	if err != nil {
 		return ""
 	}
-	return text
+	return token
 }
 
-// streamSink writes events to the caller and follows their cost.
+// streamSink writes events to the caller and records their cost.
 type streamSink struct {
-	*try
+	*upstreamAttempt
 	answer *attempt.Answer
 	out    *eventWriter
-	// kept is the stream so far, if it is kept for repeats.
-	kept []byte
-	// gone is why the caller takes no more of a stream that is read to its end
-	// all the same, to be kept.
-	gone error
+	// storedBody is the stream so far, if it is stored for repeats.
+	storedBody []byte
+	// callerErr is the first error of writing to the caller, for a stream that is
+	// still read to its end in order to be stored.
+	callerErr error
 }
 
 // Event writes one event.
 func (s *streamSink) Event(event stream.Event, more bool) error {
-	if !s.started {
-		if token := s.token(); token != "" {
+	if !s.answerStarted {
+		if token := s.issueResumeToken(); token != "" {
 			s.w.Header().Set(ResumeTokenHeader, token)
 		}
 		s.writeHeader(s.answer)
 	}
-	s.charge(event)
+	s.recordCost(event)
 	if s.claim == nil {
 		return s.out.write(event, more)
 	}
-	if len(s.kept) <= claim.MaxKept {
-		s.kept = append(s.kept, event.Raw...)
+	if len(s.storedBody) <= claim.MaxKept {
+		s.storedBody = append(s.storedBody, event.Raw...)
 	}
-	if s.gone == nil {
-		s.gone = s.out.write(event, more)
+	if s.callerErr == nil {
+		s.callerErr = s.out.write(event, more)
 	}
 	return nil
 }
 
-func (s *streamSink) charge(event stream.Event) {
+// recordCost adds the cost of an event and reports the total to the slot.
+func (s *streamSink) recordCost(event stream.Event) {
 	if event.Data == nil || event.Last() {
 		return
 	}
 	if s.firstToken == 0 {
-		s.firstToken = s.runner.now().Sub(s.sent)
+		s.firstToken = s.runner.now().Sub(s.sentAt)
 	}
 	if usage, ok := stream.ReadUsage(event.Data); ok {
-		s.meter.settle(usage)
+		s.meter.setUsage(usage)
 	} else {
 		s.meter.output++
 	}
--- a/call/try.go
+++ b/call/try.go
@@ -13,105 +13,106 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// try is one attempt at one upstream.
-type try struct {
+// upstreamAttempt is one attempt to run a request at one upstream.
+type upstreamAttempt struct {
 	*execution
-	slot    dispatch.Slot
-	address string
-	stream  string
-	meter   meter
-	sent    time.Time
-	// firstToken is the time to the first event of a stream, or to the header
-	// of a plain answer. It is zero for a model's whole answer, which comes
-	// when its last token does and tells nothing of the first.
+	slot     dispatch.Slot
+	address  string
+	streamID string
+	meter    costMeter
+	sentAt   time.Time
+	// firstToken is the time to the first event of a stream, or to the header of a
+	// plain service's answer. It is zero for a model's answer that is not streamed,
+	// which arrives only with its last token.
 	firstToken time.Duration
 }
 
-func (e *execution) try(ctx context.Context, slot dispatch.Slot) error {
-	t := &try{execution: e, slot: slot, address: slot.Upstream().GetAddress(), meter: newMeter(e.request)}
-	if e.request.model() {
-		t.stream = newStreamID()
+func (e *execution) runAttempt(ctx context.Context, slot dispatch.Slot) error {
+	a := &upstreamAttempt{execution: e, slot: slot, address: slot.Upstream().GetAddress(), meter: newCostMeter(e.request)}
+	if e.request.isModel() {
+		a.streamID = newStreamID()
 	}
-	err := t.exchange(ctx)
-	t.settle(ctx, err)
+	err := a.exchange(ctx)
+	a.finish(ctx, err)
 	return err
 }
 
-func (t *try) exchange(ctx context.Context) error {
-	if t.claim != nil && !t.claim.Ready() {
-		return refusal.New(refusal.DeadlinePassed, "The router was held up past the deadline before it sent the request.", retryAfter)
+func (a *upstreamAttempt) exchange(ctx context.Context) error {
+	if a.claim != nil && !a.claim.Ready() {
+		return refusal.New(refusal.DeadlinePassed, "The router was delayed past the deadline before it sent the request.", retryAfter)
 	}
-	t.sent = t.runner.now()
-	answer, err := t.runner.Client.Do(ctx, t.address, attempt.Request{
-		ID: t.request.ID, Method: t.request.Method, Path: t.request.Path, Header: t.request.Header,
-		Body: t.request.Body, Stream: t.stream, Idempotent: t.request.Idempotent,
+	a.sentAt = a.runner.now()
+	answer, err := a.runner.Client.Do(ctx, a.address, attempt.Request{
+		ID: a.request.ID, Method: a.request.Method, Path: a.request.Path, Header: a.request.Header,
+		Body: a.request.Body, Stream: a.streamID, Idempotent: a.request.Idempotent,
 	})
 	if err != nil {
 		return err
 	}
 	defer answer.Body.Close()
-	if t.request.model() && eventStream(answer.Header) {
-		return t.relayStream(ctx, answer)
+	if a.request.isModel() && isEventStream(answer.Header) {
+		return a.relayStream(ctx, answer)
 	}
-	if !t.request.model() {
-		t.firstToken = answer.FirstByte
+	if !a.request.isModel() {
+		a.firstToken = answer.FirstByte
 	}
-	return t.relayWhole(ctx, answer)
+	return a.relayWhole(ctx, answer)
 }
 
-// settle gives the slot back and cancels what is left running at the upstream.
-func (t *try) settle(ctx context.Context, err error) {
-	done := dispatch.Done{Result: t.result(ctx, err), FirstToken: t.firstToken}
+// finish releases the slot, and cancels a stream that still runs at the upstream
+// unless its caller may resume it.
+func (a *upstreamAttempt) finish(ctx context.Context, err error) {
+	done := dispatch.Done{Result: a.result(ctx, err), FirstToken: a.firstToken}
 	if done.Result == dispatch.Answered || outcomeOf(err) == refusal.Run {
-		done.Cost = t.meter.cost()
+		done.Cost = a.meter.cost()
 	}
-	abandoned := err != nil && t.stream != "" && outcomeOf(err) != refusal.NotRun
+	abandoned := err != nil && a.streamID != "" && outcomeOf(err) != refusal.NotRun
 	switch {
-	case abandoned && t.keptForCaller(ctx):
-		done.Cost = max(done.Cost, t.request.Estimate)
+	case abandoned && a.callerMayResume(ctx):
+		done.Cost = max(done.Cost, a.request.Estimate)
 	case abandoned:
-		t.runner.cancelStream(t.request.ID, t.address, t.stream)
+		a.runner.cancelStream(a.request.ID, a.address, a.streamID)
 	}
-	t.slot.Done(done)
-	t.runner.countService(t.request, done.Cost)
-	t.note()
+	a.slot.Done(done)
+	a.runner.countService(a.request, done.Cost)
+	a.recordAttempt()
 }
 
-// note keeps what the request's report tells of its last attempt.
-func (t *try) note() {
-	if t.sent.IsZero() {
+// recordAttempt sets the report's fields on the last attempt.
+func (a *upstreamAttempt) recordAttempt() {
+	if a.sentAt.IsZero() {
 		return
 	}
-	t.ended.Run = t.runner.now().Sub(t.sent)
-	if t.firstToken > 0 {
-		t.ended.FirstToken = t.sent.Add(t.firstToken).Sub(t.arrived)
+	a.partialReport.Run = a.runner.now().Sub(a.sentAt)
+	if a.firstToken > 0 {
+		a.partialReport.FirstToken = a.sentAt.Add(a.firstToken).Sub(a.arrived)
 	}
-	if t.request.model() {
-		t.ended.Input, t.ended.Output = t.meter.input, t.meter.output
+	if a.request.isModel() {
+		a.partialReport.Input, a.partialReport.Output = a.meter.input, a.meter.output
 	}
 }
 
-// keptForCaller reports whether a caller that went away may come back for the
-// rest of its stream. The rest is charged by its estimate, because the router
-// that resumes has no slot to charge it to.
-func (t *try) keptForCaller(ctx context.Context) bool {
-	gone := callerGone(ctx)
-	return gone && t.started && t.request.resumable()
+// callerMayResume reports whether a caller that disconnected may resume its
+// stream. The request then costs at least its estimate, because the router that
+// resumes the stream has no slot to charge the rest to.
+func (a *upstreamAttempt) callerMayResume(ctx context.Context) bool {
+	disconnected := callerGone(ctx)
+	return disconnected && a.answerStarted && a.request.resumable()
 }
 
-// result returns what dispatch is to learn of the upstream. A caller that goes
-// away, or a deadline within an answer, is no failure of the upstream; counted
-// as one, a few impatient callers would make a sound upstream seem broken. It
-// is charged like an answer, or an account would get its prompts processed for
-// nothing by leaving before the first token.
-func (t *try) result(ctx context.Context, err error) dispatch.Result {
+// result returns the result of the attempt for dispatch. A caller that
+// disconnects, or a deadline that passes within an answer, is not a failure of
+// the upstream: a few impatient callers would make a healthy upstream seem
+// broken. It counts as answered and is charged, or an account could get its
+// prompts processed for free by disconnecting before the first token.
+func (a *upstreamAttempt) result(ctx context.Context, err error) dispatch.Result {
 	var (
 		failed  *attempt.Error
 		refused *refusal.Error
-		gone    *stream.SinkError
+		sinkErr *stream.SinkError
 	)
 	switch {
-	case err == nil, errors.As(err, &gone):
+	case err == nil, errors.As(err, &sinkErr):
 		return dispatch.Answered
 	case errors.As(err, &refused):
 		return dispatch.Unused
@@ -120,7 +121,7 @@
 			return dispatch.Unused
 		}
 		return dispatch.Answered
-	case ctx.Err() != nil && t.started:
+	case ctx.Err() != nil && a.answerStarted:
 		return dispatch.Answered
 	case errors.As(err, &failed):
 		return failed.Result()
@@ -129,7 +130,7 @@
 	}
 }
 
-func eventStream(header http.Header) bool {
-	kind, _, err := mime.ParseMediaType(header.Get("Content-Type"))
-	return err == nil && kind == "text/event-stream"
+func isEventStream(header http.Header) bool {
+	mediaType, _, err := mime.ParseMediaType(header.Get("Content-Type"))
+	return err == nil && mediaType == "text/event-stream"
 }
--- a/call/whole.go
+++ b/call/whole.go
@@ -11,43 +11,44 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// maxHeld bounds what is held of a whole answer before it goes out, in bytes.
-// An answer within it that breaks off can be fetched from another upstream.
-const maxHeld = 1 << 20
+// maxBufferedAnswer is the size up to which an answer is buffered before it is
+// written, in bytes. If such an answer is cut off, another upstream can be tried.
+const maxBufferedAnswer = 1 << 20
 
-const copyBuffer = 32 << 10
+// copyBufferSize is the size of the buffer for copying an answer, in bytes.
+const copyBufferSize = 32 << 10
 
-// relayWhole passes on an answer that is no event stream. A model's answer is
-// held until it is whole, since its usage stands at its end and a caller can
-// do nothing with a part; so is one that is kept for repeats. Other answers of
-// plain services go out as they arrive.
-func (t *try) relayWhole(ctx context.Context, answer *attempt.Answer) error {
-	if !t.request.model() && t.claim == nil {
-		return t.pass(answer, answer.Body)
+// relayWhole relays an answer that is not an event stream. A model's answer is
+// buffered until it is complete, because its usage is at its end and a part is
+// of no use to a caller; so is an answer that is stored for repeats. Other
+// answers of plain services are written as they arrive.
+func (a *upstreamAttempt) relayWhole(ctx context.Context, answer *attempt.Answer) error {
+	if !a.request.isModel() && a.claim == nil {
+		return a.copyAnswer(answer, answer.Body)
 	}
-	held, err := io.ReadAll(io.LimitReader(answer.Body, maxHeld))
+	buffered, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedAnswer))
 	if err != nil {
 		return err
 	}
-	if len(held) == maxHeld {
-		return t.pass(answer, io.MultiReader(bytes.NewReader(held), answer.Body))
+	if len(buffered) == maxBufferedAnswer {
+		return a.copyAnswer(answer, io.MultiReader(bytes.NewReader(buffered), answer.Body))
 	}
-	if usage, ok := stream.ReadUsage(held); ok {
-		t.meter.settle(usage)
+	if usage, ok := stream.ReadUsage(buffered); ok {
+		a.meter.setUsage(usage)
 	}
-	t.keepAnswer(ctx, answer, held)
-	return t.pass(answer, bytes.NewReader(held))
+	a.storeAnswer(ctx, answer, buffered)
+	return a.copyAnswer(answer, bytes.NewReader(buffered))
 }
 
-// pass writes the header and copies body to the caller.
-func (t *try) pass(answer *attempt.Answer, body io.Reader) error {
-	t.writeHeader(answer)
-	flusher := http.NewResponseController(t.w)
-	buffer := make([]byte, copyBuffer)
+// copyAnswer writes the header and copies body to the caller.
+func (a *upstreamAttempt) copyAnswer(answer *attempt.Answer, body io.Reader) error {
+	a.writeHeader(answer)
+	flusher := http.NewResponseController(a.w)
+	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
-			if _, writeErr := t.w.Write(buffer[:n]); writeErr != nil {
+			if _, writeErr := a.w.Write(buffer[:n]); writeErr != nil {
 				return &stream.SinkError{Cause: writeErr}
 			}
 		}
@@ -61,16 +62,17 @@
 	}
 }
 
-// writeHeader sends the answer's header; after it the request can't be repeated.
-func (t *try) writeHeader(answer *attempt.Answer) {
+// writeHeader writes the answer's header; from then on the request can't be
+// retried.
+func (a *upstreamAttempt) writeHeader(answer *attempt.Answer) {
 	attempt.StripHopByHop(answer.Header)
-	header := t.w.Header()
+	header := a.w.Header()
 	for name, values := range answer.Header {
 		if name != attempt.RequestIDHeader && name != attempt.StreamIDHeader {
 			header[name] = values
 		}
 	}
-	t.started = true
-	t.w.WriteHeader(answer.Status)
-	t.runner.countFirstByte(t.request, t.runner.now().Sub(t.arrived))
+	a.answerStarted = true
+	a.w.WriteHeader(answer.Status)
+	a.runner.countFirstByte(a.request, a.runner.now().Sub(a.arrived))
 }
