--- a/note/apply.go
+++ b/note/apply.go
@@ -9,7 +9,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// GapError is the error of a record that does not follow the state it is applied to.
+// GapError reports a record that is not the next one after the state.
 type GapError struct {
 	Held   fleet.Version
 	Record fleet.Version
@@ -20,8 +20,9 @@
 	return fmt.Sprintf("record %d does not follow version %d", e.Record, e.Held)
 }
 
-// MismatchError is the error of a record that names an entry which the state
-// does not hold, or adds one that it does: record and state are not of one history.
+// MismatchError reports a record that adds an entry that the state already
+// holds, or changes or withdraws one that it does not. Record and state belong
+// to different histories.
 type MismatchError struct {
 	Version fleet.Version
 	Entry   Entry
@@ -29,35 +30,36 @@
 
 // Error names the record and the entry.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("record %d does not fit the state: %s", e.Version, e.Entry)
+	return fmt.Sprintf("record %d does not match the state: %s", e.Version, e.Entry)
 }
 
-// Apply returns the state after a record, which has to be the next one. The
-// state itself does not change; entries that the record does not touch are
-// shared. It fails with *GapError or *MismatchError.
+// Apply returns the state after a record, which must be the next one. It does
+// not modify the given state; the new one shares its unchanged entries. It fails
+// with *GapError or *MismatchError.
 func Apply(state *schema.FleetState, record *schema.NoteRecord) (*schema.FleetState, error) {
 	if record.GetVersion() != state.GetVersion()+1 {
 		return nil, &GapError{Held: fleet.Version(state.GetVersion()), Record: fleet.Version(record.GetVersion())}
 	}
-	a := &applier{version: fleet.Version(record.GetVersion()), next: record.GetFirstNumber()}
+	a := &applier{version: fleet.Version(record.GetVersion()), nextNumber: record.GetFirstNumber()}
 	n := record.GetNote()
 	after := &schema.FleetState{Version: record.GetVersion()}
-	after.Accounts = apply(a, AccountEntry, state.GetAccounts(), n.GetAdded().GetAccounts(), n.GetChanged().GetAccounts(), n.GetWithdrawn().GetAccounts())
-	after.Services = apply(a, ServiceEntry, state.GetServices(), n.GetAdded().GetServices(), n.GetChanged().GetServices(), n.GetWithdrawn().GetServices())
-	after.Upstreams = apply(a, UpstreamEntry, state.GetUpstreams(), n.GetAdded().GetUpstreams(), n.GetChanged().GetUpstreams(), n.GetWithdrawn().GetUpstreams())
+	after.Accounts = applyEntries(a, AccountEntry, state.GetAccounts(), n.GetAdded().GetAccounts(), n.GetChanged().GetAccounts(), n.GetWithdrawn().GetAccounts())
+	after.Services = applyEntries(a, ServiceEntry, state.GetServices(), n.GetAdded().GetServices(), n.GetChanged().GetServices(), n.GetWithdrawn().GetServices())
+	after.Upstreams = applyEntries(a, UpstreamEntry, state.GetUpstreams(), n.GetAdded().GetUpstreams(), n.GetChanged().GetUpstreams(), n.GetWithdrawn().GetUpstreams())
 	if a.err != nil {
 		return nil, a.err
 	}
-	after.LastNumber = max(state.GetLastNumber(), a.last)
+	after.LastNumber = max(state.GetLastNumber(), a.lastNumber)
 	return after, nil
 }
 
-// applier carries what the kinds of entries share: the next number and the first error.
+// applier holds the next entry number and the first error for all kinds of
+// entries.
 type applier struct {
-	version fleet.Version
-	next    uint32
-	last    uint32
-	err     error
+	version    fleet.Version
+	nextNumber uint32
+	lastNumber uint32
+	err        error
 }
 
 func (a *applier) mismatch(kind EntryKind, id string) {
@@ -66,61 +68,63 @@
 	}
 }
 
-func apply[D definition](a *applier, kind EntryKind, list, added, changed []D, gone []string) []D {
-	if len(added)+len(changed)+len(gone) == 0 {
-		return list
+// applyEntries returns the entries of one kind after a record. In replacements, a
+// nil value stands for a withdrawn entry.
+func applyEntries[D definition](a *applier, kind EntryKind, entries, added, changed []D, withdrawn []string) []D {
+	if len(added)+len(changed)+len(withdrawn) == 0 {
+		return entries
 	}
-	replaced := make(map[string]D, len(changed)+len(gone))
+	replacements := make(map[string]D, len(changed)+len(withdrawn))
 	for _, d := range changed {
-		replaced[d.GetId()] = d
+		replacements[d.GetId()] = d
 	}
-	for _, id := range gone {
-		replaced[id] = nil
+	for _, id := range withdrawn {
+		replacements[id] = nil
 	}
-	fresh := make(map[string]bool, len(added))
+	addedIDs := make(map[string]bool, len(added))
 	for _, d := range added {
-		fresh[d.GetId()] = true
+		addedIDs[d.GetId()] = true
 	}
-	result := make([]D, 0, len(list)+len(added))
-	for _, old := range list {
-		if fresh[old.GetId()] {
+	result := make([]D, 0, len(entries)+len(added))
+	for _, old := range entries {
+		if addedIDs[old.GetId()] {
 			a.mismatch(kind, old.GetId())
 		}
-		d, ok := replaced[old.GetId()]
-		delete(replaced, old.GetId())
+		d, ok := replacements[old.GetId()]
+		delete(replacements, old.GetId())
 		switch {
 		case !ok:
 			result = append(result, old)
 		case d != nil:
-			result = append(result, numbered(d, old.GetNumber()))
+			result = append(result, cloneWithNumber(d, old.GetNumber()))
 		}
 	}
-	for id := range replaced {
+	for id := range replacements {
 		a.mismatch(kind, id)
 	}
 	for _, d := range added {
-		result = append(result, numbered(d, a.next))
-		a.last = a.next
-		a.next++
+		result = append(result, cloneWithNumber(d, a.nextNumber))
+		a.lastNumber = a.nextNumber
+		a.nextNumber++
 	}
 	return result
 }
 
-// numbered returns a copy of a definition with its number.
-func numbered[D definition](d D, number uint32) D {
+// cloneWithNumber returns a copy of a definition with the given number.
+func cloneWithNumber[D definition](d D, number uint32) D {
 	switch d := any(d).(type) {
 	case *schema.Account:
-		return any(withNumber(d, func(c *schema.Account) { c.Number = number })).(D)
+		return any(cloneAndUpdate(d, func(c *schema.Account) { c.Number = number })).(D)
 	case *schema.Service:
-		return any(withNumber(d, func(c *schema.Service) { c.Number = number })).(D)
+		return any(cloneAndUpdate(d, func(c *schema.Service) { c.Number = number })).(D)
 	case *schema.Upstream:
-		return any(withNumber(d, func(c *schema.Upstream) { c.Number = number })).(D)
+		return any(cloneAndUpdate(d, func(c *schema.Upstream) { c.Number = number })).(D)
 	}
 	return d
 }
 
-func withNumber[M proto.Message](m M, set func(M)) M {
-	copied := proto.CloneOf(m)
-	set(copied)
-	return copied
+func cloneAndUpdate[M proto.Message](m M, update func(M)) M {
+	clone := proto.CloneOf(m)
+	update(clone)
+	return clone
 }
--- a/note/apply_test.go
+++ b/note/apply_test.go
@@ -10,15 +10,15 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-const base = `{"summary": "base", "added": {
+const baseNote = `{"summary": "base", "added": {
 	"accounts": [{"id": "a", "key-sha256": ["KEY1"]}, {"id": "b", "key-sha256": ["KEY2"]}],
 	"services": [{"id": "s", "kind": "plain"}],
 	"upstreams": [{"id": "u", "service": "s", "address": "h:1", "data-center": "d", "slots": 1}],
 }}`
 
-func TestApplyLeavesTheEarlierStateAndSharesWhatIsUntouched(t *testing.T) {
+func TestApplyCopiesOnlyChangedEntries(t *testing.T) {
 	t.Parallel()
-	before := accept(t, &schema.FleetState{}, "base", []byte(base))
+	before := accept(t, &schema.FleetState{}, "base", []byte(baseNote))
 	kept := proto.CloneOf(before)
 	after := accept(t, before, "change", []byte(`{"summary": "x", "changed": {"accounts": [{"id": "a", "weight": 5, "key-sha256": ["KEY1"]}]}}`))
 	require.True(t, proto.Equal(kept, before))
@@ -28,11 +28,11 @@
 	require.Same(t, before.GetUpstreams()[0], after.GetUpstreams()[0])
 }
 
-// A number that went to a second account would have a peer that is a version
-// behind charge the first one's service to it.
+// If a number were reused, a peer that is one version behind would charge the
+// first account's service to the second.
 func TestNumbersAreNeverReused(t *testing.T) {
 	t.Parallel()
-	state := accept(t, &schema.FleetState{}, "base", []byte(base))
+	state := accept(t, &schema.FleetState{}, "base", []byte(baseNote))
 	require.Equal(t, uint32(4), state.GetLastNumber())
 	state = accept(t, state, "out", []byte(`{"summary": "x", "withdrawn": {"upstreams": ["u"]}}`))
 	state = accept(t, state, "in", []byte(`{"summary": "x", "added": {
@@ -40,9 +40,9 @@
 	require.Equal(t, uint32(5), state.GetUpstreams()[0].GetNumber())
 }
 
-func TestApplyRefusesWhatDoesNotFollow(t *testing.T) {
+func TestApplyRejectsMismatchedRecords(t *testing.T) {
 	t.Parallel()
-	state := accept(t, &schema.FleetState{}, "base", []byte(base))
+	state := accept(t, &schema.FleetState{}, "base", []byte(baseNote))
 	_, err := note.Apply(state, &schema.NoteRecord{Version: 3, Note: &schema.ReleaseNote{}})
 	var gap *note.GapError
 	require.ErrorAs(t, err, &gap)
--- a/note/bench_test.go
+++ b/note/bench_test.go
@@ -10,8 +10,8 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// large returns a state of the users' size in two years.
-func large(b *testing.B) *schema.FleetState {
+// largeState returns a state of the size expected in two years.
+func largeState(b *testing.B) *schema.FleetState {
 	b.Helper()
 	n := &schema.ReleaseNote{Summary: "all", Added: &schema.Entries{Services: []*schema.Service{{Id: "s", Kind: "model"}}}}
 	for i := range 36_000 {
@@ -28,10 +28,10 @@
 	return state
 }
 
-// BenchmarkNoteInForce is what one accepted note costs each router: a fifth of
-// one a second at 17,000 a day.
-func BenchmarkNoteInForce(b *testing.B) {
-	state := large(b)
+// BenchmarkApplyNote measures what one accepted note costs each router. At
+// 17,000 notes a day there is one every five seconds.
+func BenchmarkApplyNote(b *testing.B) {
+	state := largeState(b)
 	record := &schema.NoteRecord{Version: 2, FirstNumber: state.GetLastNumber() + 1, Note: addAccount("new")}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -41,9 +41,10 @@
 	}
 }
 
-// BenchmarkCheck is what checking one note costs the router that publishes it.
+// BenchmarkCheck measures what checking one note costs the router that publishes
+// it.
 func BenchmarkCheck(b *testing.B) {
-	state := large(b)
+	state := largeState(b)
 	for b.Loop() {
 		require.NoError(b, note.Check(state, addAccount("new")))
 	}
--- a/note/check.go
+++ b/note/check.go
@@ -9,150 +9,157 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Document is a release note as an operator wrote it.
+// Document is a release note with the positions of its fields in the operator's
+// file.
 type Document = document.Document[*schema.ReleaseNote]
 
-// Check returns nil when the note can be applied to the state, else
-// *document.FaultsError with everything that is wrong. The faults have paths
-// but no positions. It takes for granted that the note was read as a document.
+// Check returns nil when the note can be applied to the state, and otherwise
+// *document.FaultsError with all faults. The faults have paths but no positions.
+// The note must have been read as a document.
 func Check(state *schema.FleetState, n *schema.ReleaseNote) error {
 	d := &Document{Message: n, File: "release note"}
 	return CheckDocument(state, d)
 }
 
-// CheckDocument is Check with positions. It returns the faults that reading
-// the document found too.
+// CheckDocument is Check with positions. It also returns the faults found while
+// parsing the document.
 func CheckDocument(state *schema.FleetState, d *Document) error {
-	c := &checker{d: d, before: index(state), after: index(preview(state, d.Message))}
-	c.base(state.GetVersion())
-	c.mentions()
-	c.references()
-	c.withdrawnServices()
-	c.kinds()
-	c.keys()
-	c.addresses()
+	c := &checker{doc: d, before: newStateIndex(state), after: newStateIndex(previewState(state, d.Message))}
+	c.checkBaseVersion(state.GetVersion())
+	c.checkEntries()
+	c.checkReferences()
+	c.checkWithdrawnServices()
+	c.checkServiceKinds()
+	c.checkKeys()
+	c.checkAddresses()
 	return d.Err()
 }
 
-// preview returns the state after the note, without regard to faults and numbers.
-func preview(state *schema.FleetState, n *schema.ReleaseNote) *schema.FleetState {
-	gone := map[Entry]bool{}
-	for _, m := range touched(n) {
-		gone[m.Entry] = true
+// previewState returns the state after the note, ignoring faults and entry
+// numbers.
+func previewState(state *schema.FleetState, n *schema.ReleaseNote) *schema.FleetState {
+	modified := map[Entry]bool{}
+	for _, m := range modifiedEntries(n) {
+		modified[m.Entry] = true
 	}
 	after := &schema.FleetState{}
-	after.Accounts = replace(state.GetAccounts(), AccountEntry, gone, n.GetChanged().GetAccounts(), n.GetAdded().GetAccounts())
-	after.Services = replace(state.GetServices(), ServiceEntry, gone, n.GetChanged().GetServices(), n.GetAdded().GetServices())
-	after.Upstreams = replace(state.GetUpstreams(), UpstreamEntry, gone, n.GetChanged().GetUpstreams(), n.GetAdded().GetUpstreams())
+	after.Accounts = replaceEntries(state.GetAccounts(), AccountEntry, modified, n.GetChanged().GetAccounts(), n.GetAdded().GetAccounts())
+	after.Services = replaceEntries(state.GetServices(), ServiceEntry, modified, n.GetChanged().GetServices(), n.GetAdded().GetServices())
+	after.Upstreams = replaceEntries(state.GetUpstreams(), UpstreamEntry, modified, n.GetChanged().GetUpstreams(), n.GetAdded().GetUpstreams())
 	return after
 }
 
-func replace[D definition](list []D, kind EntryKind, gone map[Entry]bool, changed, added []D) []D {
-	kept := make([]D, 0, len(list)+len(added))
-	for _, d := range list {
-		if !gone[Entry{kind, d.GetId()}] {
+// replaceEntries returns the entries without the modified ones, followed by those
+// that a note changes and adds.
+func replaceEntries[D definition](entries []D, kind EntryKind, modified map[Entry]bool, changed, added []D) []D {
+	kept := make([]D, 0, len(entries)+len(added))
+	for _, d := range entries {
+		if !modified[Entry{kind, d.GetId()}] {
 			kept = append(kept, d)
 		}
 	}
 	return append(append(kept, changed...), added...)
 }
 
-// stateIndex finds entries of a state by what has to be unique or is referred to.
+// stateIndex indexes a state by the values that must be unique or that entries
+// refer to.
 type stateIndex struct {
-	entries map[Entry]bool
-	kinds   map[string]string
-	// users lists which entries refer to a service.
-	users     map[string][]Entry
-	keys      map[string][]string
-	addresses map[string][]string
+	entries      map[Entry]bool
+	serviceKinds map[string]string
+	// referrers maps a service to the entries that refer to it.
+	referrers map[string][]Entry
+	// keyOwners maps the hash of a key to account ids.
+	keyOwners map[string][]string
+	// addressOwners maps an address to upstream ids.
+	addressOwners map[string][]string
 }
 
-func index(state *schema.FleetState) *stateIndex {
-	x := &stateIndex{
-		entries: make(map[Entry]bool, len(state.GetAccounts())), kinds: map[string]string{}, users: map[string][]Entry{},
-		keys: make(map[string][]string, len(state.GetAccounts())), addresses: map[string][]string{},
+func newStateIndex(state *schema.FleetState) *stateIndex {
+	index := &stateIndex{
+		entries: make(map[Entry]bool, len(state.GetAccounts())), serviceKinds: map[string]string{}, referrers: map[string][]Entry{},
+		keyOwners: make(map[string][]string, len(state.GetAccounts())), addressOwners: map[string][]string{},
 	}
 	for _, a := range state.GetAccounts() {
 		entry := Entry{AccountEntry, a.GetId()}
-		x.entries[entry] = true
+		index.entries[entry] = true
 		for _, service := range a.GetServices() {
-			x.users[service] = append(x.users[service], entry)
+			index.referrers[service] = append(index.referrers[service], entry)
 		}
 		for _, key := range a.GetKeySha256() {
-			x.keys[key] = append(x.keys[key], a.GetId())
+			index.keyOwners[key] = append(index.keyOwners[key], a.GetId())
 		}
 	}
 	for _, s := range state.GetServices() {
-		x.entries[Entry{ServiceEntry, s.GetId()}] = true
-		x.kinds[s.GetId()] = s.GetKind()
+		index.entries[Entry{ServiceEntry, s.GetId()}] = true
+		index.serviceKinds[s.GetId()] = s.GetKind()
 	}
 	for _, u := range state.GetUpstreams() {
 		entry := Entry{UpstreamEntry, u.GetId()}
-		x.entries[entry] = true
-		x.users[u.GetService()] = append(x.users[u.GetService()], entry)
-		x.addresses[u.GetAddress()] = append(x.addresses[u.GetAddress()], u.GetId())
+		index.entries[entry] = true
+		index.referrers[u.GetService()] = append(index.referrers[u.GetService()], entry)
+		index.addressOwners[u.GetAddress()] = append(index.addressOwners[u.GetAddress()], u.GetId())
 	}
-	return x
+	return index
 }
 
 type checker struct {
-	d             *Document
+	doc           *Document
 	before, after *stateIndex
-	suggested     int
+	suggestions   int
 }
 
-// maxSuggested bounds how many faults get a suggestion. Each compares an id
-// with those of up to 36,000 accounts, about 20 ms, so that a note with
-// thousands of wrong ids would keep a core of the router busy for minutes.
-const maxSuggested = 10
+// maxSuggestions bounds how many faults get a suggestion. Each compares an id
+// with those of up to 36,000 accounts, about 20 ms; a note with thousands of
+// wrong ids would otherwise keep a core of the router busy for minutes.
+const maxSuggestions = 10
 
-func (c *checker) base(version uint64) {
-	n := c.d.Message
+func (c *checker) checkBaseVersion(version uint64) {
+	n := c.doc.Message
 	if n.GetBasedOn() > version {
-		c.d.Add("based-on", document.OutOfBounds, fmt.Sprint(n.GetBasedOn()), fmt.Sprintf("a version that exists; the newest is %d", version))
+		c.doc.Add("based-on", document.OutOfBounds, fmt.Sprint(n.GetBasedOn()), fmt.Sprintf("a version that exists; the newest is %d", version))
 	}
-	if len(touched(n)) == 0 {
-		c.d.Add("", document.Missing, "no entry in added, changed or withdrawn", "at least one")
+	if len(modifiedEntries(n)) == 0 {
+		c.doc.Add("", document.Missing, "no entry in added, changed or withdrawn", "at least one")
 	}
 }
 
-// mentions checks that each entry is named once, and that added ones are new
-// and the others exist.
-func (c *checker) mentions() {
-	first := map[Entry]string{}
-	for _, m := range touched(c.d.Message) {
+// checkEntries checks that each entry occurs once, that added entries are new,
+// and that changed and withdrawn ones exist.
+func (c *checker) checkEntries() {
+	firstPaths := map[Entry]string{}
+	for _, m := range modifiedEntries(c.doc.Message) {
 		if m.ID == "" {
-			continue // Missing, which reading the document reported.
+			continue // Parsing the document has reported the missing id.
 		}
-		if path, ok := first[m.Entry]; ok {
-			c.d.Add(m.path, document.Contradiction, strconv.Quote(m.ID), "each "+string(m.Kind)+" once; this one stands at "+path+" too")
+		if path, ok := firstPaths[m.Entry]; ok {
+			c.doc.Add(m.path, document.Contradiction, strconv.Quote(m.ID), "each "+string(m.Kind)+" once; this one is also at "+path)
 			continue
 		}
-		first[m.Entry] = m.path
+		firstPaths[m.Entry] = m.path
 		exists := c.before.entries[m.Entry]
 		added := strings.HasPrefix(m.path, "added.")
 		switch {
 		case added && exists:
-			c.d.Add(m.path, document.AlreadyExists, strconv.Quote(m.ID), "an id that no "+string(m.Kind)+" has; use changed to change one")
+			c.doc.Add(m.path, document.AlreadyExists, strconv.Quote(m.ID), "an id that no "+string(m.Kind)+" has; use changed to change one")
 		case !added && !exists:
-			c.d.Add(m.path, document.NotFound, strconv.Quote(m.ID), "the id of "+article(m.Kind)+" in force"+c.suggest(m.Entry))
+			c.doc.Add(m.path, document.NotFound, strconv.Quote(m.ID), "the id of "+withArticle(m.Kind)+" in force"+c.suggest(m.Entry))
 		}
 	}
 }
 
-func article(kind EntryKind) string {
+func withArticle(kind EntryKind) string {
 	if kind == ServiceEntry {
 		return "a service"
 	}
 	return "an " + string(kind)
 }
 
-// suggest returns a hint with an existing id that differs by little.
+// suggest returns a hint with the existing id that is most similar, or nothing.
 func (c *checker) suggest(e Entry) string {
-	if c.suggested == maxSuggested {
+	if c.suggestions == maxSuggestions {
 		return ""
 	}
-	c.suggested++
+	c.suggestions++
 	var ids []string
 	for other := range c.before.entries {
 		if other.Kind == e.Kind {
@@ -165,86 +172,88 @@
 	return ""
 }
 
-func (c *checker) references() {
-	for _, m := range references(c.d.Message) {
+func (c *checker) checkReferences() {
+	for _, m := range serviceReferences(c.doc.Message) {
 		if m.ID != "" && !c.after.entries[m.Entry] {
-			c.d.Add(m.path, document.NotFound, strconv.Quote(m.ID), "the id of a service in force or added here"+c.suggest(m.Entry))
+			c.doc.Add(m.path, document.NotFound, strconv.Quote(m.ID), "the id of a service in force or added here"+c.suggest(m.Entry))
 		}
 	}
 }
 
-// maxNamed bounds how many entries one fault names.
-const maxNamed = 5
+// maxListedEntries bounds how many entries one fault lists.
+const maxListedEntries = 5
 
-func (c *checker) withdrawnServices() {
-	for i, service := range c.d.Message.GetWithdrawn().GetServices() {
-		users := c.after.users[service]
-		if len(users) == 0 {
+func (c *checker) checkWithdrawnServices() {
+	for i, service := range c.doc.Message.GetWithdrawn().GetServices() {
+		referrers := c.after.referrers[service]
+		if len(referrers) == 0 {
 			continue
 		}
 		var names []string
-		for _, user := range users[:min(len(users), maxNamed)] {
-			names = append(names, user.String())
+		for _, referrer := range referrers[:min(len(referrers), maxListedEntries)] {
+			names = append(names, referrer.String())
 		}
 		found := strconv.Quote(service) + ", which " + strings.Join(names, ", ")
-		if more := len(users) - len(names); more > 0 {
+		if more := len(referrers) - len(names); more > 0 {
 			found += fmt.Sprintf(" and %d more", more)
 		}
-		c.d.Add(at("withdrawn.services", i), document.StillInUse, found+" refer to", "a service that nothing refers to")
+		c.doc.Add(elementPath("withdrawn.services", i), document.StillInUse, found+" refer to", "a service that nothing refers to")
 	}
 }
 
-// kinds refuses to turn a model into a plain service or back: its upstreams
-// would go on speaking the other protocol.
-func (c *checker) kinds() {
-	for i, s := range c.d.Message.GetChanged().GetServices() {
-		if kind, ok := c.before.kinds[s.GetId()]; ok && kind != s.GetKind() {
-			c.d.Add(at("changed.services", i)+".kind", document.NotAllowed, strconv.Quote(s.GetKind()), "the service's kind, "+kind+", which does not change")
+// checkServiceKinds rejects changing a model into a plain service or back: its
+// upstreams would go on speaking the other protocol.
+func (c *checker) checkServiceKinds() {
+	for i, s := range c.doc.Message.GetChanged().GetServices() {
+		if kind, ok := c.before.serviceKinds[s.GetId()]; ok && kind != s.GetKind() {
+			c.doc.Add(elementPath("changed.services", i)+".kind", document.NotAllowed, strconv.Quote(s.GetKind()), "the service's kind, "+kind+", which does not change")
 		}
 	}
 }
 
-// keys refuses a key that two accounts share: a caller who presents it would
-// be taken for either.
-func (c *checker) keys() {
-	c.accounts(func(path string, a *schema.Account) {
+// checkKeys rejects a key of two accounts: a caller presenting it could be taken
+// for either.
+func (c *checker) checkKeys() {
+	c.forEachAccount(func(path string, a *schema.Account) {
 		for j, key := range a.GetKeySha256() {
-			owners := c.after.keys[key]
+			owners := c.after.keyOwners[key]
 			if len(owners) < 2 || key == "" {
 				continue
 			}
-			c.d.Add(at(path+".key-sha256", j), document.Contradiction, "a key of "+others(owners, a.GetId()), "a key that is listed once")
+			c.doc.Add(elementPath(path+".key-sha256", j), document.Contradiction, "a key of "+otherOwners(owners, a.GetId()), "a key that is listed once")
 		}
 	})
 }
 
-func (c *checker) accounts(each func(path string, a *schema.Account)) {
-	for i, a := range c.d.Message.GetAdded().GetAccounts() {
-		each(at("added.accounts", i), a)
+func (c *checker) forEachAccount(do func(path string, a *schema.Account)) {
+	for i, a := range c.doc.Message.GetAdded().GetAccounts() {
+		do(elementPath("added.accounts", i), a)
 	}
-	for i, a := range c.d.Message.GetChanged().GetAccounts() {
-		each(at("changed.accounts", i), a)
+	for i, a := range c.doc.Message.GetChanged().GetAccounts() {
+		do(elementPath("changed.accounts", i), a)
 	}
 }
 
-// addresses refuses two upstreams at one address: each would be sent its full
-// number of requests, so that the one behind them gets twice what it takes.
-func (c *checker) addresses() {
-	check := func(part string, upstreams []*schema.Upstream) {
+// checkAddresses rejects two upstreams with one address: each would be sent its
+// full number of requests, so that the server behind them gets twice what it can
+// take.
+func (c *checker) checkAddresses() {
+	check := func(path string, upstreams []*schema.Upstream) {
 		for i, u := range upstreams {
-			owners := c.after.addresses[u.GetAddress()]
+			owners := c.after.addressOwners[u.GetAddress()]
 			if len(owners) < 2 || u.GetAddress() == "" {
 				continue
 			}
-			c.d.Add(at(part, i)+".address", document.Contradiction, "the address of "+others(owners, u.GetId()), "an address that no other upstream has")
+			c.doc.Add(elementPath(path, i)+".address", document.Contradiction, "the address of "+otherOwners(owners, u.GetId()), "an address that no other upstream has")
 		}
 	}
-	check("added.upstreams", c.d.Message.GetAdded().GetUpstreams())
-	check("changed.upstreams", c.d.Message.GetChanged().GetUpstreams())
+	check("added.upstreams", c.doc.Message.GetAdded().GetUpstreams())
+	check("changed.upstreams", c.doc.Message.GetChanged().GetUpstreams())
 }
 
-// others returns the owners except one mention of self.
-func others(owners []string, self string) string {
+// otherOwners returns at most maxListedEntries owners, leaving out one
+// occurrence of self.
+func otherOwners(owners []string, self string) string {
 	var names []string
 	skipped := false
 	for _, owner := range owners {
@@ -252,12 +261,12 @@
 			skipped = true
 			continue
 		}
-		if len(names) < maxNamed {
+		if len(names) < maxListedEntries {
 			names = append(names, owner)
 		}
 	}
 	return strings.Join(names, ", ")
 }
 
-// at returns the path of an element.
-func at(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
+// elementPath returns the path of the element of a list.
+func elementPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
--- a/note/check_test.go
+++ b/note/check_test.go
@@ -17,25 +17,25 @@
 
 var update = flag.Bool("update", false, "write the faults that are found into the case files")
 
-// hashes stand in the case files for what nobody wants to read.
-var hashes = strings.NewReplacer(
+// keyPlaceholders replaces the placeholders of the case files by key hashes.
+var keyPlaceholders = strings.NewReplacer(
 	"KEY1", note.HashKey("1"), "KEY2", note.HashKey("2"), "KEY3", note.HashKey("3"),
 )
 
-// accept returns the state after a note in the form of a document, which has to be sound.
+// accept returns the state after a note, given as a document that must be valid.
 func accept(t *testing.T, state *schema.FleetState, file string, data []byte) *schema.FleetState {
 	t.Helper()
-	d := document.Parse[*schema.ReleaseNote](file, []byte(hashes.Replace(string(data))))
-	require.NoError(t, note.CheckDocument(state, d))
+	doc := document.Parse[*schema.ReleaseNote](file, []byte(keyPlaceholders.Replace(string(data))))
+	require.NoError(t, note.CheckDocument(state, doc))
 	after, err := note.Apply(state, &schema.NoteRecord{
-		Version: state.GetVersion() + 1, Note: d.Message, FirstNumber: state.GetLastNumber() + 1,
+		Version: state.GetVersion() + 1, Note: doc.Message, FirstNumber: state.GetLastNumber() + 1,
 	})
 	require.NoError(t, err)
 	return after
 }
 
-// Each case file holds the note that made the state, a second note, and the
-// faults that are expected of it.
+// Each case file holds the note that creates the state, the note to check, and
+// the expected faults.
 func TestCheckCases(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("testdata/check/*.txtar")
@@ -48,7 +48,7 @@
 			require.NoError(t, err)
 			require.Len(t, archive.Files, 3)
 			state := accept(t, &schema.FleetState{}, "state", archive.Files[0].Data)
-			text := hashes.Replace(string(archive.Files[1].Data))
+			text := keyPlaceholders.Replace(string(archive.Files[1].Data))
 			d := document.Parse[*schema.ReleaseNote]("note.jsonc", []byte(text))
 			got := ""
 			if err := note.CheckDocument(state, d); err != nil {
--- a/note/clash.go
+++ b/note/clash.go
@@ -8,11 +8,11 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Clash is an entry that a note has in common with one that was accepted since
+// Clash is an entry over which a note conflicts with one that was accepted after
 // the version that the note is based on.
 type Clash struct {
 	Entry Entry
-	// Version and Author are those of the accepted note.
+	// Version, Author and Summary are those of the accepted note.
 	Version fleet.Version
 	Author  string
 	Summary string
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("%s was touched by %s in version %d (%s)", c.Entry, c.Author, c.Version, c.Summary)
 }
 
-// ClashError is the error of a note that clashes with accepted ones. Nothing
-// of it was accepted.
+// ClashError reports a note that clashes with accepted ones. No part of it was
+// accepted.
 type ClashError struct {
 	BasedOn fleet.Version
 	Clashes []Clash
@@ -39,15 +39,15 @@
 	return fmt.Sprintf("not accepted: since version %d %s", e.BasedOn, strings.Join(lines, "; "))
 }
 
-// Clashes returns the entries that a note has in common with accepted records:
-// those that both touch, and services that one withdraws and the other refers to.
+// Clashes returns the conflicts between a note and accepted records: entries
+// that both modify, and services that one withdraws and the other refers to.
 func Clashes(n *schema.ReleaseNote, records []*schema.NoteRecord) []Clash {
-	touches, withdraws, refers := set(touched(n)), set(withdrawn(n)), set(references(n))
+	modified, withdrawn, referenced := entrySet(modifiedEntries(n)), entrySet(withdrawnEntries(n)), entrySet(serviceReferences(n))
 	var clashes []Clash
 	for _, record := range records {
 		seen := map[Entry]bool{}
-		add := func(mentions []mention, ours map[Entry]bool) {
-			for _, m := range mentions {
+		addCommon := func(entries []locatedEntry, ours map[Entry]bool) {
+			for _, m := range entries {
 				if !ours[m.Entry] || seen[m.Entry] {
 					continue
 				}
@@ -58,17 +58,17 @@
 				})
 			}
 		}
-		add(touched(record.GetNote()), touches)
-		add(withdrawn(record.GetNote()), refers)
-		add(references(record.GetNote()), withdraws)
+		addCommon(modifiedEntries(record.GetNote()), modified)
+		addCommon(withdrawnEntries(record.GetNote()), referenced)
+		addCommon(serviceReferences(record.GetNote()), withdrawn)
 	}
 	return clashes
 }
 
-func set(mentions []mention) map[Entry]bool {
-	entries := make(map[Entry]bool, len(mentions))
-	for _, m := range mentions {
-		entries[m.Entry] = true
+func entrySet(entries []locatedEntry) map[Entry]bool {
+	set := make(map[Entry]bool, len(entries))
+	for _, m := range entries {
+		set[m.Entry] = true
 	}
-	return entries
+	return set
 }
--- a/note/entry.go
+++ b/note/entry.go
@@ -4,7 +4,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// EntryKind tells accounts, services and upstreams apart.
+// EntryKind is the kind of an entry: account, service or upstream.
 type EntryKind string
 
 // The kinds of entries.
@@ -14,7 +14,7 @@
 	UpstreamEntry EntryKind = "upstream"
 )
 
-// Entry names one entry of the fleet state.
+// Entry identifies one entry of the fleet state.
 type Entry struct {
 	Kind EntryKind
 	ID   string
@@ -23,45 +23,45 @@
 // String returns the kind and the id.
 func (e Entry) String() string { return string(e.Kind) + " " + e.ID }
 
-// definition is what the entries of all kinds have in common.
+// definition is the constraint for the schema types of entries.
 type definition interface {
 	*schema.Account | *schema.Service | *schema.Upstream
 	GetId() string
 	GetNumber() uint32
 }
 
-// touched returns the entries that a note adds, changes or withdraws, in the
-// order of the note, and for each its path there.
-func touched(n *schema.ReleaseNote) []mention {
-	var all []mention
-	all = append(all, defined("added", n.GetAdded())...)
-	all = append(all, defined("changed", n.GetChanged())...)
-	return append(all, withdrawn(n)...)
+// modifiedEntries returns the entries that a note adds, changes or withdraws,
+// with their paths, in the order of the note.
+func modifiedEntries(n *schema.ReleaseNote) []locatedEntry {
+	var all []locatedEntry
+	all = append(all, definedEntries("added", n.GetAdded())...)
+	all = append(all, definedEntries("changed", n.GetChanged())...)
+	return append(all, withdrawnEntries(n)...)
 }
 
-// mention is an entry at a place of a note.
-type mention struct {
+// locatedEntry is an entry with its path in a note.
+type locatedEntry struct {
 	Entry
 	path string
 }
 
-func defined(part string, entries *schema.Entries) []mention {
-	var all []mention
-	all = append(all, mentions(part+".accounts", AccountEntry, entries.GetAccounts())...)
-	all = append(all, mentions(part+".services", ServiceEntry, entries.GetServices())...)
-	return append(all, mentions(part+".upstreams", UpstreamEntry, entries.GetUpstreams())...)
+func definedEntries(part string, entries *schema.Entries) []locatedEntry {
+	var all []locatedEntry
+	all = append(all, locateEntries(part+".accounts", AccountEntry, entries.GetAccounts())...)
+	all = append(all, locateEntries(part+".services", ServiceEntry, entries.GetServices())...)
+	return append(all, locateEntries(part+".upstreams", UpstreamEntry, entries.GetUpstreams())...)
 }
 
-func mentions[D definition](path string, kind EntryKind, list []D) []mention {
-	all := make([]mention, 0, len(list))
-	for i, d := range list {
-		all = append(all, mention{Entry{kind, d.GetId()}, at(path, i) + ".id"})
+func locateEntries[D definition](path string, kind EntryKind, definitions []D) []locatedEntry {
+	all := make([]locatedEntry, 0, len(definitions))
+	for i, d := range definitions {
+		all = append(all, locatedEntry{Entry{kind, d.GetId()}, elementPath(path, i) + ".id"})
 	}
 	return all
 }
 
-func withdrawn(n *schema.ReleaseNote) []mention {
-	var all []mention
+func withdrawnEntries(n *schema.ReleaseNote) []locatedEntry {
+	var all []locatedEntry
 	for _, group := range []struct {
 		kind  EntryKind
 		path  string
@@ -72,28 +72,29 @@
 		{UpstreamEntry, "withdrawn.upstreams", n.GetWithdrawn().GetUpstreams()},
 	} {
 		for i, name := range group.names {
-			all = append(all, mention{Entry{group.kind, name}, at(group.path, i)})
+			all = append(all, locatedEntry{Entry{group.kind, name}, elementPath(group.path, i)})
 		}
 	}
 	return all
 }
 
-// references returns the services that the definitions of a note refer to.
-func references(n *schema.ReleaseNote) []mention {
-	var all []mention
+// serviceReferences returns the services that the accounts and upstreams of a
+// note refer to, with the paths of the references.
+func serviceReferences(n *schema.ReleaseNote) []locatedEntry {
+	var all []locatedEntry
 	for _, part := range []struct {
 		name    string
 		entries *schema.Entries
 	}{{"added", n.GetAdded()}, {"changed", n.GetChanged()}} {
 		for i, a := range part.entries.GetAccounts() {
 			for j, service := range a.GetServices() {
-				path := at(at(part.name+".accounts", i)+".services", j)
-				all = append(all, mention{Entry{ServiceEntry, service}, path})
+				path := elementPath(elementPath(part.name+".accounts", i)+".services", j)
+				all = append(all, locatedEntry{Entry{ServiceEntry, service}, path})
 			}
 		}
 		for i, u := range part.entries.GetUpstreams() {
-			path := at(part.name+".upstreams", i) + ".service"
-			all = append(all, mention{Entry{ServiceEntry, u.GetService()}, path})
+			path := elementPath(part.name+".upstreams", i) + ".service"
+			all = append(all, locatedEntry{Entry{ServiceEntry, u.GetService()}, path})
 		}
 	}
 	return all
--- a/note/fleet_test.go
+++ b/note/fleet_test.go
@@ -15,77 +15,79 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// routers are some routers around one platform, without a network between them.
-type routers struct {
+// testFleet is a set of routers that share one platform, without a network
+// between them.
+type testFleet struct {
 	clock    *timer.Fake
 	platform *memory.Platform
-	all      []*router
-	// quiet routers reach no peer and are reached by none.
-	quiet map[fleet.RouterID]bool
+	routers  []*testRouter
+	// isolated routers neither reach peers nor are reached by them.
+	isolated map[fleet.RouterID]bool
 }
 
-type router struct {
+type testRouter struct {
 	id        fleet.RouterID
-	table     *racing
+	table     *interceptedTable
 	store     *note.Store
 	holder    *note.Holder
 	publisher *note.Publisher
 }
 
-func newRouters(n int) *routers {
+func newTestFleet(n int) *testFleet {
 	clock := timer.NewFake(time.Unix(1_000_000, 0))
-	r := &routers{clock: clock, platform: memory.New(clock), quiet: map[fleet.RouterID]bool{}}
+	r := &testFleet{clock: clock, platform: memory.New(clock), isolated: map[fleet.RouterID]bool{}}
 	for i := range n {
-		r.all = append(r.all, &router{id: fleet.RouterID(fmt.Sprintf("r%d", i))})
+		r.routers = append(r.routers, &testRouter{id: fleet.RouterID(fmt.Sprintf("r%d", i))})
 		r.start(i)
 	}
 	return r
 }
 
-// start starts a router that remembers nothing.
-func (r *routers) start(i int) {
-	one := r.all[i]
-	one.table = &racing{Table: r.platform}
-	one.store = note.NewStore(one.table, r.platform)
-	one.holder = note.NewHolder(note.HolderOptions{
-		Self: one.id, Store: one.store, Peers: peers{r, one.id}, Timer: r.clock,
-		Announce: func(to []fleet.RouterID, version fleet.Version) { r.announce(one.id, to, version) },
+// start starts a router without any state.
+func (r *testFleet) start(i int) {
+	router := r.routers[i]
+	router.table = &interceptedTable{Table: r.platform}
+	router.store = note.NewStore(router.table, r.platform)
+	router.holder = note.NewHolder(note.HolderOptions{
+		Self: router.id, Store: router.store, Peers: fleetPeers{r, router.id}, Timer: r.clock,
+		Announce: func(to []fleet.RouterID, version fleet.Version) { r.announce(router.id, to, version) },
 		Log:      slog.New(slog.DiscardHandler),
 	})
-	one.publisher = note.NewPublisher(note.PublisherOptions{
-		Store: one.store, Holder: one.holder, Timer: advancing{r.clock}, SnapshotEvery: 4,
+	router.publisher = note.NewPublisher(note.PublisherOptions{
+		Store: router.store, Holder: router.holder, Timer: advancingClock{r.clock}, SnapshotInterval: 4,
 	})
 }
 
-func (r *routers) announce(from fleet.RouterID, to []fleet.RouterID, version fleet.Version) {
-	for _, one := range r.all {
+func (r *testFleet) announce(from fleet.RouterID, to []fleet.RouterID, version fleet.Version) {
+	for _, router := range r.routers {
 		for _, id := range to {
-			if one.id == id && !r.quiet[from] && !r.quiet[id] {
-				one.holder.Heard(from, version)
+			if router.id == id && !r.isolated[from] && !r.isolated[id] {
+				router.holder.Heard(from, version)
 			}
 		}
 	}
 }
 
-// racing lets something happen between a publisher's reads and one of its
-// commits. It reads row by row, so that one row of a read may be older than another.
-type racing struct {
+// interceptedTable runs a function before one of the commits, between a
+// publisher's reads and its write. It reads row by row, so that one row of a
+// read may be older than another.
+type interceptedTable struct {
 	store.Table
-	before func()
-	// skip is how many commits come first.
-	skip int
+	beforeCommit func()
+	// skipCommits is the number of commits to let through first.
+	skipCommits int
 }
 
-func (t *racing) Commit(ctx context.Context, txn store.Txn) error {
-	if before := t.before; before != nil && t.skip == 0 {
-		t.before = nil
-		before()
+func (t *interceptedTable) Commit(ctx context.Context, txn store.Txn) error {
+	if beforeCommit := t.beforeCommit; beforeCommit != nil && t.skipCommits == 0 {
+		t.beforeCommit = nil
+		beforeCommit()
 	}
-	t.skip = max(0, t.skip-1)
+	t.skipCommits = max(0, t.skipCommits-1)
 	return t.Table.Commit(ctx, txn)
 }
 
-func (t *racing) Read(ctx context.Context, keys ...store.Key) ([]store.Row, error) {
+func (t *interceptedTable) Read(ctx context.Context, keys ...store.Key) ([]store.Row, error) {
 	var rows []store.Row
 	for _, key := range keys {
 		row, err := t.Table.Read(ctx, key)
@@ -97,44 +99,45 @@
 	return rows, nil
 }
 
-// advancing is a clock on which waiting moves the time.
-type advancing struct{ *timer.Fake }
+// advancingClock is a clock that advances by the time that is waited.
+type advancingClock struct{ *timer.Fake }
 
-func (a advancing) After(delay time.Duration, fn func(time.Time)) timer.Subscription {
+func (a advancingClock) After(delay time.Duration, fn func(time.Time)) timer.Subscription {
 	a.Advance(delay)
 	fn(a.Now())
 	return a.Fake.After(0, func(time.Time) {})
 }
 
-// peers calls the methods of the other routers directly, through JSON.
-type peers struct {
-	routers *routers
-	self    fleet.RouterID
+// fleetPeers calls the methods of other routers directly, with JSON-encoded
+// parameters and results.
+type fleetPeers struct {
+	fleet *testFleet
+	self  fleet.RouterID
 }
 
-func (p peers) Routers() []fleet.RouterID {
+func (p fleetPeers) Routers() []fleet.RouterID {
 	var ids []fleet.RouterID
-	for _, one := range p.routers.all {
-		if one.id != p.self {
-			ids = append(ids, one.id)
+	for _, router := range p.fleet.routers {
+		if router.id != p.self {
+			ids = append(ids, router.id)
 		}
 	}
 	return ids
 }
 
-func (p peers) Call(ctx context.Context, to fleet.RouterID, method string, params, result any) error {
-	if p.routers.quiet[p.self] || p.routers.quiet[to] {
-		return errCutOff
+func (p fleetPeers) Call(ctx context.Context, to fleet.RouterID, method string, params, result any) error {
+	if p.fleet.isolated[p.self] || p.fleet.isolated[to] {
+		return errUnreachable
 	}
-	for _, one := range p.routers.all {
-		if one.id == to {
-			return call(ctx, one.holder, method, params, result)
+	for _, router := range p.fleet.routers {
+		if router.id == to {
+			return call(ctx, router.holder, method, params, result)
 		}
 	}
-	return errCutOff
+	return errUnreachable
 }
 
-// call calls a method of a holder through JSON.
+// call calls a method of a holder with JSON-encoded parameters and results.
 func call(ctx context.Context, holder *note.Holder, method string, params, result any) error {
 	encoded, err := json.Marshal(params)
 	if err != nil {
@@ -150,4 +153,4 @@
 	return json.Unmarshal(encoded, result)
 }
 
-var errCutOff = errors.New("cut off")
+var errUnreachable = errors.New("peer is isolated")
--- a/note/heard.go
+++ b/note/heard.go
@@ -8,84 +8,85 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// spread tells peers of a version.
-func (h *Holder) spread(version fleet.Version) {
+// announceVersion announces a version to peers.
+func (h *Holder) announceVersion(version fleet.Version) {
 	if h.announce == nil {
 		return
 	}
 	routers := h.peers.Routers()
 	h.mu.Lock()
-	to := Spread(routers, h.random)
+	targets := AnnouncementTargets(routers, h.random)
 	h.mu.Unlock()
-	h.announce(to, version)
+	h.announce(targets, version)
 }
 
-// Heard takes note of a peer that holds a version, and has Run fetch it when
-// it is higher than what is held here. It does not block.
+// Heard records that a peer holds a version. If it is newer than the local one,
+// Run fetches it. Heard does not block.
 func (h *Holder) Heard(from fleet.RouterID, version fleet.Version) {
-	higher := version > h.Version()
+	newer := version > h.Version()
 	h.mu.Lock()
-	h.told[from] = version
-	if higher {
-		h.heard[from] = max(h.heard[from], version)
+	h.peerVersions[from] = version
+	if newer {
+		h.pending[from] = max(h.pending[from], version)
 	}
 	h.mu.Unlock()
-	if !higher {
+	if !newer {
 		return
 	}
-	signal(h.wake)
+	notify(h.fetchSignal)
 }
 
-// PeerVersion returns the version that a router last announced to this one,
-// zero when it announced none. In a fleet of more than spreadAll routers it may
-// lag, because each tells only a few.
+// PeerVersion returns the version that a router last announced to this one, or
+// zero. In a fleet of more than maxFullBroadcast routers it may lag, because
+// each router tells only a few.
 func (h *Holder) PeerVersion(router fleet.RouterID) fleet.Version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.told[router]
+	return h.peerVersions[router]
 }
 
-// nextHeard returns a peer that announced a higher version than is held, and
-// forgets its announcement and those that are of no use any more.
-func (h *Holder) nextHeard() (fleet.RouterID, bool) {
+// nextPending removes and returns the peer that announced the highest version
+// above the local one. It also drops announcements of versions that are not
+// newer.
+func (h *Holder) nextPending() (fleet.RouterID, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := fleet.Version(h.state().GetVersion())
 	var best fleet.RouterID
-	for router, version := range h.heard {
+	for router, version := range h.pending {
 		if version <= held {
-			delete(h.heard, router)
+			delete(h.pending, router)
 			continue
 		}
-		highest := h.heard[best]
+		highest := h.pending[best]
 		if version > highest || (version == highest && router < best) {
 			best = router
 		}
 	}
-	delete(h.heard, best)
+	delete(h.pending, best)
 	return best, best != ""
 }
 
-// forgetGone forgets what routers announced that are gone: of 1,300 that start
-// in a day each may have a name of its own.
-func (h *Holder) forgetGone() {
+// forgetDepartedPeers drops the announced versions of routers that are gone. Up
+// to 1,300 routers start in a day, each possibly with a new name.
+func (h *Holder) forgetDepartedPeers() {
 	routers := h.peers.Routers()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	maps.DeleteFunc(h.told, func(router fleet.RouterID, _ fleet.Version) bool {
+	maps.DeleteFunc(h.peerVersions, func(router fleet.RouterID, _ fleet.Version) bool {
 		return !slices.Contains(routers, router)
 	})
 }
 
-// FollowHeard fetches what peers announced. It fails with the error of the last
-// peer when that one, and none after it, handed out what it announced.
-func (h *Holder) FollowHeard(ctx context.Context) error {
-	var failed error
+// FetchAnnounced fetches the versions that peers announced. It returns the error
+// of the last peer, and nil when that one delivered.
+func (h *Holder) FetchAnnounced(ctx context.Context) error {
+	var lastErr error
 	for {
-		router, ok := h.nextHeard()
+		router, ok := h.nextPending()
 		if !ok {
-			return failed
+			return lastErr
 		}
-		failed = h.fetchFrom(ctx, router)
+		lastErr = h.fetchFrom(ctx, router)
 	}
 }
--- a/note/holder_test.go
+++ b/note/holder_test.go
@@ -25,102 +25,103 @@
 	}}
 }
 
-func (r *routers) publish(t *testing.T, i int, n *schema.ReleaseNote) fleet.Version {
+func (r *testFleet) publish(t *testing.T, i int, n *schema.ReleaseNote) fleet.Version {
 	t.Helper()
-	accepted, err := r.all[i].publisher.Publish(t.Context(), n, "aino", note.NewPublishID())
+	accepted, err := r.routers[i].publisher.Publish(t.Context(), n, "aino", note.NewPublishID())
 	require.NoError(t, err)
 	return fleet.Version(accepted.Record.GetVersion())
 }
 
-// A router restarts while the table and the object store are down. It has
-// nothing, and would refuse every caller as unknown, unless it learns the
-// accounts from a router that has them.
+// A router restarts while the table and the object store are down. Without the
+// accounts, which it has to fetch from a peer, it would refuse every caller as
+// unknown.
 func TestARouterThatStartsInAnOutageLearnsFromPeers(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	r.publish(t, 0, addAccount("a"))
 	r.publish(t, 0, addAccount("b"))
 	r.start(1)
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
-	require.False(t, r.all[1].holder.Ready())
-	require.NoError(t, r.all[1].holder.Refresh(t.Context()))
-	require.True(t, r.all[1].holder.Ready())
-	require.Equal(t, fleet.Version(2), r.all[1].holder.Version())
+	require.False(t, r.routers[1].holder.Ready())
+	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
+	require.True(t, r.routers[1].holder.Ready())
+	require.Equal(t, fleet.Version(2), r.routers[1].holder.Version())
 }
 
-// In an outage a router asks one that started from a snapshot and so keeps no
-// records. Without the whole state as a second way it would stay without notes.
-func TestAHoleInAPeersRecordsIsFilledByItsState(t *testing.T) {
+// In an outage a router asks a peer that started from a snapshot and so has no
+// records. It must fall back to the peer's whole state, or it would stay without
+// notes.
+func TestFullStateIsFetchedWhenPeerLacksRecords(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	for i := range 6 {
 		r.publish(t, 0, addAccount(fmt.Sprint("a", i)))
 	}
-	state := r.all[0].holder.Current().State()
+	state := r.routers[0].holder.Current().State()
 	r.start(0)
-	r.all[0].holder.LearnState(state)
+	r.routers[0].holder.ApplyState(state)
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
-	require.NoError(t, r.all[1].holder.Refresh(t.Context()))
-	require.Equal(t, fleet.Version(6), r.all[1].holder.Version())
+	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
+	require.Equal(t, fleet.Version(6), r.routers[1].holder.Version())
 }
 
-// A state larger than one part arrives whole.
+// A state larger than one part is transferred whole.
 func TestALargeStateArrivesInParts(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	n := &schema.ReleaseNote{Summary: "many", Added: &schema.Entries{}}
 	for i := range 3000 {
 		id := fmt.Sprint("account-", i)
 		n.Added.Accounts = append(n.Added.Accounts, &schema.Account{Id: id, KeySha256: []string{note.HashKey(id)}})
 	}
 	r.publish(t, 0, n)
-	state := r.all[0].holder.Current().State()
+	state := r.routers[0].holder.Current().State()
 	r.start(0)
-	r.all[0].holder.LearnState(state)
+	r.routers[0].holder.ApplyState(state)
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
-	require.NoError(t, r.all[1].holder.Refresh(t.Context()))
-	require.Len(t, r.all[1].holder.Current().State().GetAccounts(), 3000)
+	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
+	require.Len(t, r.routers[1].holder.Current().State().GetAccounts(), 3000)
 }
 
-// A peer that was cut off, or a read that was under way for long, brings an
-// older state. A router that took it would turn away callers whose account was
-// added since, and let in those whose account was withdrawn.
-func TestAnOlderStateIsNotPutInForce(t *testing.T) {
+// A peer that was cut off, or a slow read, delivers an older state. A router
+// that applied it would reject callers whose account was added since, and admit
+// those whose account was withdrawn.
+func TestOlderStateIsNotApplied(t *testing.T) {
 	t.Parallel()
-	r := newRouters(1)
+	r := newTestFleet(1)
 	r.publish(t, 0, addAccount("a"))
-	old := r.all[0].holder.Current().State()
+	old := r.routers[0].holder.Current().State()
 	r.publish(t, 0, addAccount("b"))
-	r.all[0].holder.LearnState(old)
-	require.Equal(t, fleet.Version(2), r.all[0].holder.Version())
+	r.routers[0].holder.ApplyState(old)
+	require.Equal(t, fleet.Version(2), r.routers[0].holder.Version())
 }
 
-// The table answers with rows from before the last notes.
-func TestStaleReadsLowerNothing(t *testing.T) {
+// The table returns rows from before the last notes.
+func TestStaleReadsDoNotLowerTheVersion(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	r.publish(t, 0, addAccount("a"))
 	r.publish(t, 0, addAccount("b"))
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Stale, Commits: 1})
-	require.NoError(t, r.all[0].holder.Refresh(t.Context()))
-	require.Equal(t, fleet.Version(2), r.all[0].holder.Version())
-	require.NoError(t, r.all[1].holder.Refresh(t.Context()))
-	require.Equal(t, fleet.Version(1), r.all[1].holder.Version())
+	require.NoError(t, r.routers[0].holder.Refresh(t.Context()))
+	require.Equal(t, fleet.Version(2), r.routers[0].holder.Version())
+	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
+	require.Equal(t, fleet.Version(1), r.routers[1].holder.Version())
 }
 
-// With peers that announce, a note is in force everywhere without a read of the
-// table; with none, the next poll finds it within five seconds.
-func TestANoteIsInForceWithinFiveSeconds(t *testing.T) {
+// With announcements, a note reaches every router without a read of the table;
+// without them, the next poll finds it within five seconds.
+func TestNoteReachesEveryRouterWithinFiveSeconds(t *testing.T) {
 	t.Parallel()
 	for _, quiet := range []bool{false, true} {
 		t.Run(fmt.Sprint("quiet ", quiet), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { inForce(t, quiet) })
+			synctest.Test(t, func(t *testing.T) { testPropagation(t, quiet) })
 		})
 	}
 }
 
-func inForce(t *testing.T, quiet bool) {
+func testPropagation(t *testing.T, quiet bool) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	p := memory.New(timer.System{})
@@ -129,7 +130,7 @@
 	for i := range 3 {
 		self := fleet.RouterID(fmt.Sprint("r", i))
 		holders[self] = note.NewHolder(note.HolderOptions{
-			Self: self, Store: store, Peers: among{holders, self},
+			Self: self, Store: store, Peers: localPeers{holders, self},
 			Announce: func(to []fleet.RouterID, version fleet.Version) {
 				for _, id := range to {
 					if !quiet {
@@ -159,10 +160,10 @@
 	synctest.Wait()
 }
 
-// A router is frozen right after it announced a note: its connection stands,
-// but it answers nothing. The others have to learn the note elsewhere within
-// five seconds, and must not wait for it.
-func TestAFrozenPeerDelaysNothing(t *testing.T) {
+// A router is frozen right after it announced a note: its connection stays open,
+// but it does not answer. The others have to get the note elsewhere within five
+// seconds instead of waiting for it.
+func TestFrozenPeerDoesNotDelayUpdates(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -174,7 +175,7 @@
 			require.NoError(t, err)
 		}
 		publish("a")
-		holder := note.NewHolder(note.HolderOptions{Self: "r", Store: store, Peers: frozen{}})
+		holder := note.NewHolder(note.HolderOptions{Self: "r", Store: store, Peers: frozenPeers{}})
 		go func() { _ = holder.Run(ctx) }()
 		time.Sleep(10 * time.Second)
 		publish("b")
@@ -187,21 +188,21 @@
 	})
 }
 
-// The platform takes a minute for each read. A router that waits for it hears
-// no peer meanwhile, and would serve callers by an old note.
-func TestASlowTableDelaysNothing(t *testing.T) {
+// The platform takes a minute for each read. A router that waited for it would
+// ignore its peers meanwhile and serve callers by an old note.
+func TestSlowTableDoesNotDelayPeerUpdates(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		p := memory.New(timer.System{})
 		store := note.NewStore(p, p)
 		holders := map[fleet.RouterID]*note.Holder{"a": note.NewHolder(note.HolderOptions{Self: "a", Store: store})}
-		holders["b"] = note.NewHolder(note.HolderOptions{Self: "b", Store: store, Peers: among{holders, "b"}})
-		holders["b"].Learn(&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")})
+		holders["b"] = note.NewHolder(note.HolderOptions{Self: "b", Store: store, Peers: localPeers{holders, "b"}})
+		holders["b"].ApplyRecords(&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")})
 		p.Faults.Set(fault.Fault{Kind: fault.Slow, DelayMs: 60_000})
 		go func() { _ = holders["b"].Run(ctx) }()
 		time.Sleep(20 * time.Millisecond)
-		holders["a"].Learn(
+		holders["a"].ApplyRecords(
 			&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")},
 			&schema.NoteRecord{Version: 2, FirstNumber: 2, Note: addAccount("y")},
 		)
@@ -214,23 +215,23 @@
 	})
 }
 
-// frozen is the Peers of a router whose only peer never answers.
-type frozen struct{}
+// frozenPeers is the Peers of a router whose only peer never answers.
+type frozenPeers struct{}
 
-func (frozen) Routers() []fleet.RouterID { return []fleet.RouterID{"frozen"} }
+func (frozenPeers) Routers() []fleet.RouterID { return []fleet.RouterID{"frozen"} }
 
-func (frozen) Call(ctx context.Context, _ fleet.RouterID, _ string, _, _ any) error {
+func (frozenPeers) Call(ctx context.Context, _ fleet.RouterID, _ string, _, _ any) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// among is the Peers of holders in one process.
-type among struct {
+// localPeers connects holders within one process.
+type localPeers struct {
 	holders map[fleet.RouterID]*note.Holder
 	self    fleet.RouterID
 }
 
-func (a among) Routers() []fleet.RouterID {
+func (a localPeers) Routers() []fleet.RouterID {
 	var ids []fleet.RouterID
 	for id := range a.holders {
 		if id != a.self {
@@ -240,139 +241,138 @@
 	return ids
 }
 
-func (a among) Call(ctx context.Context, to fleet.RouterID, method string, params, result any) error {
+func (a localPeers) Call(ctx context.Context, to fleet.RouterID, method string, params, result any) error {
 	return call(ctx, a.holders[to], method, params, result)
 }
 
-// The table is down. The operator has to be told at once, and that nothing was
-// accepted, rather than wait for an outage to end.
+// The table is down. The operator has to be told at once that nothing was
+// accepted, instead of waiting for the outage to end.
 func TestPublishingInAnOutageFailsAtOnce(t *testing.T) {
 	t.Parallel()
-	r := newRouters(1)
+	r := newTestFleet(1)
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
 	before := r.clock.Now()
-	_, err := r.all[0].publisher.Publish(t.Context(), addAccount("a"), "aino", note.NewPublishID())
+	_, err := r.routers[0].publisher.Publish(t.Context(), addAccount("a"), "aino", note.NewPublishID())
 	var unavailable *store.UnavailableError
 	require.ErrorAs(t, err, &unavailable)
 	require.Equal(t, before, r.clock.Now())
 }
 
 // The reply to a publish is lost after it took effect, and the table goes down.
-// The operator sends the note again through another router, which must neither
-// publish it a second time nor call it a clash with itself.
-func TestALostReplyIsSettledThroughAnotherRouter(t *testing.T) {
+// The operator publishes the note again through another router, which must
+// neither publish it a second time nor report a clash with itself.
+func TestLostReplyIsResolvedThroughAnotherRouter(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	id := note.NewPublishID()
 	r.platform.Faults.Set(
 		fault.Fault{Kind: fault.ReplyLost, Operation: memory.OperationCommit, Times: 1},
 	)
-	r.all[0].table.before = func() {
+	r.routers[0].table.beforeCommit = func() {
 		r.platform.Faults.Add(fault.Fault{Kind: fault.Down, Operation: memory.OperationRead})
 	}
-	_, err := r.all[0].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
+	_, err := r.routers[0].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
 	var unsettled *note.UnsettledError
 	require.ErrorAs(t, err, &unsettled)
 	require.Equal(t, id, unsettled.PublishID)
 	r.platform.Faults.Set()
-	accepted, err := r.all[1].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
+	accepted, err := r.routers[1].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
 	require.NoError(t, err)
 	require.True(t, accepted.Already)
 	require.Equal(t, uint64(1), accepted.Record.GetVersion())
 }
 
-// The reply is lost and the table is down for a moment after it. The operator is
-// not sent away with an open question that the router can answer itself.
-func TestALostReplyIsSettledAfterAShortOutage(t *testing.T) {
+// The reply is lost and the table is down for a moment after it. The router can
+// find out the outcome itself, and must not report it as unknown.
+func TestLostReplyIsResolvedAfterShortOutage(t *testing.T) {
 	t.Parallel()
-	r := newRouters(1)
+	r := newTestFleet(1)
 	r.platform.Faults.Set(
 		fault.Fault{Kind: fault.ReplyLost, Operation: memory.OperationCommit, Times: 1},
 	)
-	r.all[0].table.before = func() {
+	r.routers[0].table.beforeCommit = func() {
 		r.platform.Faults.Add(fault.Fault{Kind: fault.Down, Operation: memory.OperationRead, Times: 3})
 	}
-	accepted, err := r.all[0].publisher.Publish(t.Context(), addAccount("a"), "aino", note.NewPublishID())
+	accepted, err := r.routers[0].publisher.Publish(t.Context(), addAccount("a"), "aino", note.NewPublishID())
 	require.NoError(t, err)
 	require.True(t, accepted.Already)
 }
 
 // The publish takes effect a minute after its reply was lost. Meanwhile the
-// operator gave the note to another router, and that one accepted it.
-func TestALateEffectPublishesNothingTwice(t *testing.T) {
+// operator has published the note through another router, which accepted it.
+func TestLateCommitIsNotPublishedTwice(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	id := note.NewPublishID()
 	r.platform.Faults.Set(
 		fault.Fault{Kind: fault.Late, Operation: memory.OperationCommit, Times: 1, DelayMs: 60_000},
 		fault.Fault{Kind: fault.Down, Operation: memory.OperationCommit},
 	)
-	_, err := r.all[0].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
+	_, err := r.routers[0].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
 	var unsettled *note.UnsettledError
 	require.ErrorAs(t, err, &unsettled)
 	r.platform.Faults.Set()
-	accepted, err := r.all[1].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
+	accepted, err := r.routers[1].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
 	require.NoError(t, err)
 	require.False(t, accepted.Already)
 	r.clock.Advance(2 * time.Minute)
-	head, err := r.all[0].store.Head(t.Context())
+	head, err := r.routers[0].store.Head(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), head.GetVersion())
 }
 
-// Two operators who know nothing of each other change the same account at the
-// same time. The second is told exactly what the first did; a note on other
-// entries goes through after it.
+// Two operators change the same account at the same time. The second is told
+// exactly what the first changed; a note on other entries is accepted after it.
 func TestRacingOperators(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	r.publish(t, 0, addAccount("a"))
 	change := func(weight uint32) *schema.ReleaseNote {
 		return &schema.ReleaseNote{Summary: fmt.Sprint("weight ", weight), Changed: &schema.Entries{
 			Accounts: []*schema.Account{{Id: "a", Weight: weight, KeySha256: []string{note.HashKey("a")}}},
 		}}
 	}
-	r.all[1].table.before = func() { r.publish(t, 0, change(2)) }
-	_, err := r.all[1].publisher.Publish(t.Context(), change(3), "juma", note.NewPublishID())
+	r.routers[1].table.beforeCommit = func() { r.publish(t, 0, change(2)) }
+	_, err := r.routers[1].publisher.Publish(t.Context(), change(3), "juma", note.NewPublishID())
 	var clash *note.ClashError
 	require.ErrorAs(t, err, &clash)
 	require.Equal(t, []note.Clash{{
 		Entry: note.Entry{Kind: note.AccountEntry, ID: "a"}, Version: 2, Author: "aino", Summary: "weight 2",
 	}}, clash.Clashes)
 
-	r.all[1].table.before = func() { r.publish(t, 0, change(4)) }
+	r.routers[1].table.beforeCommit = func() { r.publish(t, 0, change(4)) }
 	require.Equal(t, fleet.Version(4), r.publish(t, 1, addAccount("b")))
 }
 
 func TestHeardIsIgnoredWhenItIsOld(t *testing.T) {
 	t.Parallel()
-	r := newRouters(2)
+	r := newTestFleet(2)
 	r.publish(t, 0, addAccount("a"))
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
-	r.quiet["r1"] = true
-	r.all[0].holder.Heard("r1", 1)
-	require.NoError(t, r.all[0].holder.FollowHeard(t.Context()))
-	require.Equal(t, fleet.Version(1), r.all[0].holder.PeerVersion("r1"))
-	r.all[0].holder.Heard("r1", 2)
-	require.Error(t, r.all[0].holder.FollowHeard(t.Context()))
+	r.isolated["r1"] = true
+	r.routers[0].holder.Heard("r1", 1)
+	require.NoError(t, r.routers[0].holder.FetchAnnounced(t.Context()))
+	require.Equal(t, fleet.Version(1), r.routers[0].holder.PeerVersion("r1"))
+	r.routers[0].holder.Heard("r1", 2)
+	require.Error(t, r.routers[0].holder.FetchAnnounced(t.Context()))
 }
 
-// Whatever a peer of another version, or a broken one, sends as parameters, the
-// methods answer or fail, and the router stays as it was.
+// Whatever parameters a peer of another version, or a broken one, sends, the
+// methods answer or fail, and the router's state is unchanged.
 func FuzzMethods(f *testing.F) {
 	for _, seed := range []string{`{}`, `{"after":"1"}`, `{"version":"1","offset":"131072"}`, `{"offset":"18446744073709551615"}`, `[]`, `null`, `"`} {
 		f.Add([]byte(seed))
 	}
-	r := newRouters(1)
-	_, err := r.all[0].publisher.Publish(f.Context(), addAccount("a"), "aino", note.NewPublishID())
+	r := newTestFleet(1)
+	_, err := r.routers[0].publisher.Publish(f.Context(), addAccount("a"), "aino", note.NewPublishID())
 	require.NoError(f, err)
 	f.Fuzz(func(t *testing.T, params []byte) {
-		for _, method := range r.all[0].holder.Methods() {
+		for _, method := range r.routers[0].holder.Methods() {
 			if answer, err := method(t.Context(), params); err == nil {
 				_, err = json.Marshal(answer)
 				require.NoError(t, err)
 			}
 		}
-		require.Equal(t, fleet.Version(1), r.all[0].holder.Version())
+		require.Equal(t, fleet.Version(1), r.routers[0].holder.Version())
 	})
 }
--- a/note/main_test.go
+++ b/note/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The model's seed and size, unless the command line says otherwise:
+// TestMain sets the seed and size of the model test, which the command line can
+// override:
 //
 //	go test ./note -rapid.checks 5000 -rapid.seed 7
 func TestMain(m *testing.M) {
--- a/note/model_test.go
+++ b/note/model_test.go
@@ -19,77 +19,78 @@
 )
 
 // model drives three routers, their operators and a platform with faults, and
-// knows what must be true after each step.
+// checks the invariants after each step.
 type model struct {
-	*routers
+	*testFleet
 	testing *testing.T
 	down    bool
 
-	// accepted is the history as far as it was seen, which never changes.
+	// accepted is the history read so far. Its records never change.
 	accepted []*schema.NoteRecord
-	states   []*oracle
-	// held is the version of each router, which only a restart lowers.
-	held []fleet.Version
-	// wishes are all publishes; refused ones must never come true.
-	wishes  []*wish
-	outcome map[string]int
-	// snapshot is the version of the newest snapshot that the head named.
-	snapshot uint64
-	steps    *int
+	// states holds the expected state of each version.
+	states []*oracle
+	// heldVersions holds the version of each router, which only a restart lowers.
+	heldVersions []fleet.Version
+	// requests are all publishes. A refused one must never be accepted.
+	requests []*publishRequest
+	outcomes map[string]int
+	// snapshotVersion is the newest snapshot version that the head named.
+	snapshotVersion uint64
+	steps           *int
 }
 
-type wish struct {
-	id    note.PublishID
-	note  *schema.ReleaseNote
-	tried bool
-	// refused is true while the last word on the wish is that nothing was accepted.
+// publishRequest is one publish, which may be sent several times.
+type publishRequest struct {
+	id   note.PublishID
+	note *schema.ReleaseNote
+	sent bool
+	// refused is true while the last answer means that nothing was accepted.
 	refused bool
-	// version is that of the acceptance, once the operator was told.
+	// version is the accepted version, once the operator was told.
 	version uint64
-	// before is the length of the history when it was last tried. A note that
-	// names no version is compared with what is accepted during the try.
-	before int
+	// acceptedBefore is the length of the history when the request was last sent.
+	// A note without a base version is compared with what is accepted meanwhile.
+	acceptedBefore int
 }
 
-// What the operators and the platform do: all of it in any order, one fault
-// upon another.
+// Operators and the platform act in any order, under several faults at once.
 //
-// An operator publishes while the platform loses the reply, answers with old
-// rows, takes the write late, or goes down; another operator publishes in the
-// middle of it; routers restart with nothing, are cut off and come back. A user
-// would notice a fault here as a setting that comes back after it was changed,
-// a note that was accepted and is not in force, an account that exists twice,
-// or routers that treat one caller differently.
+// An operator publishes while the platform loses the reply, returns old rows,
+// delays the write or goes down; another operator publishes during it; routers
+// restart without state, are cut off and come back. Users would see a fault here
+// as a setting that reverts after it was changed, an accepted note that does not
+// take effect, an account that exists twice, or routers that treat one caller
+// differently.
 func TestNotesUnderEveryFault(t *testing.T) {
 	t.Parallel()
 	steps := 0
-	outcome := map[string]int{}
+	outcomes := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &model{
-			routers: newRouters(3), testing: t, held: make([]fleet.Version, 3), outcome: outcome, steps: &steps,
+			testFleet: newTestFleet(3), testing: t, heldVersions: make([]fleet.Version, 3), outcomes: outcomes, steps: &steps,
 			states: []*oracle{{entries: map[note.Entry]proto.Message{}}},
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"publish": m.publish, "repeat": m.repeat, "poll": m.poll, "follow": m.follow,
-			"restart": m.restart, "cut": m.cut, "pass time": m.passTime, "outage": m.outage, "": m.check,
+			"publish": m.publish, "repeat": m.retry, "poll": m.poll, "follow": m.fetchAnnounced,
+			"restart": m.restart, "cut": m.toggleIsolation, "pass time": m.passTime, "outage": m.outage, "": m.checkInvariants,
 		})
 	})
-	t.Logf("%d steps, publishes: %v", steps, outcome)
+	t.Logf("%d steps, publishes: %v", steps, outcomes)
 	require.GreaterOrEqual(t, steps, 10_000)
 	for _, kind := range []string{"accepted", "already", "clash", "faults", "unavailable", "unsettled", "snapshot"} {
-		require.NotZero(t, outcome[kind], kind)
+		require.NotZero(t, outcomes[kind], kind)
 	}
 }
 
-func (m *model) any(t *rapid.T) (int, *router) {
-	i := rapid.IntRange(0, len(m.all)-1).Draw(t, "router")
-	return i, m.all[i]
+func (m *model) randomRouter(t *rapid.T) (int, *testRouter) {
+	i := rapid.IntRange(0, len(m.routers)-1).Draw(t, "router")
+	return i, m.routers[i]
 }
 
-var ids = rapid.SampledFrom([]string{"a", "b", "c"})
+var drawID = rapid.SampledFrom([]string{"a", "b", "c"})
 
-// draw returns a note that is mostly sound for the newest state.
-func (m *model) draw(t *rapid.T) *schema.ReleaseNote {
+// drawNote returns a note that is mostly valid for the newest state.
+func (m *model) drawNote(t *rapid.T) *schema.ReleaseNote {
 	newest := m.states[len(m.states)-1]
 	n := &schema.ReleaseNote{Summary: "s", Added: &schema.Entries{}, Changed: &schema.Entries{}, Withdrawn: &schema.Names{}}
 	if rapid.Bool().Draw(t, "based") {
@@ -97,13 +98,13 @@
 	}
 	for range rapid.IntRange(1, 2).Draw(t, "entries") {
 		kind := rapid.SampledFrom([]note.EntryKind{note.AccountEntry, note.ServiceEntry, note.UpstreamEntry}).Draw(t, "kind")
-		id := ids.Draw(t, "id")
+		id := drawID.Draw(t, "id")
 		_, exists := newest.entries[entry(kind, id)]
 		switch {
 		case !exists:
-			m.define(t, n.GetAdded(), kind, id)
+			m.addDefinition(t, n.GetAdded(), kind, id)
 		case rapid.Bool().Draw(t, "change"):
-			m.define(t, n.GetChanged(), kind, id)
+			m.addDefinition(t, n.GetChanged(), kind, id)
 		case kind == note.AccountEntry:
 			n.Withdrawn.Accounts = append(n.Withdrawn.Accounts, id)
 		case kind == note.ServiceEntry:
@@ -115,7 +116,7 @@
 	return n
 }
 
-func (m *model) define(t *rapid.T, to *schema.Entries, kind note.EntryKind, id string) {
+func (m *model) addDefinition(t *rapid.T, to *schema.Entries, kind note.EntryKind, id string) {
 	size := rapid.Uint32Range(1, 9).Draw(t, "size")
 	switch kind {
 	case note.AccountEntry:
@@ -124,12 +125,12 @@
 	case note.ServiceEntry:
 		to.Services = append(to.Services, &schema.Service{Id: id, Kind: "plain", CallCost: size})
 	case note.UpstreamEntry:
-		to.Upstreams = append(to.Upstreams, &schema.Upstream{Id: id, Service: ids.Draw(t, "service"), Address: id + ":1", DataCenter: "d", Slots: size})
+		to.Upstreams = append(to.Upstreams, &schema.Upstream{Id: id, Service: drawID.Draw(t, "service"), Address: id + ":1", DataCenter: "d", Slots: size})
 	}
 }
 
-// faults puts a few faults in force for the next operations.
-func (m *model) faults(t *rapid.T) {
+// injectFaults sets a few faults for the next operations.
+func (m *model) injectFaults(t *rapid.T) {
 	m.platform.Faults.Set()
 	if m.down {
 		m.platform.Faults.Set(fault.Fault{Kind: fault.Down})
@@ -152,47 +153,47 @@
 }
 
 func (m *model) publish(t *rapid.T) {
-	_, one := m.any(t)
-	w := m.wish(t)
+	_, router := m.randomRouter(t)
+	request := m.newRequest(t)
 	if rapid.IntRange(0, 2).Draw(t, "race") == 0 {
-		_, other := m.any(t)
-		rival := m.wish(t)
-		one.table.skip = rapid.IntRange(0, 2).Draw(t, "skip")
-		one.table.before = func() {
-			m.see(t)
+		_, other := m.randomRouter(t)
+		rival := m.newRequest(t)
+		router.table.skipCommits = rapid.IntRange(0, 2).Draw(t, "skip")
+		router.table.beforeCommit = func() {
+			m.checkHistory(t)
 			m.send(t, other, rival)
 		}
 	}
-	m.faults(t)
-	m.send(t, one, w)
-	one.table.before = nil
+	m.injectFaults(t)
+	m.send(t, router, request)
+	router.table.beforeCommit = nil
 }
 
-func (m *model) wish(t *rapid.T) *wish {
-	id := note.PublishID(fmt.Sprintf("%032x", len(m.wishes)+1))
-	w := &wish{id: id, note: m.draw(t), before: len(m.accepted)}
-	m.wishes = append(m.wishes, w)
-	return w
+func (m *model) newRequest(t *rapid.T) *publishRequest {
+	id := note.PublishID(fmt.Sprintf("%032x", len(m.requests)+1))
+	request := &publishRequest{id: id, note: m.drawNote(t), acceptedBefore: len(m.accepted)}
+	m.requests = append(m.requests, request)
+	return request
 }
 
-func (m *model) repeat(t *rapid.T) {
-	if len(m.wishes) == 0 {
+func (m *model) retry(t *rapid.T) {
+	if len(m.requests) == 0 {
 		t.Skip("nothing was published")
 	}
-	_, one := m.any(t)
-	m.faults(t)
-	m.send(t, one, rapid.SampledFrom(m.wishes).Draw(t, "wish"))
+	_, router := m.randomRouter(t)
+	m.injectFaults(t)
+	m.send(t, router, rapid.SampledFrom(m.requests).Draw(t, "request"))
 }
 
-// send publishes and checks what the operator is told.
-func (m *model) send(t *rapid.T, one *router, w *wish) {
-	w.before = len(m.accepted)
-	accepted, err := one.publisher.Publish(m.testing.Context(), w.note, "operator", w.id)
-	m.see(t)
-	first := !w.tried
-	w.tried = true
+// send publishes and checks the answer to the operator.
+func (m *model) send(t *rapid.T, router *testRouter, request *publishRequest) {
+	request.acceptedBefore = len(m.accepted)
+	accepted, err := router.publisher.Publish(m.testing.Context(), request.note, "operator", request.id)
+	m.checkHistory(t)
+	first := !request.sent
+	request.sent = true
 	if err == nil {
-		m.told(t, w, accepted)
+		m.checkAccepted(t, request, accepted)
 		return
 	}
 	var clash *note.ClashError
@@ -202,57 +203,58 @@
 	var unsettled *note.UnsettledError
 	switch {
 	case errors.As(err, &unsettled):
-		m.outcome["unsettled"]++
-		w.refused = false
+		m.outcomes["unsettled"]++
+		request.refused = false
 	case errors.As(err, &clash):
-		m.outcome["clash"]++
-		m.denied(t, w, err)
+		m.outcomes["clash"]++
+		m.recordRefusal(t, request, err)
 		for _, c := range clash.Clashes {
-			require.Contains(t, touchesOrRefers(m.accepted[c.Version-1].GetNote()), c.Entry)
+			require.Contains(t, modifiedOrReferenced(m.accepted[c.Version-1].GetNote()), c.Entry)
 		}
 	case errors.As(err, &faults):
-		m.outcome["faults"]++
-		m.denied(t, w, err)
-		m.refusedRightly(t, w)
+		m.outcomes["faults"]++
+		m.recordRefusal(t, request, err)
+		m.checkFaultsWereReal(t, request)
 	case errors.As(err, &busy):
-		m.outcome["busy"]++
-		w.refused = w.refused || first // A later try had no effect, which says nothing of the earlier ones.
+		m.outcomes["busy"]++
+		request.refused = request.refused || first // A retry without effect says nothing about earlier attempts.
 	case errors.As(err, &unavailable):
-		m.outcome["unavailable"]++
-		w.refused = w.refused || first
+		m.outcomes["unavailable"]++
+		request.refused = request.refused || first
 	default:
-		require.NoError(t, err, "an error of no known type")
+		require.NoError(t, err, "an error of unknown type")
 	}
 }
 
-// denied notes that a publish was refused for good: no try of it was accepted or can be any more.
-func (m *model) denied(t *rapid.T, w *wish, err error) {
-	require.Zero(t, w.version, "an accepted publish was denied later: %v", err)
-	w.refused = true
+// recordRefusal records that a publish was finally refused: no attempt was
+// accepted, and none can be any more.
+func (m *model) recordRefusal(t *rapid.T, request *publishRequest, err error) {
+	require.Zero(t, request.version, "an accepted publish was refused later: %v", err)
+	request.refused = true
 }
 
-func (m *model) told(t *rapid.T, w *wish, accepted note.Accepted) {
-	m.outcome["accepted"]++
+func (m *model) checkAccepted(t *rapid.T, request *publishRequest, accepted note.PublishResult) {
+	m.outcomes["accepted"]++
 	if accepted.Already {
-		m.outcome["already"]++
+		m.outcomes["already"]++
 	}
-	w.refused = false
+	request.refused = false
 	version := accepted.Record.GetVersion()
-	require.LessOrEqual(t, version, uint64(len(m.accepted)), "told of a note that was not accepted")
+	require.LessOrEqual(t, version, uint64(len(m.accepted)), "a note was reported as accepted but was not")
 	require.True(t, proto.Equal(m.accepted[version-1], accepted.Record))
-	require.Equal(t, string(w.id), accepted.Record.GetPublishId())
-	if w.version != 0 {
-		require.Equal(t, w.version, version)
+	require.Equal(t, string(request.id), accepted.Record.GetPublishId())
+	if request.version != 0 {
+		require.Equal(t, request.version, version)
 	}
-	w.version = version
+	request.version = version
 }
 
-// refusedRightly checks that a note with faults had them at some state that was
-// the newest one during the publish, and not only in an old row.
-func (m *model) refusedRightly(t *rapid.T, w *wish) {
+// checkFaultsWereReal checks that a note was invalid at some state that was the
+// newest one during the publish, and not only in a stale read.
+func (m *model) checkFaultsWereReal(t *rapid.T, request *publishRequest) {
 	state := &schema.FleetState{}
 	for i := 0; ; i++ {
-		if i >= w.before && note.Check(state, w.note) != nil {
+		if i >= request.acceptedBefore && note.Check(state, request.note) != nil {
 			return
 		}
 		if i == len(m.accepted) {
@@ -262,30 +264,30 @@
 		state, err = note.Apply(state, m.accepted[i])
 		require.NoError(t, err)
 	}
-	require.Fail(t, "a sound note was refused", "%v", w.note)
+	require.Fail(t, "a valid note was refused", "%v", request.note)
 }
 
 func (m *model) poll(t *rapid.T) {
-	_, one := m.any(t)
-	m.faults(t)
-	_ = one.holder.Refresh(m.testing.Context()) // A failed poll is one of the faults.
+	_, router := m.randomRouter(t)
+	m.injectFaults(t)
+	_ = router.holder.Refresh(m.testing.Context()) // Failures are expected under faults.
 }
 
-func (m *model) follow(t *rapid.T) {
-	_, one := m.any(t)
-	m.faults(t)
-	_ = one.holder.FollowHeard(m.testing.Context()) // So is this.
+func (m *model) fetchAnnounced(t *rapid.T) {
+	_, router := m.randomRouter(t)
+	m.injectFaults(t)
+	_ = router.holder.FetchAnnounced(m.testing.Context()) // Failures are expected under faults.
 }
 
 func (m *model) restart(t *rapid.T) {
-	i, _ := m.any(t)
+	i, _ := m.randomRouter(t)
 	m.start(i)
-	m.held[i] = 0
+	m.heldVersions[i] = 0
 }
 
-func (m *model) cut(t *rapid.T) {
-	_, one := m.any(t)
-	m.quiet[one.id] = !m.quiet[one.id]
+func (m *model) toggleIsolation(t *rapid.T) {
+	_, router := m.randomRouter(t)
+	m.isolated[router.id] = !m.isolated[router.id]
 }
 
 func (m *model) outage(t *rapid.T) {
@@ -296,9 +298,10 @@
 	m.clock.Advance(time.Duration(rapid.IntRange(1, 70).Draw(t, "seconds")) * time.Second)
 }
 
-// see reads the history and checks that it only grew, and soundly.
-func (m *model) see(t *rapid.T) {
-	records := m.truth(t)
+// checkHistory reads the history and checks that it only grew, and that each new
+// state is valid.
+func (m *model) checkHistory(t *rapid.T) {
+	records := m.acceptedRecords(t)
 	require.GreaterOrEqual(t, len(records), len(m.accepted), "an accepted note was lost")
 	for i, record := range records {
 		if i < len(m.accepted) {
@@ -306,18 +309,19 @@
 			continue
 		}
 		m.accepted = append(m.accepted, record)
-		next := &oracle{entries: map[note.Entry]proto.Message{}, number: m.states[i].number}
+		next := &oracle{entries: map[note.Entry]proto.Message{}, lastNumber: m.states[i].lastNumber}
 		for e, definition := range m.states[i].entries {
 			next.entries[e] = definition
 		}
 		next.apply(t, record.GetNote())
-		next.sound(t)
+		next.checkValid(t)
 		m.states = append(m.states, next)
 	}
 }
 
-// truth is all that was accepted, read from the platform without faults.
-func (m *model) truth(t *rapid.T) []*schema.NoteRecord {
+// acceptedRecords returns all accepted records, read from the platform without
+// faults.
+func (m *model) acceptedRecords(t *rapid.T) []*schema.NoteRecord {
 	faults := m.platform.Faults.All()
 	m.platform.Faults.Set()
 	defer m.platform.Faults.Set(faults...)
@@ -326,63 +330,64 @@
 	require.NoError(t, err)
 	records, err := store.Records(m.testing.Context(), 0)
 	require.NoError(t, err)
-	require.Equal(t, uint64(len(records)), head.GetVersion(), "the head is not that of the newest note")
-	m.seeSnapshot(t, store, head.GetSnapshotVersion())
+	require.Equal(t, uint64(len(records)), head.GetVersion(), "the head does not name the newest note")
+	m.checkSnapshot(t, store, head.GetSnapshotVersion())
 	return records
 }
 
-// seeSnapshot checks that the snapshot that the head names exists and is right.
-func (m *model) seeSnapshot(t *rapid.T, store *note.Store, version uint64) {
-	require.GreaterOrEqual(t, version, m.snapshot, "the head went back to an older snapshot")
-	if version == m.snapshot || version >= uint64(len(m.states)) {
-		return // The next call sees it, when the history up to there is known.
+// checkSnapshot checks that the snapshot that the head names exists and is
+// correct.
+func (m *model) checkSnapshot(t *rapid.T, store *note.Store, version uint64) {
+	require.GreaterOrEqual(t, version, m.snapshotVersion, "the head went back to an older snapshot")
+	if version == m.snapshotVersion || version >= uint64(len(m.states)) {
+		return // A later call checks it, when the history up to it is known.
 	}
 	state, err := store.Snapshot(m.testing.Context(), fleet.Version(version))
 	require.NoError(t, err, "the head names a snapshot that does not exist")
-	m.states[version].equal(t, state)
-	m.outcome["snapshot"]++
-	m.snapshot = version
+	m.states[version].requireEqual(t, state)
+	m.outcomes["snapshot"]++
+	m.snapshotVersion = version
 }
 
-// check is what holds after each step.
-func (m *model) check(t *rapid.T) {
+// checkInvariants checks what must hold after each step.
+func (m *model) checkInvariants(t *rapid.T) {
 	*m.steps++
-	m.see(t)
-	once := map[string]uint64{}
+	m.checkHistory(t)
+	versions := map[string]uint64{}
 	for _, record := range m.accepted {
-		require.NotContains(t, once, record.GetPublishId(), "one publish accepted twice")
-		once[record.GetPublishId()] = record.GetVersion()
+		require.NotContains(t, versions, record.GetPublishId(), "one publish accepted twice")
+		versions[record.GetPublishId()] = record.GetVersion()
 	}
-	for _, w := range m.wishes {
-		version, ok := once[string(w.id)]
-		require.False(t, w.refused && ok, "publish %s was refused and came true as version %d", w.id, version)
+	for _, request := range m.requests {
+		version, ok := versions[string(request.id)]
+		require.False(t, request.refused && ok, "publish %s was refused but accepted as version %d", request.id, version)
 		if ok {
-			m.noLostUpdate(t, w, version)
+			m.checkNoLostUpdate(t, request, version)
 		}
 	}
-	for i, one := range m.all {
-		version := one.holder.Version()
-		require.GreaterOrEqual(t, version, m.held[i], "a router went back")
-		require.LessOrEqual(t, int(version), len(m.accepted), "a router is ahead of what was accepted")
-		require.Equal(t, version > 0, one.holder.Ready())
-		m.held[i] = version
-		if view := one.holder.Current(); view != nil {
-			m.states[version].equal(t, view.State())
+	for i, router := range m.routers {
+		version := router.holder.Version()
+		require.GreaterOrEqual(t, version, m.heldVersions[i], "a router went back to an older version")
+		require.LessOrEqual(t, int(version), len(m.accepted), "a router is ahead of the accepted history")
+		require.Equal(t, version > 0, router.holder.Ready())
+		m.heldVersions[i] = version
+		if view := router.holder.Current(); view != nil {
+			m.states[version].requireEqual(t, view.State())
 		}
 	}
 }
 
-// noLostUpdate checks that nobody touched the note's entries between the
-// version that its author looked at and its acceptance.
-func (m *model) noLostUpdate(t *rapid.T, w *wish, version uint64) {
-	from := uint64(w.before)
-	if w.note.GetBasedOn() > 0 {
-		from = w.note.GetBasedOn()
+// checkNoLostUpdate checks that nobody modified the note's entries between its
+// base version and its acceptance.
+func (m *model) checkNoLostUpdate(t *rapid.T, request *publishRequest, version uint64) {
+	from := uint64(request.acceptedBefore)
+	if request.note.GetBasedOn() > 0 {
+		from = request.note.GetBasedOn()
 	}
-	ours := touches(w.note)
+	modified := modifiedEntries(request.note)
 	for v := from + 1; v < version; v++ {
-		for e := range touches(m.accepted[v-1].GetNote()) {
-			require.NotContains(t, ours, e, "version %d overwrote version %d", version, v)
+		for e := range modifiedEntries(m.accepted[v-1].GetNote()) {
+			require.NotContains(t, modified, e, "version %d overwrote version %d", version, v)
 		}
 	}
 }
--- a/note/oracle_test.go
+++ b/note/oracle_test.go
@@ -9,33 +9,33 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// oracle is the fleet state after each accepted note, worked out in the
-// plainest way: one map of entries, and a number that counts up.
+// oracle is a simple model of the fleet state after each accepted note: a map of
+// entries and the last number that was assigned.
 type oracle struct {
-	entries map[note.Entry]proto.Message
-	number  uint32
+	entries    map[note.Entry]proto.Message
+	lastNumber uint32
 }
 
 func entry(kind note.EntryKind, id string) note.Entry { return note.Entry{Kind: kind, ID: id} }
 
 func (o *oracle) apply(t require.TestingT, n *schema.ReleaseNote) {
-	each(n.GetAdded(), func(e note.Entry, m proto.Message) {
-		require.NotContains(t, o.entries, e, "added what exists")
-		o.number++
-		o.entries[e] = withNumber(m, o.number)
+	forEachEntry(n.GetAdded(), func(e note.Entry, m proto.Message) {
+		require.NotContains(t, o.entries, e, "added an entry that exists")
+		o.lastNumber++
+		o.entries[e] = withNumber(m, o.lastNumber)
 	})
-	each(n.GetChanged(), func(e note.Entry, m proto.Message) {
-		require.Contains(t, o.entries, e, "changed what does not exist")
+	forEachEntry(n.GetChanged(), func(e note.Entry, m proto.Message) {
+		require.Contains(t, o.entries, e, "changed an entry that does not exist")
 		o.entries[e] = withNumber(m, numberOf(o.entries[e]))
 	})
-	for e := range names(n.GetWithdrawn()) {
-		require.Contains(t, o.entries, e, "withdrew what does not exist")
+	for e := range withdrawnEntries(n.GetWithdrawn()) {
+		require.Contains(t, o.entries, e, "withdrew an entry that does not exist")
 		delete(o.entries, e)
 	}
 }
 
-// sound checks what must hold of every accepted state.
-func (o *oracle) sound(t require.TestingT) {
+// checkValid checks what must hold for every accepted state.
+func (o *oracle) checkValid(t require.TestingT) {
 	keys, addresses := map[string]bool{}, map[string]bool{}
 	for _, m := range o.entries {
 		switch m := m.(type) {
@@ -44,30 +44,30 @@
 				require.Contains(t, o.entries, entry(note.ServiceEntry, service))
 			}
 			for _, key := range m.GetKeySha256() {
-				require.False(t, keys[key], "a key of two accounts")
+				require.False(t, keys[key], "two accounts have the same key")
 				keys[key] = true
 			}
 		case *schema.Upstream:
 			require.Contains(t, o.entries, entry(note.ServiceEntry, m.GetService()))
-			require.False(t, addresses[m.GetAddress()], "an address of two upstreams")
+			require.False(t, addresses[m.GetAddress()], "two upstreams have the same address")
 			addresses[m.GetAddress()] = true
 		}
 	}
 }
 
-// equal checks that a state is exactly the oracle's.
-func (o *oracle) equal(t require.TestingT, state *schema.FleetState) {
+// requireEqual checks that a state is exactly the oracle's.
+func (o *oracle) requireEqual(t require.TestingT, state *schema.FleetState) {
 	held := map[note.Entry]proto.Message{}
-	each(&schema.Entries{Accounts: state.GetAccounts(), Services: state.GetServices(), Upstreams: state.GetUpstreams()},
+	forEachEntry(&schema.Entries{Accounts: state.GetAccounts(), Services: state.GetServices(), Upstreams: state.GetUpstreams()},
 		func(e note.Entry, m proto.Message) { held[e] = m })
 	require.Len(t, held, len(o.entries))
 	for e, m := range o.entries {
-		require.True(t, proto.Equal(m, held[e]), "%v: accepted %v, in force %v", e, m, held[e])
+		require.True(t, proto.Equal(m, held[e]), "%v: accepted %v, held %v", e, m, held[e])
 	}
-	require.Equal(t, o.number, state.GetLastNumber())
+	require.Equal(t, o.lastNumber, state.GetLastNumber())
 }
 
-func each(entries *schema.Entries, do func(note.Entry, proto.Message)) {
+func forEachEntry(entries *schema.Entries, do func(note.Entry, proto.Message)) {
 	for _, a := range entries.GetAccounts() {
 		do(entry(note.AccountEntry, a.GetId()), a)
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-func names(n *schema.Names) map[note.Entry]bool {
+func withdrawnEntries(n *schema.Names) map[note.Entry]bool {
 	all := map[note.Entry]bool{}
 	for _, id := range n.GetAccounts() {
 		all[entry(note.AccountEntry, id)] = true
@@ -93,18 +93,19 @@
 	return all
 }
 
-// touches returns every entry that a note adds, changes or withdraws.
-func touches(n *schema.ReleaseNote) map[note.Entry]bool {
-	all := names(n.GetWithdrawn())
+// modifiedEntries returns every entry that a note adds, changes or withdraws.
+func modifiedEntries(n *schema.ReleaseNote) map[note.Entry]bool {
+	all := withdrawnEntries(n.GetWithdrawn())
 	mark := func(e note.Entry, _ proto.Message) { all[e] = true }
-	each(n.GetAdded(), mark)
-	each(n.GetChanged(), mark)
+	forEachEntry(n.GetAdded(), mark)
+	forEachEntry(n.GetChanged(), mark)
 	return all
 }
 
-// touchesOrRefers returns the services that the definitions refer to as well.
-func touchesOrRefers(n *schema.ReleaseNote) map[note.Entry]bool {
-	all := touches(n)
+// modifiedOrReferenced returns the modified entries and the services that the
+// definitions refer to.
+func modifiedOrReferenced(n *schema.ReleaseNote) map[note.Entry]bool {
+	all := modifiedEntries(n)
 	for _, entries := range []*schema.Entries{n.GetAdded(), n.GetChanged()} {
 		for _, a := range entries.GetAccounts() {
 			for _, service := range a.GetServices() {
--- a/note/publisher.go
+++ b/note/publisher.go
@@ -17,8 +17,8 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// PublishID names one wish to publish, however often it is tried: a repeat
-// with the same id is accepted once.
+// PublishID identifies one publish over all its retries: it is accepted at most
+// once.
 type PublishID string
 
 // NewPublishID returns a random PublishID.
@@ -28,14 +28,15 @@
 	return PublishID(hex.EncodeToString(random[:]))
 }
 
-var publishIDForm = regexp.MustCompile(`^[0-9a-f]{32}$`)
+var publishIDPattern = regexp.MustCompile(`^[0-9a-f]{32}$`)
 
-// Valid reports whether the id has the form of NewPublishID, so that it can be part of a key.
-func (id PublishID) Valid() bool { return publishIDForm.MatchString(string(id)) }
+// Valid reports whether the id has the form of NewPublishID and can be part of a
+// key.
+func (id PublishID) Valid() bool { return publishIDPattern.MatchString(string(id)) }
 
-// UnsettledError is the error of a publish of which it could not be found out
-// whether it was accepted, nor whether it yet will be. A repeat with the same
-// id finds out, and never publishes twice.
+// UnsettledError reports a publish whose outcome is unknown: it may have been
+// accepted, or may still be. Publishing again with the same id finds out, and
+// never publishes twice.
 type UnsettledError struct {
 	PublishID PublishID
 	Cause     error
@@ -49,190 +50,194 @@
 // Unwrap returns the cause.
 func (e *UnsettledError) Unwrap() error { return e.Cause }
 
-// BusyError is the error of a publish that others kept overtaking, or that
-// kept reading a stale table. Nothing of it was accepted.
+// BusyError reports a publish that kept losing to other notes, or kept reading a
+// stale table. It was not accepted.
 type BusyError struct{ Attempts int }
 
 // Error names the number of attempts.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("not accepted: overtaken by other release notes, or read a stale table, %d times", e.Attempts)
+	return fmt.Sprintf("not accepted: other release notes came first, or the table was stale, %d times", e.Attempts)
 }
 
-// Accepted is a publish that succeeded.
-type Accepted struct {
+// PublishResult is the result of a successful publish.
+type PublishResult struct {
 	Record *schema.NoteRecord
-	// Already is true when an earlier try of the same publish had been accepted.
+	// Already is true when an earlier attempt with the same id had been accepted.
 	Already bool
 }
 
-// PublisherOptions are the parts that a Publisher works with.
+// PublisherOptions are the dependencies of a Publisher.
 type PublisherOptions struct {
 	Store *Store
-	// Holder gives the state to start from and is handed what was accepted.
+	// Holder provides the current state and is updated with accepted notes.
 	Holder *Holder
-	// Timer is the machine's clock when nil.
+	// Timer is the system clock when nil.
 	Timer timer.Service
-	// SnapshotEvery is how many versions lie between two snapshots; zero means 500.
-	SnapshotEvery uint64
+	// SnapshotInterval is the number of versions between two snapshots; zero
+	// means 500.
+	SnapshotInterval uint64
 }
 
-// Publisher accepts release notes. Its methods may be called from any goroutine.
+// Publisher publishes release notes. It is safe for concurrent use.
 type Publisher struct {
-	store  *Store
-	holder *Holder
-	timer  timer.Service
-	every  uint64
+	store            *Store
+	holder           *Holder
+	timer            timer.Service
+	snapshotInterval uint64
 }
 
 // NewPublisher returns a Publisher.
 func NewPublisher(options PublisherOptions) *Publisher {
-	p := &Publisher{store: options.Store, holder: options.Holder, timer: options.Timer, every: options.SnapshotEvery}
+	p := &Publisher{store: options.Store, holder: options.Holder, timer: options.Timer, snapshotInterval: options.SnapshotInterval}
 	if p.timer == nil {
 		p.timer = timer.System{}
 	}
-	if p.every == 0 {
-		p.every = snapshotEvery
+	if p.snapshotInterval == 0 {
+		p.snapshotInterval = defaultSnapshotInterval
 	}
 	return p
 }
 
 const (
-	// publishAttempts bounds the tries of one publish. Two hundred notes a day
-	// almost never meet; a dozen operators' scripts at once do, a few times.
+	// publishAttempts bounds the attempts of one publish. Two hundred notes a day
+	// almost never coincide; the scripts of a dozen operators at once do, a few
+	// times.
 	publishAttempts = 8
-	// publishBackoff is the wait after the first try; it doubles up to maxBackoff.
-	// The tries together wait 3.5 s, within the five seconds that a note may take.
+	// publishBackoff is the wait after the first attempt; it doubles up to
+	// maxBackoff. The waits add up to 3.5 s, within the five seconds that a note
+	// may take.
 	publishBackoff = 50 * time.Millisecond
 	maxBackoff     = time.Second
-	// maxBehind bounds the records that one publish is compared with, about 300 KB.
-	maxBehind = 2000
+	// maxRecordsBehind bounds the records that a note is compared with, about 300
+	// KB.
+	maxRecordsBehind = 2000
 )
 
-// Publish accepts the note, or says why not. It fails with
-// *document.FaultsError, *ClashError, *BusyError or *store.UnavailableError
-// when this call was not accepted, and with *UnsettledError when that is not
-// known. The first two also rule out every earlier call with the same id; the
-// other two say nothing of those.
+// Publish accepts the note, or returns why it was not accepted. It fails with
+// *document.FaultsError, *ClashError, *BusyError or *store.UnavailableError when
+// this call was not accepted, and with *UnsettledError when the outcome is
+// unknown. The first two also rule out that an earlier call with the same id was
+// or will be accepted; the other two say nothing about earlier calls.
 //
-// The transaction depends on the head row, so that of racing notes one is
-// accepted; and it creates the row of the publish id, so that a try whose
-// reply was lost cannot be accepted a second time. A repeat of such a try also
-// settles it: both depend on the same version of the head row, so that at most
-// one of them takes effect, however late.
-func (p *Publisher) Publish(ctx context.Context, n *schema.ReleaseNote, author string, id PublishID) (Accepted, error) {
-	t := &try{Publisher: p, note: n, author: author, id: id}
+// The transaction checks the head row, so that only one of several concurrent
+// notes is accepted. It also creates the row of the publish id, so that an
+// attempt whose reply was lost cannot be accepted twice. Retrying such an
+// attempt settles it: both depend on the same version of the head row, so that
+// at most one of them takes effect, however late.
+func (p *Publisher) Publish(ctx context.Context, n *schema.ReleaseNote, author string, id PublishID) (PublishResult, error) {
+	t := &publication{Publisher: p, note: n, author: author, id: id}
 	backoff := publishBackoff
 	for range publishAttempts {
-		accepted, err := t.once(ctx)
-		if !t.repeats(err) {
-			return accepted, t.settle(err)
+		accepted, err := t.attempt(ctx)
+		if !t.shouldRetry(err) {
+			return accepted, t.finalError(err)
 		}
-		t.last = err
-		if err := wait(ctx, p.timer, backoff); err != nil {
-			t.last = err
+		t.lastErr = err
+		if err := sleep(ctx, p.timer, backoff); err != nil {
+			t.lastErr = err
 			break
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
-	if t.indefinite {
-		return Accepted{}, &UnsettledError{PublishID: id, Cause: t.last}
+	if t.replyLost {
+		return PublishResult{}, &UnsettledError{PublishID: id, Cause: t.lastErr}
 	}
-	return Accepted{}, &BusyError{Attempts: publishAttempts}
+	return PublishResult{}, &BusyError{Attempts: publishAttempts}
 }
 
-// try is one publish over all its attempts.
-type try struct {
+// publication is one publish with all its attempts.
+type publication struct {
 	*Publisher
 	note   *schema.ReleaseNote
 	author string
 	id     PublishID
 
-	// base is the version since which other notes may clash.
+	// base is the version after which accepted notes may clash.
 	base    fleet.Version
-	started bool
-	// indefinite is true once an attempt's reply was lost.
-	indefinite bool
-	last       error
+	baseSet bool
+	// replyLost is true once the reply to a commit was lost.
+	replyLost bool
+	lastErr   error
 }
 
-// staleError is the error of a read that cannot be the newest.
-type staleError struct{ what string }
+// staleError reports a read that is known to be outdated.
+type staleError struct{ source string }
 
-func (e *staleError) Error() string { return "stale read of " + e.what }
+func (e *staleError) Error() string { return "stale read of " + e.source }
 
-// repeats reports whether another attempt may end otherwise.
-func (t *try) repeats(err error) bool {
+// shouldRetry reports whether another attempt may end differently.
+func (t *publication) shouldRetry(err error) bool {
 	var conflict *store.ConflictError
 	var stale *staleError
-	var lost *store.IndefiniteError
+	var indefinite *store.IndefiniteError
 	var unavailable *store.UnavailableError
 	switch {
-	case errors.As(err, &lost):
-		t.indefinite = true
+	case errors.As(err, &indefinite):
+		t.replyLost = true
 		return true
 	case errors.As(err, &conflict), errors.As(err, &stale):
 		return true
 	}
-	return t.indefinite && errors.As(err, &unavailable)
+	return t.replyLost && errors.As(err, &unavailable)
 }
 
-// settle returns the error of the whole publish. After a lost reply only an
-// acceptance or a confirmed refusal is an answer.
-func (t *try) settle(err error) error {
-	if err == nil || !t.indefinite || refuses(err) {
+// finalError returns the error of the whole publish. After a lost reply, only an
+// acceptance or a confirmed refusal settles the outcome.
+func (t *publication) finalError(err error) error {
+	if err == nil || !t.replyLost || isRefusal(err) {
 		return err
 	}
 	return &UnsettledError{PublishID: t.id, Cause: err}
 }
 
-// once makes one attempt.
-func (t *try) once(ctx context.Context) (Accepted, error) {
+// attempt makes one attempt.
+func (t *publication) attempt(ctx context.Context) (PublishResult, error) {
 	rows, err := t.store.read(ctx, publishKey(t.id), headKey)
 	if err != nil {
-		return Accepted{}, err
+		return PublishResult{}, err
 	}
 	if rows[0].Version > 0 {
-		return t.already(ctx, rows[0])
+		return t.acceptedEarlier(ctx, rows[0])
 	}
 	head, err := decodeHead(rows[1])
 	if err != nil {
-		return Accepted{}, err
+		return PublishResult{}, err
 	}
 	state, err := t.check(ctx, head)
-	if refuses(err) {
-		return Accepted{}, t.confirm(ctx, head, err)
+	if isRefusal(err) {
+		return PublishResult{}, t.confirmRefusal(ctx, head, err)
 	}
 	if err != nil {
-		return Accepted{}, err
+		return PublishResult{}, err
 	}
 	return t.commit(ctx, head, state)
 }
 
-// already returns the record of an earlier try that was accepted.
-func (t *try) already(ctx context.Context, row store.Row) (Accepted, error) {
-	mark := &schema.NoteHead{}
-	if err := decode(row, mark); err != nil {
-		return Accepted{}, err
+// acceptedEarlier returns the record of an earlier attempt that was accepted.
+func (t *publication) acceptedEarlier(ctx context.Context, row store.Row) (PublishResult, error) {
+	accepted := &schema.NoteHead{}
+	if err := decode(row, accepted); err != nil {
+		return PublishResult{}, err
 	}
-	record, err := t.store.Record(ctx, fleet.Version(mark.GetVersion()))
+	record, err := t.store.Record(ctx, fleet.Version(accepted.GetVersion()))
 	if err != nil {
-		return Accepted{}, err
+		return PublishResult{}, err
 	}
 	if record == nil {
-		return Accepted{}, &staleError{"an accepted note"}
+		return PublishResult{}, &staleError{"an accepted note"}
 	}
-	t.holder.Learn(record)
-	return Accepted{Record: record, Already: true}, nil
+	t.holder.ApplyRecords(record)
+	return PublishResult{Record: record, Already: true}, nil
 }
 
-// check returns the state at the head when the note can be accepted there.
-func (t *try) check(ctx context.Context, head Head) (*schema.FleetState, error) {
+// check returns the state at the head if the note can be accepted there.
+func (t *publication) check(ctx context.Context, head Head) (*schema.FleetState, error) {
 	version := fleet.Version(head.GetVersion())
-	if !t.started {
-		t.started = true
+	if !t.baseSet {
+		t.baseSet = true
 		t.base = version
-		if based := fleet.Version(t.note.GetBasedOn()); based > 0 {
-			t.base = based
+		if basedOn := fleet.Version(t.note.GetBasedOn()); basedOn > 0 {
+			t.base = basedOn
 		}
 	}
 	state, err := t.stateAt(ctx, head)
@@ -240,17 +245,17 @@
 		return nil, err
 	}
 	if t.base < version {
-		if err := t.clashes(ctx, version); err != nil {
+		if err := t.checkClashes(ctx, version); err != nil {
 			return nil, err
 		}
 	}
 	return state, Check(state, t.note)
 }
 
-// clashes compares the note with those that were accepted after its base.
-func (t *try) clashes(ctx context.Context, version fleet.Version) error {
-	if version-t.base > maxBehind {
-		return tooOld(t.base, version)
+// checkClashes compares the note with those accepted after its base.
+func (t *publication) checkClashes(ctx context.Context, version fleet.Version) error {
+	if version-t.base > maxRecordsBehind {
+		return tooOldError(t.base, version)
 	}
 	records, err := t.store.Records(ctx, t.base)
 	if err != nil {
@@ -266,12 +271,12 @@
 }
 
 // stateAt returns the fleet state at exactly the head's version.
-func (t *try) stateAt(ctx context.Context, head Head) (*schema.FleetState, error) {
+func (t *publication) stateAt(ctx context.Context, head Head) (*schema.FleetState, error) {
 	state := t.holder.state()
 	if state.GetVersion() > head.GetVersion() {
 		return nil, &staleError{"the head"}
 	}
-	snapshot, records, err := t.store.Newer(ctx, fleet.Version(state.GetVersion()), head)
+	snapshot, records, err := t.store.ReadUpdates(ctx, fleet.Version(state.GetVersion()), head)
 	if err != nil {
 		return nil, err
 	}
@@ -292,49 +297,50 @@
 	return state, nil
 }
 
-// confirm returns the refusal when it still holds for the newest head, and else
-// the error of a stale read. Without it, an operator whose note refers to an
-// entry of the note before could be told that the entry does not exist. It
-// also settles a lost reply: when the head is still where the refusal found it
-// and the publish id is unused, no earlier try was accepted; and none can be
-// any more, since a refusal after a lost reply is due to a later head.
-func (t *try) confirm(ctx context.Context, head Head, refusal error) error {
-	if err := t.store.table.Commit(ctx, store.Txn{Checks: t.checks(head)}); err != nil {
-		var lost *store.IndefiniteError
-		if errors.As(err, &lost) && !t.indefinite {
-			return &staleError{"the head"} // A transaction that writes nothing leaves nothing unsettled.
+// confirmRefusal returns the refusal if it still holds for the newest head, and
+// otherwise the error of a stale read. Without it, an operator whose note refers
+// to an entry of the note before could be told that the entry does not exist. It
+// also settles a lost reply: if the head is unchanged since the refusal and the
+// publish id is unused, no earlier attempt was accepted; and none can be any
+// more, since a refusal after a lost reply is due to a later head.
+func (t *publication) confirmRefusal(ctx context.Context, head Head, refusal error) error {
+	if err := t.store.table.Commit(ctx, store.Txn{Checks: t.preconditions(head)}); err != nil {
+		var indefinite *store.IndefiniteError
+		if errors.As(err, &indefinite) && !t.replyLost {
+			return &staleError{"the head"} // The transaction writes nothing, so its lost reply does not matter.
 		}
 		return err
 	}
 	return refusal
 }
 
-func (t *try) checks(head Head) []store.Check {
-	return []store.Check{{Key: headKey, Version: head.row}, {Key: publishKey(t.id)}}
+// preconditions require that the head is unchanged and the publish id unused.
+func (t *publication) preconditions(head Head) []store.Check {
+	return []store.Check{{Key: headKey, Version: head.rowVersion}, {Key: publishKey(t.id)}}
 }
 
-// commit makes the note the next version.
-func (t *try) commit(ctx context.Context, head Head, state *schema.FleetState) (Accepted, error) {
+// commit writes the note as the next version.
+func (t *publication) commit(ctx context.Context, head Head, state *schema.FleetState) (PublishResult, error) {
 	record := &schema.NoteRecord{
 		Version: head.GetVersion() + 1, Note: t.note, Author: t.author, PublishId: string(t.id),
 		AcceptedUnixMs: t.timer.Now().UnixMilli(), FirstNumber: state.GetLastNumber() + 1,
 	}
 	next := &schema.NoteHead{Version: record.GetVersion(), SnapshotVersion: head.GetSnapshotVersion(), PublishId: string(t.id)}
-	txn, err := t.transaction(head, next, record)
+	txn, err := t.buildTxn(head, next, record)
 	if err != nil {
-		return Accepted{}, err
+		return PublishResult{}, err
 	}
 	if err := t.store.table.Commit(ctx, txn); err != nil {
-		return Accepted{}, err
+		return PublishResult{}, err
 	}
-	t.holder.Learn(record)
-	t.snapshot(ctx, state, record)
-	return Accepted{Record: record}, nil
+	t.holder.ApplyRecords(record)
+	t.storeSnapshot(ctx, state, record)
+	return PublishResult{Record: record}, nil
 }
 
-func (t *try) transaction(head Head, next *schema.NoteHead, record *schema.NoteRecord) (store.Txn, error) {
+func (t *publication) buildTxn(head Head, next *schema.NoteHead, record *schema.NoteRecord) (store.Txn, error) {
 	key := recordKey(fleet.Version(record.GetVersion()))
-	txn := store.Txn{Checks: append(t.checks(head), store.Check{Key: key})}
+	txn := store.Txn{Checks: append(t.preconditions(head), store.Check{Key: key})}
 	for _, row := range []struct {
 		key     store.Key
 		message proto.Message
--- a/note/refuse.go
+++ b/note/refuse.go
@@ -11,55 +11,56 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// refuses reports whether an error is a refusal of the note itself.
-func refuses(err error) bool {
+// isRefusal reports whether an error refuses the note itself.
+func isRefusal(err error) bool {
 	var faults *document.FaultsError
 	var clash *ClashError
 	return errors.As(err, &faults) || errors.As(err, &clash)
 }
 
-func tooOld(base, version fleet.Version) error {
+func tooOldError(base, version fleet.Version) error {
 	return &document.FaultsError{Faults: []document.Fault{{
 		File: "release note", Path: "based-on", Kind: document.OutOfBounds, Found: fmt.Sprint(base),
-		Allowed: fmt.Sprintf("a version at most %d behind the newest, which is %d; look at the state again", maxBehind, version),
+		Allowed: fmt.Sprintf("a version at most %d behind the newest, which is %d; read the state again", maxRecordsBehind, version),
 	}}}
 }
 
-// wait returns when the delay has passed, or earlier with the context's error.
-func wait(ctx context.Context, t timer.Service, delay time.Duration) error {
-	passed := make(chan struct{})
-	subscription := t.After(delay, func(time.Time) { close(passed) })
+// sleep waits for the delay, or until the context ends and returns its error.
+func sleep(ctx context.Context, clock timer.Service, delay time.Duration) error {
+	elapsed := make(chan struct{})
+	subscription := clock.After(delay, func(time.Time) { close(elapsed) })
 	defer subscription.Cancel()
 	select {
-	case <-passed:
+	case <-elapsed:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Checked is a note that could be accepted.
-type Checked struct {
-	// Version is the one that it was checked against.
+// CheckResult is the result of checking a note that could be accepted.
+type CheckResult struct {
+	// Version is the version that the note was checked against.
 	Version fleet.Version
 	// ClashesUnchecked is true when the history could not be read.
 	ClashesUnchecked bool
 }
 
-// Check returns what Publish would say of a note against what is in force at
-// this router, without publishing it. It fails with *document.FaultsError or *ClashError.
-func (p *Publisher) Check(ctx context.Context, d *Document) (Checked, error) {
+// Check returns what Publish would return for a note at this router's current
+// version, without publishing it. It fails with *document.FaultsError or
+// *ClashError.
+func (p *Publisher) Check(ctx context.Context, d *Document) (CheckResult, error) {
 	state := p.holder.state()
-	result := Checked{Version: fleet.Version(state.GetVersion())}
+	result := CheckResult{Version: fleet.Version(state.GetVersion())}
 	if err := CheckDocument(state, d); err != nil {
 		return result, err
 	}
-	t := &try{Publisher: p, note: d.Message, base: fleet.Version(d.Message.GetBasedOn())}
+	t := &publication{Publisher: p, note: d.Message, base: fleet.Version(d.Message.GetBasedOn())}
 	if t.base == 0 || t.base >= result.Version {
 		return result, nil
 	}
-	err := t.clashes(ctx, result.Version)
-	if refuses(err) {
+	err := t.checkClashes(ctx, result.Version)
+	if isRefusal(err) {
 		return result, err
 	}
 	result.ClashesUnchecked = err != nil
--- a/note/snapshot.go
+++ b/note/snapshot.go
@@ -11,16 +11,16 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// snapshotAttempts bounds the tries to move the head to a new snapshot. When
-// all fail the next publish makes another snapshot.
+// snapshotAttempts bounds the attempts to point the head to a new snapshot. When
+// all fail, the next publish makes another snapshot.
 const snapshotAttempts = 3
 
-// snapshot puts the state after a record into the object store and moves the
-// head to it, when one is due. The note is accepted whether or not this
-// succeeds: a router that starts can do without, with more records to read.
-func (p *Publisher) snapshot(ctx context.Context, before *schema.FleetState, record *schema.NoteRecord) {
+// storeSnapshot stores the state after a record as a snapshot, when one is due,
+// and points the head to it. The note is accepted even if this fails: a starting
+// router then has more records to read.
+func (p *Publisher) storeSnapshot(ctx context.Context, before *schema.FleetState, record *schema.NoteRecord) {
 	head, err := p.store.Head(ctx)
-	if err != nil || !SnapshotDue(head.NoteHead, p.every) {
+	if err != nil || !SnapshotDue(head.NoteHead, p.snapshotInterval) {
 		return
 	}
 	state, err := Apply(before, record)
@@ -36,14 +36,15 @@
 		p.holder.log.Warn("snapshot not stored", "version", version, "reason", err)
 		return
 	}
-	if err := p.moveSnapshot(ctx, version); err != nil {
-		p.holder.log.Warn("snapshot not used", "version", version, "reason", err)
+	if err := p.setHeadSnapshot(ctx, version); err != nil {
+		p.holder.log.Warn("head not moved to snapshot", "version", version, "reason", err)
 	}
 }
 
-// moveSnapshot makes the head name a snapshot, unless it names a newer one.
-// Only the snapshot's version in the row changes, on condition that the row did not.
-func (p *Publisher) moveSnapshot(ctx context.Context, version fleet.Version) error {
+// setHeadSnapshot points the head to a snapshot, unless it already names a newer
+// one. Only the snapshot version of the row changes, on condition that the row
+// is unchanged.
+func (p *Publisher) setHeadSnapshot(ctx context.Context, version fleet.Version) error {
 	var err error
 	for range snapshotAttempts {
 		var head Head
@@ -59,7 +60,7 @@
 			return err
 		}
 		err = p.store.table.Commit(ctx, store.Txn{
-			Checks: []store.Check{{Key: headKey, Version: head.row}},
+			Checks: []store.Check{{Key: headKey, Version: head.rowVersion}},
 			Writes: []store.Write{{Key: headKey, Value: value}},
 		})
 		var conflict *store.ConflictError
--- a/note/store.go
+++ b/note/store.go
@@ -13,9 +13,9 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// Rows and objects. Versions have twenty digits, so that the order of keys is
-// that of versions. Nothing is ever removed: at 17,000 notes a day of one
-// account each, 156 bytes, records and publish ids come to 4 MB a day.
+// Keys of rows and names of objects. Versions have twenty digits, so that keys
+// sort by version. Nothing is ever removed: at 17,000 notes a day of one account
+// each, 156 bytes, records and publish ids come to 4 MB a day.
 const (
 	headKey       store.Key = "note-head"
 	recordPrefix  store.Key = "note/"
@@ -30,8 +30,8 @@
 
 func snapshotName(version fleet.Version) string { return fmt.Sprintf("note-snapshot/%020d", version) }
 
-// Store reads release notes from the platform's table and object store. What
-// it reads may be older than what was read before.
+// Store reads release notes from the platform's table and object store. A read
+// may return older data than an earlier one.
 type Store struct {
 	table   store.Table
 	objects store.Objects
@@ -42,14 +42,14 @@
 	return &Store{table: table, objects: objects}
 }
 
-// Head is the head row at the version of the row.
+// Head is the content of the head row, with the version of the row.
 type Head struct {
 	*schema.NoteHead
-	row store.RowVersion
+	rowVersion store.RowVersion
 }
 
-// Head returns the head row. Its version is zero when no note was accepted. It
-// fails with *store.UnavailableError.
+// Head returns the head row. Its note version is zero when no note was accepted.
+// It fails with *store.UnavailableError.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	rows, err := s.read(ctx, headKey)
 	if err != nil {
@@ -59,7 +59,7 @@
 }
 
 func decodeHead(row store.Row) (Head, error) {
-	head := Head{NoteHead: &schema.NoteHead{}, row: row.Version}
+	head := Head{NoteHead: &schema.NoteHead{}, rowVersion: row.Version}
 	err := decode(row, head.NoteHead)
 	return head, err
 }
@@ -71,11 +71,12 @@
 		return nil, err
 	}
 	if len(rows) != len(keys) {
-		return nil, eris.Errorf("the table answered %d rows for %d keys", len(rows), len(keys))
+		return nil, eris.Errorf("the table returned %d rows for %d keys", len(rows), len(keys))
 	}
 	return rows, nil
 }
 
+// decode leaves the message empty when the row does not exist.
 func decode(row store.Row, m proto.Message) error {
 	if row.Version == 0 {
 		return nil
@@ -88,7 +89,7 @@
 const pageSize = 256
 
 // Records returns the accepted notes after a version, in order and without a
-// gap, as far as the table tells of them now.
+// gap, as far as the table returns them now.
 func (s *Store) Records(ctx context.Context, after fleet.Version) ([]*schema.NoteRecord, error) {
 	var records []*schema.NoteRecord
 	for {
@@ -113,7 +114,7 @@
 	}
 }
 
-// Record returns one accepted note, or nil when the table does not tell of it.
+// Record returns one accepted note, or nil when the table does not return it.
 func (s *Store) Record(ctx context.Context, version fleet.Version) (*schema.NoteRecord, error) {
 	records, err := s.records(ctx, version)
 	if err != nil {
@@ -123,7 +124,7 @@
 }
 
 // History returns at most limit accepted notes before a version, newest first.
-// Before zero means from the newest on.
+// Zero for before starts at the newest note.
 func (s *Store) History(ctx context.Context, before fleet.Version, limit int) ([]*schema.NoteRecord, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
@@ -137,12 +138,12 @@
 	for v := newest; v > 0 && len(versions) < limit; v-- {
 		versions = append(versions, v)
 	}
-	found, err := s.records(ctx, versions...)
+	candidates, err := s.records(ctx, versions...)
 	if err != nil {
 		return nil, err
 	}
 	var records []*schema.NoteRecord
-	for _, record := range found {
+	for _, record := range candidates {
 		if record != nil {
 			records = append(records, record)
 		}
@@ -150,7 +151,8 @@
 	return records, nil
 }
 
-// records returns the notes of the versions, nil for those that the table does not tell of.
+// records returns the notes of the versions, nil for those that the table does
+// not return.
 func (s *Store) records(ctx context.Context, versions ...fleet.Version) ([]*schema.NoteRecord, error) {
 	if len(versions) == 0 {
 		return nil, nil
@@ -176,7 +178,7 @@
 	return records, nil
 }
 
-// Snapshot returns the fleet state that the object store holds for a version.
+// Snapshot returns the fleet state that is stored as the snapshot of a version.
 // It fails with *store.NotFoundError or *store.UnavailableError.
 func (s *Store) Snapshot(ctx context.Context, version fleet.Version) (*schema.FleetState, error) {
 	data, err := s.objects.Get(ctx, snapshotName(version))
@@ -193,32 +195,33 @@
 	return state, nil
 }
 
-// Newer returns what leads from the held version to the head: a snapshot, nil
-// when none is needed, and the records after it. It may lead less far, or
-// further, than the head.
-func (s *Store) Newer(ctx context.Context, held fleet.Version, head Head) (*schema.FleetState, []*schema.NoteRecord, error) {
-	fetch := Plan(held, head.NoteHead)
-	if !fetch.Needed {
+// ReadUpdates returns what is needed to get from the held version to the head: a
+// snapshot, or nil when none is needed, and the records after it. The result may
+// end before or after the head.
+func (s *Store) ReadUpdates(ctx context.Context, held fleet.Version, head Head) (*schema.FleetState, []*schema.NoteRecord, error) {
+	plan := PlanFetch(held, head.NoteHead)
+	if !plan.Needed {
 		return nil, nil, nil
 	}
 	var state *schema.FleetState
-	if fetch.Snapshot > 0 {
+	if plan.SnapshotVersion > 0 {
 		var err error
-		if state, err = s.Snapshot(ctx, fetch.Snapshot); err != nil && !fallsBack(err) {
+		if state, err = s.Snapshot(ctx, plan.SnapshotVersion); err != nil && !canFallBackToRecords(err) {
 			return nil, nil, err
 		}
 	}
 	after := held
 	if state != nil {
-		after = fetch.Snapshot
+		after = plan.SnapshotVersion
 	}
 	records, err := s.Records(ctx, after)
 	return state, records, err
 }
 
-// fallsBack reports whether a snapshot that cannot be had is made up for by
-// all records. The object store and the table can fail one without the other.
-func fallsBack(err error) bool {
+// canFallBackToRecords reports whether reading all records can replace a
+// snapshot that failed to load. The object store and the table can fail
+// independently.
+func canFallBackToRecords(err error) bool {
 	var missing *store.NotFoundError
 	var unavailable *store.UnavailableError
 	return errors.As(err, &missing) || errors.As(err, &unavailable)
--- a/note/view.go
+++ b/note/view.go
@@ -1,5 +1,5 @@
-// Package note holds what release notes put in force: the immutable view
-// that traffic reads, and how notes are checked, published and spread.
+// Package note checks, publishes and distributes release notes, and holds the
+// fleet state that they result in: an immutable view that traffic reads.
 package note
 
 import (
@@ -10,69 +10,70 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// View is the fleet state at one version, indexed for traffic. It is immutable.
+// View is the fleet state at one version, indexed for serving traffic. It is
+// immutable.
 type View struct {
-	state     *schema.FleetState
-	accounts  map[fleet.AccountID]*schema.Account
-	byKey     map[string]*schema.Account
-	services  map[fleet.ServiceID]*schema.Service
-	upstreams map[fleet.ServiceID][]*schema.Upstream
-	byNumber  map[fleet.Number]any
+	state             *schema.FleetState
+	accounts          map[fleet.AccountID]*schema.Account
+	accountsByKeyHash map[string]*schema.Account
+	services          map[fleet.ServiceID]*schema.Service
+	upstreams         map[fleet.ServiceID][]*schema.Upstream
+	entriesByNumber   map[fleet.Number]any
 }
 
-// Source gives the view in force.
+// Source provides the current view.
 type Source interface {
-	// Current returns the view in force, nil while none is held.
+	// Current returns the current view, or nil before the first one.
 	Current() *View
 }
 
 // NewView returns the view of a state. The state must not change afterwards.
 func NewView(state *schema.FleetState) *View {
 	v := &View{
-		state:     state,
-		accounts:  make(map[fleet.AccountID]*schema.Account, len(state.GetAccounts())),
-		byKey:     make(map[string]*schema.Account, len(state.GetAccounts())),
-		services:  make(map[fleet.ServiceID]*schema.Service, len(state.GetServices())),
-		upstreams: make(map[fleet.ServiceID][]*schema.Upstream, len(state.GetServices())),
-		byNumber:  make(map[fleet.Number]any, len(state.GetAccounts())),
+		state:             state,
+		accounts:          make(map[fleet.AccountID]*schema.Account, len(state.GetAccounts())),
+		accountsByKeyHash: make(map[string]*schema.Account, len(state.GetAccounts())),
+		services:          make(map[fleet.ServiceID]*schema.Service, len(state.GetServices())),
+		upstreams:         make(map[fleet.ServiceID][]*schema.Upstream, len(state.GetServices())),
+		entriesByNumber:   make(map[fleet.Number]any, len(state.GetAccounts())),
 	}
 	for _, a := range state.GetAccounts() {
 		v.addAccount(a)
 	}
 	for _, s := range state.GetServices() {
 		v.services[fleet.ServiceID(s.GetId())] = s
-		v.byNumber[fleet.Number(s.GetNumber())] = s
+		v.entriesByNumber[fleet.Number(s.GetNumber())] = s
 	}
 	for _, u := range state.GetUpstreams() {
 		service := fleet.ServiceID(u.GetService())
 		v.upstreams[service] = append(v.upstreams[service], u)
-		v.byNumber[fleet.Number(u.GetNumber())] = u
+		v.entriesByNumber[fleet.Number(u.GetNumber())] = u
 	}
 	return v
 }
 
 func (v *View) addAccount(a *schema.Account) {
 	v.accounts[fleet.AccountID(a.GetId())] = a
-	v.byNumber[fleet.Number(a.GetNumber())] = a
+	v.entriesByNumber[fleet.Number(a.GetNumber())] = a
 	for _, hash := range a.GetKeySha256() {
-		v.byKey[hash] = a
+		v.accountsByKeyHash[hash] = a
 	}
 }
 
 // Version returns the version of the last release note in the view.
 func (v *View) Version() fleet.Version { return fleet.Version(v.state.GetVersion()) }
 
-// State returns the state behind the view, which must not be changed.
+// State returns the underlying state, which must not be modified.
 func (v *View) State() *schema.FleetState { return v.state }
 
-// HashKey returns the form in which a release note holds an account's key.
+// HashKey returns the hash by which a release note lists an account's key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// AccountByKey returns the account that a presented key belongs to, or nil.
-func (v *View) AccountByKey(key string) *schema.Account { return v.byKey[HashKey(key)] }
+// AccountByKey returns the account with the given key, or nil.
+func (v *View) AccountByKey(key string) *schema.Account { return v.accountsByKeyHash[HashKey(key)] }
 
 // Account returns an account by its id, or nil.
 func (v *View) Account(id fleet.AccountID) *schema.Account { return v.accounts[id] }
@@ -80,23 +81,24 @@
 // Service returns a service by its id, or nil.
 func (v *View) Service(id fleet.ServiceID) *schema.Service { return v.services[id] }
 
-// Upstreams returns the upstreams of a service, leaving ones included.
+// Upstreams returns the upstreams of a service, including those that are
+// leaving.
 func (v *View) Upstreams(service fleet.ServiceID) []*schema.Upstream { return v.upstreams[service] }
 
 // AccountByNumber returns an account by its number, or nil.
 func (v *View) AccountByNumber(n fleet.Number) *schema.Account {
-	a, _ := v.byNumber[n].(*schema.Account)
+	a, _ := v.entriesByNumber[n].(*schema.Account)
 	return a
 }
 
 // ServiceByNumber returns a service by its number, or nil.
 func (v *View) ServiceByNumber(n fleet.Number) *schema.Service {
-	s, _ := v.byNumber[n].(*schema.Service)
+	s, _ := v.entriesByNumber[n].(*schema.Service)
 	return s
 }
 
 // UpstreamByNumber returns an upstream by its number, or nil.
 func (v *View) UpstreamByNumber(n fleet.Number) *schema.Upstream {
-	u, _ := v.byNumber[n].(*schema.Upstream)
+	u, _ := v.entriesByNumber[n].(*schema.Upstream)
 	return u
 }
