--- a/settings/contradiction.go
+++ b/settings/contradiction.go
@@ -11,32 +11,32 @@
 
 type settingsDocument = document.Document[*schema.RouterSettings]
 
-// contradictions adds the faults that lie between several values.
-func contradictions(d *settingsDocument) {
-	deadlines(d)
-	queueBounds(d)
-	addresses(d)
-	operators(d)
+// checkContradictions adds faults for values that contradict each other.
+func checkContradictions(d *settingsDocument) {
+	checkDeadlines(d)
+	checkQueueLimits(d)
+	checkAddresses(d)
+	checkOperatorKeys(d)
 }
 
-func deadlines(d *settingsDocument) {
+func checkDeadlines(d *settingsDocument) {
 	callers := d.Message.GetCallers()
-	chosen, highest := callers.GetDefaultDeadlineMs(), callers.GetMaxDeadlineMs()
-	if chosen == 0 || highest == 0 || chosen <= highest {
+	defaultMs, maxMs := callers.GetDefaultDeadlineMs(), callers.GetMaxDeadlineMs()
+	if defaultMs == 0 || maxMs == 0 || defaultMs <= maxMs {
 		return
 	}
-	d.Add("callers.default-deadline-ms", document.Contradiction, fmt.Sprint(chosen),
-		fmt.Sprintf("at most callers.max-deadline-ms, which is %d", highest))
+	d.Add("callers.default-deadline-ms", document.Contradiction, fmt.Sprint(defaultMs),
+		fmt.Sprintf("at most callers.max-deadline-ms, which is %d", maxMs))
 }
 
-func queueBounds(d *settingsDocument) {
+func checkQueueLimits(d *settingsDocument) {
 	queue := d.Message.GetQueue()
-	one, all := queue.GetMaxWaiting(), queue.GetMaxWaitingTotal()
-	if one == 0 || all == 0 || one <= all {
+	perAccount, total := queue.GetMaxWaiting(), queue.GetMaxWaitingTotal()
+	if perAccount == 0 || total == 0 || perAccount <= total {
 		return
 	}
-	d.Add("queue.max-waiting", document.Contradiction, fmt.Sprint(one),
-		fmt.Sprintf("at most queue.max-waiting-total, which is %d", all))
+	d.Add("queue.max-waiting", document.Contradiction, fmt.Sprint(perAccount),
+		fmt.Sprintf("at most queue.max-waiting-total, which is %d", total))
 }
 
 // listener is one of the addresses that a router listens on.
@@ -46,9 +46,9 @@
 	port string
 }
 
-// addresses looks for addresses that cannot all be listened on, or that other
-// routers cannot connect to.
-func addresses(d *settingsDocument) {
+// checkAddresses finds addresses that cannot be listened on together, or that
+// other routers cannot connect to.
+func checkAddresses(d *settingsDocument) {
 	s := d.Message
 	var earlier []listener
 	for _, field := range []struct{ path, address string }{
@@ -58,7 +58,7 @@
 	} {
 		host, port, err := net.SplitHostPort(field.address)
 		if err != nil {
-			continue // Missing or malformed, which the schema's rule reported.
+			continue // The schema's rule has reported the address as missing or malformed.
 		}
 		l := listener{field.path, host, port}
 		checkPort(d, l)
@@ -69,7 +69,7 @@
 		}
 		earlier = append(earlier, l)
 	}
-	if host, _, err := net.SplitHostPort(s.GetPeerAddress()); err == nil && wildcard(host) {
+	if host, _, err := net.SplitHostPort(s.GetPeerAddress()); err == nil && isWildcard(host) {
 		d.Add("peer-address", document.NotAllowed, strconv.Quote(s.GetPeerAddress()), "a host that other routers reach, not all interfaces")
 	}
 }
@@ -83,22 +83,23 @@
 	}
 }
 
-// collides reports whether two listeners want the same port of the same host.
-// Port 0 asks the kernel for a free one, so that two of them never collide.
+// collides reports whether two listeners need the same port of the same host.
+// Port 0 asks the kernel for a free one and never collides.
 func (l listener) collides(other listener) bool {
 	if l.port != other.port || l.port == "0" {
 		return false
 	}
-	return l.host == other.host || wildcard(l.host) || wildcard(other.host)
+	return l.host == other.host || isWildcard(l.host) || isWildcard(other.host)
 }
 
-func wildcard(host string) bool {
+func isWildcard(host string) bool {
 	return host == "" || net.ParseIP(host).IsUnspecified()
 }
 
-// operators looks for two operators with one name, whose changes the history
-// could not tell apart, and for two with one key, of which the second would never be found.
-func operators(d *settingsDocument) {
+// checkOperatorKeys finds operators with the same name, whose changes the
+// history could not tell apart, and operators with the same key, of which only
+// one would be found.
+func checkOperatorKeys(d *settingsDocument) {
 	names, keys := map[string]int{}, map[string]int{}
 	for i, operator := range d.Message.GetOperatorKeys() {
 		path := fmt.Sprintf("operator-keys[%d]", i)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file of a router, finds contradictions
-// in it, and knows the default of each value that the file may leave out.
+// Package settings reads the settings file of a router, finds contradictions in
+// it, and provides the default of each optional value.
 package settings
 
 import (
@@ -10,7 +10,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// The defaults. Those of the callers' bounds are in bytes.
+// Defaults of optional values. Bodies and headers are in bytes.
 const (
 	defaultStopGrace       = time.Minute
 	defaultStopNotice      = 2 * time.Second
@@ -25,72 +25,73 @@
 	defaultSharing         = "fair"
 )
 
-// Read returns the settings in data, or *document.FaultsError with everything
-// that is wrong with them. The name of the file is only shown in faults.
+// Read returns the settings in data, or *document.FaultsError with all faults.
+// The file name is only shown in faults.
 func Read(file string, data []byte) (*schema.RouterSettings, error) {
 	d := document.Parse[*schema.RouterSettings](file, data)
-	contradictions(d)
+	checkContradictions(d)
 	if err := d.Err(); err != nil {
 		return nil, err
 	}
 	return d.Message, nil
 }
 
-// StopGrace returns the bound of a graceful shutdown.
+// StopGrace returns the time limit of a graceful shutdown.
 func StopGrace(s *schema.RouterSettings) time.Duration {
-	return duration(s.GetStopGraceMs(), defaultStopGrace)
+	return durationOrDefault(s.GetStopGraceMs(), defaultStopGrace)
 }
 
-// StopNotice returns how long a stopping router goes on serving after its
-// readiness is off.
+// StopNotice returns how long a stopping router continues to serve after it
+// reports that it is not ready.
 func StopNotice(s *schema.RouterSettings) time.Duration {
-	return duration(s.GetStopNoticeMs(), defaultStopNotice)
+	return durationOrDefault(s.GetStopNoticeMs(), defaultStopNotice)
 }
 
-// PlatformTimeout returns the bound of one call to the platform.
+// PlatformTimeout returns the time limit of one call to the platform.
 func PlatformTimeout(s *schema.RouterSettings) time.Duration {
-	return duration(s.GetPlatform().GetTimeoutMs(), defaultPlatformTimeout)
+	return durationOrDefault(s.GetPlatform().GetTimeoutMs(), defaultPlatformTimeout)
 }
 
-// MaxBody returns the bound of a request body in bytes.
+// MaxBody returns the maximum size of a request body in bytes.
 func MaxBody(s *schema.RouterSettings) int64 {
 	return int64(orDefault(s.GetCallers().GetMaxBodyBytes(), defaultMaxBody))
 }
 
-// MaxHeader returns the bound of a request header in bytes.
+// MaxHeader returns the maximum size of a request header in bytes.
 func MaxHeader(s *schema.RouterSettings) int {
 	return int(orDefault(s.GetCallers().GetMaxHeaderBytes(), defaultMaxHeader))
 }
 
-// BodyTimeout returns the bound of the time that a caller takes to send its request.
+// BodyTimeout returns the time limit for a caller to send its request body.
 func BodyTimeout(s *schema.RouterSettings) time.Duration {
-	return duration(s.GetCallers().GetBodyTimeoutMs(), defaultBodyTimeout)
+	return durationOrDefault(s.GetCallers().GetBodyTimeoutMs(), defaultBodyTimeout)
 }
 
-// DefaultDeadline returns the deadline of a caller that names none. Where only
-// the maximum is set and is lower than the default, it is the maximum.
+// DefaultDeadline returns the deadline of a request without one. If only the
+// maximum is set and is below the default, the maximum applies.
 func DefaultDeadline(s *schema.RouterSettings) time.Duration {
-	deadline := duration(s.GetCallers().GetDefaultDeadlineMs(), defaultDeadline)
+	deadline := durationOrDefault(s.GetCallers().GetDefaultDeadlineMs(), defaultDeadline)
 	return min(deadline, MaxDeadline(s))
 }
 
-// MaxDeadline returns the longest deadline that a caller may ask for. Where
-// only the default deadline is set and is higher, it is that one.
+// MaxDeadline returns the longest deadline that a caller may request. If only
+// the default deadline is set and is above the maximum, it is the maximum too.
 func MaxDeadline(s *schema.RouterSettings) time.Duration {
 	if s.GetCallers().GetMaxDeadlineMs() > 0 {
-		return duration(s.GetCallers().GetMaxDeadlineMs(), 0)
+		return durationOrDefault(s.GetCallers().GetMaxDeadlineMs(), 0)
 	}
-	return max(defaultMaxDeadline, duration(s.GetCallers().GetDefaultDeadlineMs(), 0))
+	return max(defaultMaxDeadline, durationOrDefault(s.GetCallers().GetDefaultDeadlineMs(), 0))
 }
 
-// MaxWaiting returns the bound of one account's waiting requests at this router.
+// MaxWaiting returns the maximum number of waiting requests of one account at
+// this router. It is at most MaxWaitingTotal.
 func MaxWaiting(s *schema.RouterSettings) int {
 	waiting := int(orDefault(s.GetQueue().GetMaxWaiting(), defaultMaxWaiting))
 	return min(waiting, MaxWaitingTotal(s))
 }
 
-// MaxWaitingTotal returns the bound of all waiting requests at this router.
-// Where only the bound of one account is set and is higher, it is that one.
+// MaxWaitingTotal returns the maximum number of waiting requests at this router.
+// If only the maximum of one account is set and is higher, that applies.
 func MaxWaitingTotal(s *schema.RouterSettings) int {
 	if s.GetQueue().GetMaxWaitingTotal() > 0 {
 		return int(s.GetQueue().GetMaxWaitingTotal())
@@ -98,7 +99,7 @@
 	return max(defaultMaxWaitingTotal, int(s.GetQueue().GetMaxWaiting()))
 }
 
-// Sharing returns the name of the way that capacity is shared.
+// Sharing returns the name of the policy by which capacity is shared.
 func Sharing(s *schema.RouterSettings) string {
 	if s.GetSharing() == "" {
 		return defaultSharing
@@ -106,7 +107,7 @@
 	return s.GetSharing()
 }
 
-// LogLevel returns the lowest level that is logged, by default info.
+// LogLevel returns the minimum log level, by default info.
 func LogLevel(s *schema.RouterSettings) slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(s.GetLogLevel())); err != nil {
@@ -115,16 +116,16 @@
 	return level
 }
 
-func duration(ms uint32, otherwise time.Duration) time.Duration {
+func durationOrDefault(ms uint32, fallback time.Duration) time.Duration {
 	if ms == 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-func orDefault(value, otherwise uint32) uint32 {
+func orDefault(value, fallback uint32) uint32 {
 	if value == 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -23,26 +23,26 @@
 	require.Equal(t, "router-1", s.GetId())
 }
 
-// The example states each default; an operator who leaves a field out relies on it.
+// The example shows each default. Operators who omit a field rely on it.
 func TestExampleShowsTheDefaults(t *testing.T) {
 	t.Parallel()
 	data, err := os.ReadFile("../examples/router.jsonc")
 	require.NoError(t, err)
 	shown, err := settings.Read("router.jsonc", data)
 	require.NoError(t, err)
-	left := &schema.RouterSettings{}
-	require.Equal(t, settings.StopGrace(shown), settings.StopGrace(left))
-	require.Equal(t, settings.StopNotice(shown), settings.StopNotice(left))
-	require.Equal(t, settings.PlatformTimeout(shown), settings.PlatformTimeout(left))
-	require.Equal(t, settings.MaxBody(shown), settings.MaxBody(left))
-	require.Equal(t, settings.MaxHeader(shown), settings.MaxHeader(left))
-	require.Equal(t, settings.BodyTimeout(shown), settings.BodyTimeout(left))
-	require.Equal(t, settings.DefaultDeadline(shown), settings.DefaultDeadline(left))
-	require.Equal(t, settings.MaxDeadline(shown), settings.MaxDeadline(left))
-	require.Equal(t, settings.MaxWaiting(shown), settings.MaxWaiting(left))
-	require.Equal(t, settings.MaxWaitingTotal(shown), settings.MaxWaitingTotal(left))
-	require.Equal(t, settings.Sharing(shown), settings.Sharing(left))
-	require.Equal(t, settings.LogLevel(shown), settings.LogLevel(left))
+	empty := &schema.RouterSettings{}
+	require.Equal(t, settings.StopGrace(shown), settings.StopGrace(empty))
+	require.Equal(t, settings.StopNotice(shown), settings.StopNotice(empty))
+	require.Equal(t, settings.PlatformTimeout(shown), settings.PlatformTimeout(empty))
+	require.Equal(t, settings.MaxBody(shown), settings.MaxBody(empty))
+	require.Equal(t, settings.MaxHeader(shown), settings.MaxHeader(empty))
+	require.Equal(t, settings.BodyTimeout(shown), settings.BodyTimeout(empty))
+	require.Equal(t, settings.DefaultDeadline(shown), settings.DefaultDeadline(empty))
+	require.Equal(t, settings.MaxDeadline(shown), settings.MaxDeadline(empty))
+	require.Equal(t, settings.MaxWaiting(shown), settings.MaxWaiting(empty))
+	require.Equal(t, settings.MaxWaitingTotal(shown), settings.MaxWaitingTotal(empty))
+	require.Equal(t, settings.Sharing(shown), settings.Sharing(empty))
+	require.Equal(t, settings.LogLevel(shown), settings.LogLevel(empty))
 }
 
 func TestDefaultsFollowTheOtherBound(t *testing.T) {
