--- a/operator/client.go
+++ b/operator/client.go
@@ -22,22 +22,23 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Client speaks to the administration API of any of several routers, in turn
-// until one answers.
+// Client calls the administration API of several routers, trying one after
+// another until one answers.
 type Client struct {
 	urls []string
 	key  string
 	http *http.Client
 }
 
-// clientTimeout bounds one request to one router. It lets a publish end by its own bound.
+// clientTimeout bounds one request to one router. It exceeds publishTimeout, so
+// that a publish ends by its own timeout.
 const clientTimeout = publishTimeout + 5*time.Second
 
-// readTimeout bounds a request that changes nothing at one router. A router
-// that is frozen takes connections and answers nothing; the next one is asked.
-const readTimeout = 5 * time.Second
+// readOnlyTimeout bounds a read-only request to one router. A frozen router
+// accepts connections but does not answer; the next one is tried after that.
+const readOnlyTimeout = 5 * time.Second
 
-// NewClient returns a Client that presents key to the routers whose
+// NewClient returns a Client that authenticates with key at the routers whose
 // administration addresses are at the URLs.
 func NewClient(key string, urls ...string) *Client {
 	trimmed := make([]string, len(urls))
@@ -47,22 +48,22 @@
 	return &Client{urls: trimmed, key: key, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// AnswerError is the error of a request that a router answered but did not do.
+// AnswerError reports a request that a router answered with an error.
 type AnswerError struct {
 	URL    string
 	Status int
 	Detail *schema.OperatorError
 }
 
-// Error returns what the router says.
+// Error returns the router's status, reason and message.
 func (e *AnswerError) Error() string {
 	return fmt.Sprintf("%s answered %d, %s: %s", e.URL, e.Status, e.Detail.GetReason(), e.Detail.GetMessage())
 }
 
-// Reason returns why the router did not do it.
+// Reason returns the router's reason.
 func (e *AnswerError) Reason() Reason { return Reason(e.Detail.GetReason()) }
 
-// UnreachableError is the error of a request that no router answered.
+// UnreachableError reports a request that no router answered.
 type UnreachableError struct {
 	// Causes holds the error of each router that was tried, in order.
 	Causes []error
@@ -73,11 +74,11 @@
 	return "no router answered: " + errors.Join(e.Causes...).Error()
 }
 
-// Publish publishes the release note in data. Each router is tried with the
-// same publish id, so that a try whose reply is lost is found out about by the
-// next one, and nothing is published twice. It fails with *AnswerError or
+// Publish publishes the release note in data. It tries each router with the same
+// publish id, so that the next router can find out about an attempt whose reply
+// was lost, and nothing is published twice. It fails with *AnswerError or
 // *UnreachableError when nothing was accepted, and with *note.UnsettledError
-// when that could not be found out; a later Publish with the same id finds out.
+// when the outcome is unknown; a later Publish with the same id finds it out.
 func (c *Client) Publish(ctx context.Context, data []byte, id note.PublishID) (*schema.PublishAnswer, error) {
 	answer := &schema.PublishAnswer{}
 	header := http.Header{}
@@ -87,10 +88,10 @@
 	}
 	var causes []error
 	unsettled := false
-	for range publishRounds {
+	for range maxPublishRounds {
 		for _, base := range c.urls {
 			err := c.publishAt(ctx, base, data, header, answer)
-			if final(err, unsettled) {
+			if isFinal(err, unsettled) {
 				return answer, err
 			}
 			unsettled = unsettled || mayHaveArrived(err)
@@ -103,11 +104,12 @@
 	if unsettled {
 		return nil, &note.UnsettledError{PublishID: id, Cause: errors.Join(causes...)}
 	}
-	return nil, lastAnswer(causes)
+	return nil, lastResponseError(causes)
 }
 
-// publishRounds is how often all routers are tried when the outcome is not known.
-const publishRounds = 2
+// maxPublishRounds is how often all routers are tried while the outcome is
+// unknown.
+const maxPublishRounds = 2
 
 func (c *Client) publishAt(ctx context.Context, base string, data []byte, header http.Header, answer *schema.PublishAnswer) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/notes", bytes.NewReader(data))
@@ -118,10 +120,10 @@
 	return c.do(request, base, answer)
 }
 
-// final reports whether a try settles the publish. After a try whose reply was
-// lost only an acceptance does, or a refusal of the note itself, which a router
-// gives only when no earlier try was accepted or can still be.
-func final(err error, unsettled bool) bool {
+// isFinal reports whether an attempt settles the publish. After a lost reply,
+// only an acceptance does, or a refusal of the note itself, which a router
+// returns only when no earlier attempt was accepted or can still be.
+func isFinal(err error, unsettled bool) bool {
 	if err == nil {
 		return true
 	}
@@ -131,8 +133,8 @@
 	}
 	switch answered.Reason() {
 	case Invalid:
-		// A router finds faults of the text itself without asking what became
-		// of an earlier try; but with these no try can have been accepted.
+		// A router reports faults of the text without checking the outcome of
+		// earlier attempts; but a note with these cannot have been accepted.
 		return true
 	case Clashing:
 		return true
@@ -142,18 +144,20 @@
 	return false
 }
 
-// mayHaveArrived reports whether a router may have received the note and may have accepted it.
+// mayHaveArrived reports whether a router may have received and accepted the
+// note.
 func mayHaveArrived(err error) bool {
 	var answered *AnswerError
 	if errors.As(err, &answered) {
 		return answered.Reason() == Unsettled || answered.Reason() == Internal
 	}
-	var dial *net.OpError
-	return !errors.As(err, &dial) || dial.Op != "dial"
+	var opErr *net.OpError
+	return !errors.As(err, &opErr) || opErr.Op != "dial"
 }
 
-// lastAnswer returns the last answer among the errors, or that no router answered.
-func lastAnswer(causes []error) error {
+// lastResponseError returns the last error that a router answered with, or
+// *UnreachableError when none answered.
+func lastResponseError(causes []error) error {
 	for i := len(causes) - 1; i >= 0; i-- {
 		var answered *AnswerError
 		if errors.As(causes[i], &answered) {
@@ -163,14 +167,14 @@
 	return &UnreachableError{Causes: causes}
 }
 
-// Check asks a router whether it would accept the release note in data.
+// Check returns whether a router would accept the release note in data.
 func (c *Client) Check(ctx context.Context, data []byte) (*schema.CheckAnswer, error) {
 	answer := &schema.CheckAnswer{}
-	return answer, c.inTurn(ctx, http.MethodPost, "/v1/notes/check", data, answer)
+	return answer, c.tryRouters(ctx, http.MethodPost, "/v1/notes/check", data, answer)
 }
 
-// History returns at most limit notes before a version, newest first. Zero
-// stands for the newest version and for the router's limit.
+// History returns at most limit notes before a version, newest first. A zero
+// before starts at the newest note, and a zero limit is the router's default.
 func (c *Client) History(ctx context.Context, before uint64, limit int) (*schema.NoteList, error) {
 	query := url.Values{}
 	if before > 0 {
@@ -213,65 +217,66 @@
 	return state, c.get(ctx, "/v1/state", state)
 }
 
-// Routers returns the fleet as the first router that answers sees it.
+// Routers returns the fleet as seen by the first router that answers.
 func (c *Client) Routers(ctx context.Context) (*schema.RouterList, error) {
 	list := &schema.RouterList{}
 	return list, c.get(ctx, "/v1/routers", list)
 }
 
 func (c *Client) get(ctx context.Context, path string, answer proto.Message) error {
-	return c.inTurn(ctx, http.MethodGet, path, nil, answer)
+	return c.tryRouters(ctx, http.MethodGet, path, nil, answer)
 }
 
-// inTurn makes a request that changes nothing at one router after the other,
-// until one answers other than that it cannot now.
-func (c *Client) inTurn(ctx context.Context, method, path string, body []byte, answer proto.Message) error {
+// tryRouters sends a read-only request to one router after another, until one
+// succeeds or answers with an error below status 500.
+func (c *Client) tryRouters(ctx context.Context, method, path string, body []byte, answer proto.Message) error {
 	var causes []error
 	for _, base := range c.urls {
-		err := c.read(ctx, method, base, path, body, answer)
+		err := c.doWithTimeout(ctx, method, base, path, body, answer)
 		var answered *AnswerError
 		if err == nil || (errors.As(err, &answered) && answered.Status < http.StatusInternalServerError) {
 			return err
 		}
 		causes = append(causes, err)
 	}
-	return lastAnswer(causes)
+	return lastResponseError(causes)
 }
 
-func (c *Client) read(ctx context.Context, method, base, path string, body []byte, answer proto.Message) error {
-	bounded, cancel := context.WithTimeout(ctx, readTimeout)
+func (c *Client) doWithTimeout(ctx context.Context, method, base, path string, body []byte, answer proto.Message) error {
+	requestCtx, cancel := context.WithTimeout(ctx, readOnlyTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(bounded, method, base+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(requestCtx, method, base+path, bytes.NewReader(body))
 	if err != nil {
 		return eris.Wrap(err, path)
 	}
 	return c.do(request, base, answer)
 }
 
-// maxAnswerBytes bounds an answer: the list of 36,000 accounts with their load has less than 20 MB.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds a response: the list of 36,000 accounts with their
+// load has less than 20 MB.
+const maxResponseBytes = 64 << 20
 
-// do makes one request and reads the answer. It fails with *AnswerError when
-// the router answers with anything but a success.
+// do sends one request and decodes the response. It fails with *AnswerError when
+// the router does not answer with success.
 func (c *Client) do(request *http.Request, base string, answer proto.Message) error {
-	request.Header.Set(echo.HeaderAuthorization, bearer+c.key)
+	request.Header.Set(echo.HeaderAuthorization, bearerPrefix+c.key)
 	response, err := c.http.Do(request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return eris.Wrapf(err, "the answer of %s is not whole", base)
+		return eris.Wrapf(err, "incomplete response from %s", base)
 	}
 	lenient := protojson.UnmarshalOptions{DiscardUnknown: true}
 	if response.StatusCode < http.StatusMultipleChoices {
-		return eris.Wrapf(lenient.Unmarshal(data, answer), "the answer of %s", base)
+		return eris.Wrapf(lenient.Unmarshal(data, answer), "response from %s", base)
 	}
 	body := &schema.OperatorErrorBody{}
 	if err := lenient.Unmarshal(data, body); err != nil || body.GetError() == nil {
 		return &AnswerError{URL: base, Status: response.StatusCode, Detail: &schema.OperatorError{
-			Reason: string(Internal), Message: "the answer is not from a router's administration address",
+			Reason: string(Internal), Message: "the response is not from a router's administration address",
 		}}
 	}
 	return &AnswerError{URL: base, Status: response.StatusCode, Detail: body.GetError()}
--- a/operator/failure.go
+++ b/operator/failure.go
@@ -14,7 +14,7 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// Reason is why the API did not do what it was asked.
+// Reason is why the API did not fulfil a request.
 type Reason string
 
 // The reasons.
@@ -23,11 +23,13 @@
 	BadRequest   Reason = "bad-request"
 	BodyTooLarge Reason = "body-too-large"
 	NotFound     Reason = "not-found"
-	// Invalid is a release note with faults. Nothing of it was accepted.
+	// Invalid is a release note with faults. No part of it was accepted.
 	Invalid Reason = "invalid"
-	// Clashing is a release note that clashes with accepted ones. Nothing of it was accepted.
+	// Clashing is a release note that clashes with accepted ones. No part of it
+	// was accepted.
 	Clashing Reason = "clash"
-	// Busy is a release note that others kept overtaking. Nothing of it was accepted.
+	// Busy is a release note that kept losing to other notes. No part of it was
+	// accepted.
 	Busy Reason = "busy"
 	// Unavailable means that the platform's table is down. Nothing was changed.
 	Unavailable Reason = "unavailable"
@@ -38,14 +40,14 @@
 	Internal Reason = "internal"
 )
 
-// Reasons lists every reason, for counters that start at zero.
+// Reasons returns every reason, so that their counters exist from the start.
 func Reasons() []Reason {
 	return []Reason{
 		Denied, BadRequest, BodyTooLarge, NotFound, Invalid, Clashing, Busy, Unavailable, Unsettled, NotReady, Internal,
 	}
 }
 
-// failure is an answer that is no success.
+// failure is an error response.
 type failure struct {
 	status int
 	detail *schema.OperatorError
@@ -54,52 +56,53 @@
 // Error returns the reason and the message.
 func (f *failure) Error() string { return f.detail.GetReason() + ": " + f.detail.GetMessage() }
 
-// retryAfter is when to come back after an outage or a run of conflicts. An
-// operator's command tries the other routers meanwhile.
+// retryAfter is how long to wait after an outage or repeated conflicts.
+// Meanwhile an operator's command tries the other routers.
 const retryAfter = 2 * time.Second
 
-func failed(status int, reason Reason, message string) *failure {
+func newFailure(status int, reason Reason, message string) *failure {
 	return &failure{status, &schema.OperatorError{Reason: string(reason), Message: message}}
 }
 
-func failedForNow(status int, reason Reason, message string) *failure {
-	f := failed(status, reason, message)
+func newRetryableFailure(status int, reason Reason, message string) *failure {
+	f := newFailure(status, reason, message)
 	f.detail.RetryAfterMs = uint32(retryAfter.Milliseconds())
 	return f
 }
 
-// failureOf returns the answer to an error.
-func failureOf(err error) *failure {
-	var known *failure
-	if errors.As(err, &known) {
-		return known
+// failureFor returns the response to an error.
+func failureFor(err error) *failure {
+	var existing *failure
+	if errors.As(err, &existing) {
+		return existing
 	}
 	if f := noteFailure(err); f != nil {
 		return f
 	}
 	var unavailable *store.UnavailableError
 	if errors.As(err, &unavailable) {
-		return failedForNow(http.StatusServiceUnavailable, Unavailable, "the platform cannot be reached; this request changed nothing")
+		return newRetryableFailure(http.StatusServiceUnavailable, Unavailable, "the platform cannot be reached; this request changed nothing")
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return failed(http.StatusRequestEntityTooLarge, BodyTooLarge, "a release note takes at most "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
+		return newFailure(http.StatusRequestEntityTooLarge, BodyTooLarge, "a release note has at most "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
 	}
-	var routing *echo.HTTPError
-	if errors.As(err, &routing) {
-		return routingFailure(routing)
+	var httpErr *echo.HTTPError
+	if errors.As(err, &httpErr) {
+		return routingFailure(httpErr)
 	}
-	return failed(http.StatusInternalServerError, Internal, "the router could not answer; its log says why")
+	return newFailure(http.StatusInternalServerError, Internal, "internal error; the router's log has the cause")
 }
 
 func routingFailure(err *echo.HTTPError) *failure {
 	if err.Code == http.StatusNotFound || err.Code == http.StatusMethodNotAllowed {
-		return failed(err.Code, NotFound, http.StatusText(err.Code))
+		return newFailure(err.Code, NotFound, http.StatusText(err.Code))
 	}
-	return failed(err.Code, BadRequest, http.StatusText(err.Code))
+	return newFailure(err.Code, BadRequest, http.StatusText(err.Code))
 }
 
-// noteFailure returns the answer to a release note that was not accepted, or nil for another error.
+// noteFailure returns the response to a release note that was not accepted, or
+// nil for any other error.
 func noteFailure(err error) *failure {
 	var faults *document.FaultsError
 	var clash *note.ClashError
@@ -111,9 +114,9 @@
 	case errors.As(err, &clash):
 		return clashFailure(clash)
 	case errors.As(err, &busy):
-		return failedForNow(http.StatusServiceUnavailable, Busy, busy.Error())
+		return newRetryableFailure(http.StatusServiceUnavailable, Busy, busy.Error())
 	case errors.As(err, &unsettled):
-		f := failedForNow(http.StatusGatewayTimeout, Unsettled, "it is not known whether the note was accepted; publish it again with the same publish id to find out, which never publishes it twice")
+		f := newRetryableFailure(http.StatusGatewayTimeout, Unsettled, "it is not known whether the note was accepted; publish it again with the same publish id to find out, which never publishes it twice")
 		f.detail.PublishId = string(unsettled.PublishID)
 		return f
 	}
@@ -122,7 +125,7 @@
 
 func faultsFailure(err *document.FaultsError) *failure {
 	detail := &schema.OperatorError{
-		Reason: string(Invalid), Message: "the release note was not accepted because of its faults", Dropped: uint32(err.Dropped),
+		Reason: string(Invalid), Message: "the release note has faults and was not accepted", Dropped: uint32(err.Dropped),
 	}
 	for _, f := range err.Faults {
 		detail.Faults = append(detail.Faults, &schema.NoteFault{
@@ -134,7 +137,7 @@
 
 func clashFailure(err *note.ClashError) *failure {
 	detail := &schema.OperatorError{
-		Reason: string(Clashing), Message: "the release note was not accepted: others touched the same entries", BasedOn: uint64(err.BasedOn),
+		Reason: string(Clashing), Message: "the release note was not accepted: others changed the same entries", BasedOn: uint64(err.BasedOn),
 	}
 	for _, c := range err.Clashes {
 		detail.Clashes = append(detail.Clashes, &schema.NoteClash{
@@ -144,10 +147,11 @@
 	return &failure{http.StatusConflict, detail}
 }
 
-// fail answers a request that ended in an error.
-func (a *api) fail(err error, c echo.Context) {
-	f := failureOf(err)
-	a.answers.WithLabelValues(f.detail.GetReason()).Inc()
+// handleError sends the response to a request that failed, counts it and logs
+// it.
+func (a *api) handleError(err error, c echo.Context) {
+	f := failureFor(err)
+	a.errorsByReason.WithLabelValues(f.detail.GetReason()).Inc()
 	a.Log.InfoContext(c.Request().Context(), "administration request failed",
 		"method", c.Request().Method, "path", c.Path(), "author", author(c), "reason", f.detail.GetReason(), "error", err)
 	if c.Response().Committed {
@@ -157,5 +161,5 @@
 		seconds := (time.Duration(ms)*time.Millisecond + time.Second - 1) / time.Second
 		c.Response().Header().Set(echo.HeaderRetryAfter, strconv.FormatInt(int64(seconds), 10))
 	}
-	_ = answer(c, f.status, &schema.OperatorErrorBody{Error: f.detail}) // The connection is gone; nobody is left to tell.
+	_ = writeJSON(c, f.status, &schema.OperatorErrorBody{Error: f.detail}) // A failed write means that the connection is gone.
 }
--- a/operator/key.go
+++ b/operator/key.go
@@ -12,7 +12,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// keyring finds the operator that a key belongs to.
+// keyring maps keys to operators.
 type keyring []keyOwner
 
 type keyOwner struct {
@@ -25,16 +25,16 @@
 	for _, key := range keys {
 		hash, err := hex.DecodeString(key.GetKeySha256())
 		if err != nil || len(hash) != sha256.Size {
-			continue // The settings' check refuses such a key.
+			continue // Reading the settings rejects such a key.
 		}
 		ring = append(ring, keyOwner{key.GetName(), hash})
 	}
 	return ring
 }
 
-// owner returns the operator of a key, or nothing. Its time does not depend on
-// how much of a hash agrees, nor on which key is found: a caller who could time
-// it would find out a key's hash piece by piece.
+// owner returns the name of the operator with a key, or nothing. Its time
+// depends neither on how much of a hash matches nor on which key does: otherwise
+// a caller could work out a hash piece by piece by timing.
 func (r keyring) owner(key string) string {
 	presented := sha256.Sum256([]byte(key))
 	name := ""
@@ -47,29 +47,29 @@
 }
 
 const (
-	bearer    = "Bearer "
-	authorKey = "author"
+	bearerPrefix     = "Bearer "
+	authorContextKey = "author"
 )
 
-// authenticate lets a request pass when it presents an operator key, whose
-// owner is the author of what it does.
+// authenticate admits requests with an operator key. The operator that it
+// belongs to is recorded as the author.
 func (a *api) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		header := c.Request().Header.Get(echo.HeaderAuthorization)
-		key, ok := strings.CutPrefix(header, bearer)
+		key, ok := strings.CutPrefix(header, bearerPrefix)
 		name := a.keys.owner(key)
 		if !ok || name == "" {
-			c.Response().Header().Set(echo.HeaderWWWAuthenticate, strings.TrimSpace(bearer))
+			c.Response().Header().Set(echo.HeaderWWWAuthenticate, strings.TrimSpace(bearerPrefix))
 			return &failure{http.StatusUnauthorized, &schema.OperatorError{
-				Reason: string(Denied), Message: "present an operator key that the router's settings list, as Authorization: Bearer KEY",
+				Reason: string(Denied), Message: "an operator key from the router's settings is required, as Authorization: Bearer KEY",
 			}}
 		}
-		c.Set(authorKey, name)
+		c.Set(authorContextKey, name)
 		return next(c)
 	}
 }
 
 func author(c echo.Context) string {
-	name, _ := c.Get(authorKey).(string)
+	name, _ := c.Get(authorContextKey).(string)
 	return name
 }
--- a/operator/notes.go
+++ b/operator/notes.go
@@ -18,8 +18,8 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// answer sends a message in its standard JSON form.
-func answer(c echo.Context, status int, m proto.Message) error {
+// writeJSON responds with a message in its standard JSON form.
+func writeJSON(c echo.Context, status int, m proto.Message) error {
 	data, err := protojson.Marshal(m)
 	if err != nil {
 		return err
@@ -27,26 +27,27 @@
 	return c.Blob(status, echo.MIMEApplicationJSON, data)
 }
 
-// documentName stands for the release note in faults; the sender knows its file.
+// documentName is the file name in faults. The sender knows which file it is.
 const documentName = "release note"
 
-// readNote reads the body as a release note, with its faults.
+// readNote reads the request body as a release note with its faults.
 func readNote(c echo.Context) (*note.Document, error) {
 	request, writer := c.Request(), c.Response().Writer
-	// A command that stops in the middle of its body would hold the connection for good.
-	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(bodyTimeout)) // Not every writer can; it then has no bound of its own.
+	// Without a deadline, a command that stops in the middle of its body would
+	// hold the connection forever.
+	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(bodyTimeout)) // Not every writer supports deadlines; without one the body has no time limit here.
 	data, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, document.MaxBytes))
 	if err != nil {
-		if f := failureOf(err); f.detail.GetReason() == string(BodyTooLarge) {
+		if f := failureFor(err); f.detail.GetReason() == string(BodyTooLarge) {
 			return nil, f
 		}
-		return nil, failed(http.StatusBadRequest, BadRequest, "the request's body did not arrive whole")
+		return nil, newFailure(http.StatusBadRequest, BadRequest, "the request body is incomplete")
 	}
 	return document.Parse[*schema.ReleaseNote](documentName, data), nil
 }
 
-// locate gives the faults of a note their places in the document.
-func locate(d *note.Document, err error) error {
+// locateFaults adds positions in the document to the faults of a note.
+func locateFaults(d *note.Document, err error) error {
 	faults, ok := err.(*document.FaultsError) //nolint:errorlint // Wrapped faults keep the text around them.
 	if !ok {
 		return err
@@ -60,7 +61,7 @@
 		id = note.NewPublishID()
 	}
 	if !id.Valid() {
-		return failed(http.StatusBadRequest, BadRequest, PublishIDHeader+" takes 32 lower-case hex digits")
+		return newFailure(http.StatusBadRequest, BadRequest, PublishIDHeader+" must be 32 lower-case hex digits")
 	}
 	d, err := readNote(c)
 	if err != nil {
@@ -69,32 +70,32 @@
 	if err := d.Err(); err != nil {
 		return err
 	}
-	if err := compareFrom(c, d.Message); err != nil {
+	if err := setBasedOn(c, d.Message); err != nil {
 		return err
 	}
-	// The publish goes on when the operator's command goes away, so that its
-	// outcome is settled here as far as it can be.
+	// The publish continues when the operator's command disconnects, so that its
+	// outcome is found out here as far as possible.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Request().Context()), publishTimeout)
 	defer cancel()
 	accepted, err := a.Publisher.Publish(ctx, d.Message, author(c), id)
 	if err != nil {
-		return locate(d, err)
+		return locateFaults(d, err)
 	}
 	a.Log.InfoContext(ctx, "release note accepted", "version", accepted.Record.GetVersion(), "author", accepted.Record.GetAuthor(), "publish-id", id, "already", accepted.Already)
 	status := http.StatusCreated
 	if accepted.Already {
 		status = http.StatusOK
 	}
-	return answer(c, status, &schema.PublishAnswer{
+	return writeJSON(c, status, &schema.PublishAnswer{
 		Version: accepted.Record.GetVersion(), Already: accepted.Already, Author: accepted.Record.GetAuthor(), PublishId: string(id),
 	})
 }
 
-// compareFrom gives a note that names no version the one that the command
-// began with. Without it, a repeat of a publish that was lost on its way would
-// overwrite what another operator published in between.
-func compareFrom(c echo.Context, n *schema.ReleaseNote) error {
-	version, err := number(c.Request().Header.Get(BasedOnHeader), BasedOnHeader, 0, math.MaxUint64)
+// setBasedOn sets the base version of a note without one to the version at which
+// the command began. Without it, retrying a publish that was lost on its way
+// would overwrite what another operator published meanwhile.
+func setBasedOn(c echo.Context, n *schema.ReleaseNote) error {
+	version, err := parseUint(c.Request().Header.Get(BasedOnHeader), BasedOnHeader, 0, math.MaxUint64)
 	if err != nil {
 		return err
 	}
@@ -113,20 +114,20 @@
 	if err != nil {
 		return err
 	}
-	return answer(c, http.StatusOK, &schema.CheckAnswer{Version: uint64(result.Version), ClashesUnchecked: result.ClashesUnchecked})
+	return writeJSON(c, http.StatusOK, &schema.CheckAnswer{Version: uint64(result.Version), ClashesUnchecked: result.ClashesUnchecked})
 }
 
 const (
-	defaultHistory = 20
-	maxHistory     = 200
+	defaultHistoryLimit = 20
+	maxHistoryLimit     = 200
 )
 
 func (a *api) history(c echo.Context) error {
-	before, err := number(c.QueryParam("before"), "before", 0, math.MaxUint64)
+	before, err := parseUint(c.QueryParam("before"), "before", 0, math.MaxUint64)
 	if err != nil {
 		return err
 	}
-	limit, err := number(c.QueryParam("limit"), "limit", defaultHistory, maxHistory)
+	limit, err := parseUint(c.QueryParam("limit"), "limit", defaultHistoryLimit, maxHistoryLimit)
 	if err != nil {
 		return err
 	}
@@ -134,11 +135,11 @@
 	if err != nil {
 		return err
 	}
-	return answer(c, http.StatusOK, &schema.NoteList{Notes: records})
+	return writeJSON(c, http.StatusOK, &schema.NoteList{Notes: records})
 }
 
 func (a *api) record(c echo.Context) error {
-	version, err := number(c.Param("version"), "version", 0, math.MaxUint64)
+	version, err := parseUint(c.Param("version"), "version", 0, math.MaxUint64)
 	if err != nil {
 		return err
 	}
@@ -147,19 +148,19 @@
 		return err
 	}
 	if record == nil {
-		return failed(http.StatusNotFound, NotFound, "there is no release note "+strconv.FormatUint(version, 10))
+		return newFailure(http.StatusNotFound, NotFound, "there is no release note "+strconv.FormatUint(version, 10))
 	}
-	return answer(c, http.StatusOK, record)
+	return writeJSON(c, http.StatusOK, record)
 }
 
-// number returns the whole number in text, or otherwise when there is none.
-func number(text, name string, otherwise, highest uint64) (uint64, error) {
+// parseUint parses a whole number, with a default for an empty text.
+func parseUint(text, name string, fallback, maximum uint64) (uint64, error) {
 	if text == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
-	if err != nil || n > highest {
-		return 0, failed(http.StatusBadRequest, BadRequest, name+" takes a whole number of at most "+strconv.FormatUint(highest, 10))
+	if err != nil || n > maximum {
+		return 0, newFailure(http.StatusBadRequest, BadRequest, name+" must be a whole number of at most "+strconv.FormatUint(maximum, 10))
 	}
 	return n, nil
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the administration API of a router over HTTP, and the
-// client of it that the operators' commands use.
+// Package operator provides the HTTP administration API of a router, and the
+// client that the operators' commands use.
 package operator
 
 import (
@@ -15,73 +15,75 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// State is what the administration API tells of the router that it runs in.
+// State provides the state of the router that the administration API reports.
 type State interface {
-	// Ready returns why the router takes no requests, or nothing when it does.
+	// Ready returns why the router does not accept requests, or nothing when it
+	// does.
 	Ready() (reason string)
 	// Router returns the state of this router.
 	Router() *schema.RouterState
 	// Routers returns the fleet as this router sees it, itself included.
 	Routers() []*schema.RouterState
-	// Accounts returns the work of accounts at this router. An account without
-	// any may be left out.
+	// Accounts returns the load of accounts at this router. Accounts without load
+	// may be omitted.
 	Accounts() map[fleet.AccountID]*schema.AccountLoad
-	// Upstreams returns what this router knows of upstreams.
+	// Upstreams returns the load of upstreams as known to this router.
 	Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad
 }
 
-// Options are the parts that the API works with. All but the last three are needed.
+// Options are the dependencies of the API. All but the last three are required.
 type Options struct {
 	Keys      []*schema.OperatorKey
 	Store     *note.Store
 	Publisher *note.Publisher
 	Holder    *note.Holder
 	State     State
-	// Metrics answers /metrics.
+	// Metrics serves /metrics.
 	Metrics http.Handler
-	// Registry takes the counter of answers by reason.
+	// Registry receives the counter of errors by reason.
 	Registry prometheus.Registerer
 	// Log is the default logger when nil.
 	Log *slog.Logger
 }
 
 const (
-	// PublishIDHeader names one wish to publish over all its repeats.
+	// PublishIDHeader identifies one publish over all its retries.
 	PublishIDHeader = "nutmeglock-publish-id"
-	// BasedOnHeader is the version that a note is compared with when it names
-	// none itself: the one in force when the operator's command began.
+	// BasedOnHeader is the base version of a note that names none itself: the
+	// current version when the operator's command began.
 	BasedOnHeader = "nutmeglock-based-on"
 )
 
 const (
-	// publishTimeout bounds a publish. The tries of one wait 3.5 s between them at most.
+	// publishTimeout bounds a publish. Its retries wait at most 3.5 s in total.
 	publishTimeout = 10 * time.Second
-	// bodyTimeout bounds the time that an operator's command takes to send a note of up to 8 MB.
+	// bodyTimeout bounds the time for an operator's command to send a note of up
+	// to 8 MB.
 	bodyTimeout = 30 * time.Second
 )
 
 type api struct {
 	Options
-	keys    keyring
-	answers *prometheus.CounterVec
+	keys           keyring
+	errorsByReason *prometheus.CounterVec
 }
 
-// New returns the handler of the administration address.
+// New returns the HTTP handler of the administration API.
 func New(options Options) http.Handler {
-	a := &api{Options: options, keys: newKeyring(options.Keys), answers: prometheus.NewCounterVec(prometheus.CounterOpts{
+	a := &api{Options: options, keys: newKeyring(options.Keys), errorsByReason: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: "nutmeglock", Name: "operator_errors_total", Help: "Answers of the administration API that were no success, by reason.",
 	}, []string{"reason"})}
 	if a.Log == nil {
 		a.Log = slog.Default()
 	}
 	for _, reason := range Reasons() {
-		a.answers.WithLabelValues(string(reason))
+		a.errorsByReason.WithLabelValues(string(reason))
 	}
 	if options.Registry != nil {
-		options.Registry.MustRegister(a.answers)
+		options.Registry.MustRegister(a.errorsByReason)
 	}
 	e := echo.New()
-	e.HTTPErrorHandler = a.fail
+	e.HTTPErrorHandler = a.handleError
 	e.GET("/healthz", a.health)
 	e.GET("/readyz", a.ready)
 	if options.Metrics != nil {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -24,17 +24,18 @@
 
 const key = "the key of aino"
 
-type nothing struct{ holder *note.Holder }
+// fakeState is a State with fixed values.
+type fakeState struct{ holder *note.Holder }
 
-func (nothing) Ready() string { return "" }
-func (n nothing) Router() *schema.RouterState {
-	return &schema.RouterState{Id: "r", NoteVersion: uint64(n.holder.Version())}
+func (fakeState) Ready() string { return "" }
+func (s fakeState) Router() *schema.RouterState {
+	return &schema.RouterState{Id: "r", NoteVersion: uint64(s.holder.Version())}
 }
-func (nothing) Routers() []*schema.RouterState { return []*schema.RouterState{{Id: "r"}} }
-func (nothing) Accounts() map[fleet.AccountID]*schema.AccountLoad {
+func (fakeState) Routers() []*schema.RouterState { return []*schema.RouterState{{Id: "r"}} }
+func (fakeState) Accounts() map[fleet.AccountID]*schema.AccountLoad {
 	return map[fleet.AccountID]*schema.AccountLoad{"a": {Waiting: 3}}
 }
-func (nothing) Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad { return nil }
+func (fakeState) Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad { return nil }
 
 type fixture struct {
 	platform *memory.Platform
@@ -42,15 +43,15 @@
 	url      string
 }
 
-func start(t *testing.T) *fixture {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{platform: memory.New(timer.System{}), registry: prometheus.NewRegistry()}
-	f.url = f.router(t)
+	f.url = f.startRouter(t)
 	return f
 }
 
-// router starts the API of one more router and returns its URL.
-func (f *fixture) router(t *testing.T) string {
+// startRouter starts the API of another router and returns its URL.
+func (f *fixture) startRouter(t *testing.T) string {
 	t.Helper()
 	store := note.NewStore(f.platform, f.platform)
 	holder := note.NewHolder(note.HolderOptions{Self: "r", Store: store})
@@ -58,7 +59,7 @@
 		Keys: []*schema.OperatorKey{
 			{Name: "juma", KeySha256: note.HashKey("another key")}, {Name: "aino", KeySha256: note.HashKey(key)},
 		},
-		Store: store, Holder: holder, State: nothing{holder},
+		Store: store, Holder: holder, State: fakeState{holder},
 		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Holder: holder}),
 		Registry:  f.registry,
 		Log:       slog.New(slog.DiscardHandler),
@@ -68,31 +69,31 @@
 	return server.URL
 }
 
-func account(id string) []byte {
+func accountNote(id string) []byte {
 	return []byte(`{"summary": "` + id + `", // A comment.
 		"added": {"accounts": [{"id": "` + id + `", "key-sha256": ["` + note.HashKey(id) + `"]}]}}`)
 }
 
-func weight(n string) []byte {
+func weightNote(n string) []byte {
 	return []byte(`{"summary": "weight ` + n + `", "based-on": 1,
 		"changed": {"accounts": [{"id": "a", "weight": ` + n + `, "key-sha256": ["` + note.HashKey("a") + `"]}]}}`)
 }
 
 func TestPublishAndHistory(t *testing.T) {
 	t.Parallel()
-	f := start(t)
+	f := newFixture(t)
 	client := operator.NewClient(key, f.url)
 	id := note.NewPublishID()
-	answer, err := client.Publish(t.Context(), account("a"), id)
+	answer, err := client.Publish(t.Context(), accountNote("a"), id)
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), answer.GetVersion())
 	require.Equal(t, "aino", answer.GetAuthor())
 
-	answer, err = client.Publish(t.Context(), account("a"), id)
+	answer, err = client.Publish(t.Context(), accountNote("a"), id)
 	require.NoError(t, err)
 	require.True(t, answer.GetAlready())
 
-	_, err = client.Publish(t.Context(), account("b"), note.NewPublishID())
+	_, err = client.Publish(t.Context(), accountNote("b"), note.NewPublishID())
 	require.NoError(t, err)
 	list, err := client.History(t.Context(), 0, 1)
 	require.NoError(t, err)
@@ -107,48 +108,48 @@
 	require.Equal(t, uint32(3), accounts.GetAccounts()[0].GetLoad().GetWaiting())
 }
 
-func reason(t *testing.T, err error) *operator.AnswerError {
+func requireAnswerError(t *testing.T, err error) *operator.AnswerError {
 	t.Helper()
 	var answered *operator.AnswerError
 	require.ErrorAs(t, err, &answered)
 	return answered
 }
 
-func TestFaultsComeBackWithTheirPlaces(t *testing.T) {
+func TestFaultsIncludePositions(t *testing.T) {
 	t.Parallel()
-	f := start(t)
+	f := newFixture(t)
 	client := operator.NewClient(key, f.url)
 	text := []byte("{\n  \"summary\": \"\",\n  \"withdrawn\": {\"accounts\": [\"a\"]},\n}")
 	for _, do := range []func() error{
 		func() error { _, err := client.Publish(t.Context(), text, note.NewPublishID()); return err },
 		func() error { _, err := client.Check(t.Context(), text); return err },
 	} {
-		answered := reason(t, do())
+		answered := requireAnswerError(t, do())
 		require.Equal(t, http.StatusUnprocessableEntity, answered.Status)
 		require.NotEmpty(t, answered.Detail.GetFaults())
 		require.Equal(t, uint32(2), answered.Detail.GetFaults()[0].GetLine())
 	}
 	_, err := client.Publish(t.Context(), []byte("{\"summary\": \"x\",\n  \"withdrawn\": {\"accounts\": [\"a\"]}}"), note.NewPublishID())
-	require.Equal(t, uint32(2), reason(t, err).Detail.GetFaults()[0].GetLine())
+	require.Equal(t, uint32(2), requireAnswerError(t, err).Detail.GetFaults()[0].GetLine())
 }
 
-// Two operators change one account from the same version. The second is told
-// which entry, by whom and in which version.
-func TestClashesComeBackWithTheirAuthor(t *testing.T) {
+// Two operators change one account from the same version. The second is told of
+// the entry, the first operator and the version.
+func TestClashesIncludeTheirAuthor(t *testing.T) {
 	t.Parallel()
-	f := start(t)
-	_, err := operator.NewClient(key, f.url).Publish(t.Context(), account("a"), note.NewPublishID())
+	f := newFixture(t)
+	_, err := operator.NewClient(key, f.url).Publish(t.Context(), accountNote("a"), note.NewPublishID())
 	require.NoError(t, err)
-	_, err = operator.NewClient("another key", f.url).Publish(t.Context(), weight("2"), note.NewPublishID())
+	_, err = operator.NewClient("another key", f.url).Publish(t.Context(), weightNote("2"), note.NewPublishID())
 	require.NoError(t, err)
 	for _, do := range []func() error{
 		func() error {
-			_, err := operator.NewClient(key, f.url).Publish(t.Context(), weight("3"), note.NewPublishID())
+			_, err := operator.NewClient(key, f.url).Publish(t.Context(), weightNote("3"), note.NewPublishID())
 			return err
 		},
-		func() error { _, err := operator.NewClient(key, f.url).Check(t.Context(), weight("3")); return err },
+		func() error { _, err := operator.NewClient(key, f.url).Check(t.Context(), weightNote("3")); return err },
 	} {
-		answered := reason(t, do())
+		answered := requireAnswerError(t, do())
 		require.Equal(t, http.StatusConflict, answered.Status)
 		require.Equal(t, operator.Clashing, answered.Reason())
 		clash := answered.Detail.GetClashes()[0]
@@ -156,14 +157,14 @@
 	}
 }
 
-// The first router accepts the note, but its answer is lost on the way, such as
-// by a balancer that restarts. The command goes on to the second router, which
-// has to say that the note was accepted, not publish it again or call it a clash.
-func TestALostAnswerIsSettledByTheNextRouter(t *testing.T) {
+// The first router accepts the note, but its response is lost, for instance in a
+// load balancer that restarts. The next router must report that the note was
+// accepted, and neither publish it again nor report a clash.
+func TestLostResponseIsResolvedByTheNextRouter(t *testing.T) {
 	t.Parallel()
-	f := start(t)
+	f := newFixture(t)
 	first := f.url
-	losing := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	droppingServer := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		request, err := http.NewRequestWithContext(r.Context(), r.Method, first+r.URL.Path, r.Body)
 		if err == nil {
 			request.Header = r.Header
@@ -174,61 +175,61 @@
 		}
 		panic(http.ErrAbortHandler)
 	}))
-	t.Cleanup(losing.Close)
-	answer, err := operator.NewClient(key, losing.URL, f.router(t)).Publish(t.Context(), account("a"), note.NewPublishID())
+	t.Cleanup(droppingServer.Close)
+	answer, err := operator.NewClient(key, droppingServer.URL, f.startRouter(t)).Publish(t.Context(), accountNote("a"), note.NewPublishID())
 	require.NoError(t, err)
 	require.True(t, answer.GetAlready())
 	require.Equal(t, uint64(1), answer.GetVersion())
 
 	var unsettled *note.UnsettledError
-	_, err = operator.NewClient(key, losing.URL).Publish(t.Context(), account("b"), note.NewPublishID())
+	_, err = operator.NewClient(key, droppingServer.URL).Publish(t.Context(), accountNote("b"), note.NewPublishID())
 	require.ErrorAs(t, err, &unsettled)
 }
 
 // A publish is lost before it reaches the first router; meanwhile another
-// operator changes the same account. The repeat at the next router must not
-// overwrite that change unseen, though the note names no version.
-func TestARepeatOverwritesNothing(t *testing.T) {
+// operator changes the same account. Retrying it at the next router must not
+// overwrite that change, although the note names no base version.
+func TestRetryDoesNotOverwriteAnotherChange(t *testing.T) {
 	t.Parallel()
-	f := start(t)
-	_, err := operator.NewClient(key, f.url).Publish(t.Context(), account("a"), note.NewPublishID())
+	f := newFixture(t)
+	_, err := operator.NewClient(key, f.url).Publish(t.Context(), accountNote("a"), note.NewPublishID())
 	require.NoError(t, err)
-	next := f.router(t)
-	losing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	next := f.startRouter(t)
+	droppingServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			http.Redirect(w, r, f.url+r.URL.Path, http.StatusTemporaryRedirect)
 			return
 		}
-		_, err := operator.NewClient("another key", f.url).Publish(r.Context(), weight("2"), note.NewPublishID())
+		_, err := operator.NewClient("another key", f.url).Publish(r.Context(), weightNote("2"), note.NewPublishID())
 		if err != nil {
 			t.Error(err)
 		}
 		panic(http.ErrAbortHandler)
 	}))
-	t.Cleanup(losing.Close)
-	ours := []byte(strings.Replace(string(weight("3")), `"based-on": 1,`, "", 1))
-	_, err = operator.NewClient(key, losing.URL, next).Publish(t.Context(), ours, note.NewPublishID())
-	require.Equal(t, operator.Clashing, reason(t, err).Reason())
+	t.Cleanup(droppingServer.Close)
+	retried := []byte(strings.Replace(string(weightNote("3")), `"based-on": 1,`, "", 1))
+	_, err = operator.NewClient(key, droppingServer.URL, next).Publish(t.Context(), retried, note.NewPublishID())
+	require.Equal(t, operator.Clashing, requireAnswerError(t, err).Reason())
 }
 
-func TestAnOutageIsSaidAtOnce(t *testing.T) {
+func TestOutageIsReportedImmediately(t *testing.T) {
 	t.Parallel()
-	f := start(t)
+	f := newFixture(t)
 	f.platform.Faults.Set(fault.Fault{Kind: fault.Down})
 	client := operator.NewClient(key, "http://127.0.0.1:1", f.url)
-	_, err := client.Publish(t.Context(), account("a"), note.NewPublishID())
-	require.Equal(t, operator.Unavailable, reason(t, err).Reason())
-	require.NotZero(t, reason(t, err).Detail.GetRetryAfterMs())
+	_, err := client.Publish(t.Context(), accountNote("a"), note.NewPublishID())
+	require.Equal(t, operator.Unavailable, requireAnswerError(t, err).Reason())
+	require.NotZero(t, requireAnswerError(t, err).Detail.GetRetryAfterMs())
 	_, err = client.History(t.Context(), 0, 0)
-	require.Equal(t, operator.Unavailable, reason(t, err).Reason())
+	require.Equal(t, operator.Unavailable, requireAnswerError(t, err).Reason())
 	_, err = client.Accounts(t.Context())
-	require.Equal(t, operator.NotReady, reason(t, err).Reason())
+	require.Equal(t, operator.NotReady, requireAnswerError(t, err).Reason())
 	var unreachable *operator.UnreachableError
-	_, err = operator.NewClient(key, "http://127.0.0.1:1").Publish(t.Context(), account("a"), note.NewPublishID())
+	_, err = operator.NewClient(key, "http://127.0.0.1:1").Publish(t.Context(), accountNote("a"), note.NewPublishID())
 	require.ErrorAs(t, err, &unreachable)
 }
 
-// Each bad request gets a typed answer and is counted.
+// Each bad request gets an error with a reason and is counted.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -255,10 +256,10 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			f := start(t)
+			f := newFixture(t)
 			registry := prometheus.NewRegistry()
 			f.registry = registry
-			request, err := http.NewRequestWithContext(t.Context(), test.method, f.router(t)+test.path, strings.NewReader(test.body))
+			request, err := http.NewRequestWithContext(t.Context(), test.method, f.startRouter(t)+test.path, strings.NewReader(test.body))
 			require.NoError(t, err)
 			if test.key != "" {
 				request.Header.Set("Authorization", "Bearer "+test.key)
@@ -277,27 +278,27 @@
 			count, err := testutil.GatherAndCount(registry, "nutmeglock_operator_errors_total")
 			require.NoError(t, err)
 			require.NotZero(t, count)
-			require.NoError(t, testutil.GatherAndCompare(registry, strings.NewReader(counted(test.reason)), "nutmeglock_operator_errors_total"))
+			require.NoError(t, testutil.GatherAndCompare(registry, strings.NewReader(expectedMetrics(test.reason)), "nutmeglock_operator_errors_total"))
 		})
 	}
 }
 
-// counted is what the metrics say after one error.
-func counted(of operator.Reason) string {
+// expectedMetrics returns the metrics after one error.
+func expectedMetrics(counted operator.Reason) string {
 	text := "# HELP nutmeglock_operator_errors_total Answers of the administration API that were no success, by reason.\n# TYPE nutmeglock_operator_errors_total counter\n"
 	for _, reason := range operator.Reasons() {
-		n := "0"
-		if reason == of {
-			n = "1"
+		count := "0"
+		if reason == counted {
+			count = "1"
 		}
-		text += `nutmeglock_operator_errors_total{reason="` + string(reason) + `"} ` + n + "\n"
+		text += `nutmeglock_operator_errors_total{reason="` + string(reason) + `"} ` + count + "\n"
 	}
 	return text
 }
 
 func TestHealthAndReadinessNeedNoKey(t *testing.T) {
 	t.Parallel()
-	f := start(t)
+	f := newFixture(t)
 	for _, path := range []string{"/healthz", "/readyz"} {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, f.url+path, http.NoBody)
 		require.NoError(t, err)
--- a/operator/state.go
+++ b/operator/state.go
@@ -10,17 +10,17 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// view returns what is in force here, or the failure that nothing is yet.
-func (a *api) view() (*note.View, error) {
+// currentView returns the current view, or a failure when there is none yet.
+func (a *api) currentView() (*note.View, error) {
 	view := a.Holder.Current()
 	if view == nil {
-		return nil, failedForNow(http.StatusServiceUnavailable, NotReady, "this router holds no release note yet")
+		return nil, newRetryableFailure(http.StatusServiceUnavailable, NotReady, "this router holds no release note yet")
 	}
 	return view, nil
 }
 
 func (a *api) accounts(c echo.Context) error {
-	view, err := a.view()
+	view, err := a.currentView()
 	if err != nil {
 		return err
 	}
@@ -31,19 +31,19 @@
 			Account: account, Load: loads[fleet.AccountID(account.GetId())],
 		})
 	}
-	return answer(c, http.StatusOK, list)
+	return writeJSON(c, http.StatusOK, list)
 }
 
 func (a *api) services(c echo.Context) error {
-	view, err := a.view()
+	view, err := a.currentView()
 	if err != nil {
 		return err
 	}
-	return answer(c, http.StatusOK, &schema.ServiceList{Version: uint64(view.Version()), Services: view.State().GetServices()})
+	return writeJSON(c, http.StatusOK, &schema.ServiceList{Version: uint64(view.Version()), Services: view.State().GetServices()})
 }
 
 func (a *api) upstreams(c echo.Context) error {
-	view, err := a.view()
+	view, err := a.currentView()
 	if err != nil {
 		return err
 	}
@@ -54,13 +54,13 @@
 			Upstream: upstream, Load: loads[fleet.UpstreamID(upstream.GetId())],
 		})
 	}
-	return answer(c, http.StatusOK, list)
+	return writeJSON(c, http.StatusOK, list)
 }
 
 func (a *api) routers(c echo.Context) error {
-	return answer(c, http.StatusOK, &schema.RouterList{Routers: a.State.Routers()})
+	return writeJSON(c, http.StatusOK, &schema.RouterList{Routers: a.State.Routers()})
 }
 
 func (a *api) state(c echo.Context) error {
-	return answer(c, http.StatusOK, a.State.Router())
+	return writeJSON(c, http.StatusOK, a.State.Router())
 }
