--- a/note/bench_test.go
+++ b/note/bench_test.go
@@ -29,7 +29,7 @@
 }
 
 // BenchmarkApplyNote measures what one accepted note costs each router. At
-// 17,000 notes a day there is one every five seconds.
+// 17,000 notes a day that is a fifth of a note a second.
 func BenchmarkApplyNote(b *testing.B) {
 	state := largeState(b)
 	record := &schema.NoteRecord{Version: 2, FirstNumber: state.GetLastNumber() + 1, Note: addAccount("new")}
--- a/note/fleet_test.go
+++ b/note/fleet_test.go
@@ -111,13 +111,13 @@
 // fleetPeers calls the methods of other routers directly, with JSON-encoded
 // parameters and results.
 type fleetPeers struct {
-	fleet *testFleet
-	self  fleet.RouterID
+	testFleet *testFleet
+	self      fleet.RouterID
 }
 
 func (p fleetPeers) Routers() []fleet.RouterID {
 	var ids []fleet.RouterID
-	for _, router := range p.fleet.routers {
+	for _, router := range p.testFleet.routers {
 		if router.id != p.self {
 			ids = append(ids, router.id)
 		}
@@ -126,10 +126,10 @@
 }
 
 func (p fleetPeers) Call(ctx context.Context, to fleet.RouterID, method string, params, result any) error {
-	if p.fleet.isolated[p.self] || p.fleet.isolated[to] {
+	if p.testFleet.isolated[p.self] || p.testFleet.isolated[to] {
 		return errUnreachable
 	}
-	for _, router := range p.fleet.routers {
+	for _, router := range p.testFleet.routers {
 		if router.id == to {
 			return call(ctx, router.holder, method, params, result)
 		}
--- a/note/heard.go
+++ b/note/heard.go
@@ -38,7 +38,7 @@
 
 // PeerVersion returns the version that a router last announced to this one, or
 // zero. In a fleet of more than maxFullBroadcast routers it may lag, because
-// each router tells only a few.
+// each router announces to only a few.
 func (h *Holder) PeerVersion(router fleet.RouterID) fleet.Version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/note/holder.go
+++ b/note/holder.go
@@ -31,8 +31,8 @@
 	Peers Peers
 	// Timer is the system clock when nil.
 	Timer timer.Service
-	// Announce tells routers that this one holds a version. It must not block,
-	// and may be nil.
+	// Announce announces to routers that this one holds a version. It must not
+	// block, and may be nil.
 	Announce func(to []fleet.RouterID, version fleet.Version)
 	// Log is the default logger when nil.
 	Log *slog.Logger
@@ -187,8 +187,8 @@
 	// pollInterval is the mean time between two reads of the head row. At 460
 	// routers this makes 460 / 4 s = 115 reads a second, 6% of the table's 2,000,
 	// and for each router some 300 bytes every 4 s, 2.5% of its 3 KB/s. It bounds
-	// the delay of a router that no peer told of a version, so that a note
-	// reaches every router within five seconds.
+	// the delay of a router that received no announcement, so that a note reaches
+	// every router within five seconds.
 	pollInterval = 4 * time.Second
 	// bootPollInterval is the interval while no version is held. A data centre
 	// that comes back starts 42 routers at once: 84 reads a second.
--- a/note/plan.go
+++ b/note/plan.go
@@ -51,15 +51,15 @@
 	// maxFullBroadcast is the highest number of peers for which a new version is
 	// announced to all of them.
 	maxFullBroadcast = 16
-	// gossipFanout is how many peers are told when there are more. Each router
-	// that receives a version tells this many, so at 460 routers a version takes
-	// 2,760 messages, 6 a router; at 17,000 notes a day that is 1.2 messages a
-	// second for each. One router in four hundred (e to the power of -6) is told
-	// by no peer and finds the version at its next poll.
+	// gossipFanout is the number of peers that get an announcement when there are
+	// more. Each router that receives a version announces it to this many, so at
+	// 460 routers a version takes 2,760 messages, 6 a router; at 17,000 notes a
+	// day that is 1.2 messages a second for each. One router in four hundred (e
+	// to the power of -6) receives none and finds the version at its next poll.
 	gossipFanout = 6
 )
 
-// AnnouncementTargets returns the peers to tell of a new version.
+// AnnouncementTargets returns the peers to which a new version is announced.
 func AnnouncementTargets(peers []fleet.RouterID, random *rand.Rand) []fleet.RouterID {
 	chosen := append([]fleet.RouterID(nil), peers...)
 	if len(chosen) <= maxFullBroadcast {
--- a/operator/client.go
+++ b/operator/client.go
@@ -193,19 +193,19 @@
 	return record, c.get(ctx, "/v1/notes/"+strconv.FormatUint(version, 10), record)
 }
 
-// Accounts returns the accounts in force.
+// Accounts returns the current accounts.
 func (c *Client) Accounts(ctx context.Context) (*schema.AccountList, error) {
 	list := &schema.AccountList{}
 	return list, c.get(ctx, "/v1/accounts", list)
 }
 
-// Services returns the services in force.
+// Services returns the current services.
 func (c *Client) Services(ctx context.Context) (*schema.ServiceList, error) {
 	list := &schema.ServiceList{}
 	return list, c.get(ctx, "/v1/services", list)
 }
 
-// Upstreams returns the upstreams in force.
+// Upstreams returns the current upstreams.
 func (c *Client) Upstreams(ctx context.Context) (*schema.UpstreamList, error) {
 	list := &schema.UpstreamList{}
 	return list, c.get(ctx, "/v1/upstreams", list)
