--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -13,82 +13,82 @@
 	"nutmeglock.example/nutmeglock/waiting"
 )
 
-// waiter is a request that waits for its turn here.
+// waiter is a request in one of this router's queues.
 type waiter struct {
 	work dispatch.Work
 	item *waiting.Item[queueKey, *waiter]
-	// avoided are the upstreams of work.Avoid by number.
+	// avoided holds the numbers of the upstreams in work.Avoid.
 	avoided   []uint32
 	preferred []fleet.Number
-	// passed counts how often a request behind this one was started before it.
-	passed int
-	queue  *queue
-	// given is set once the waiter has its answer; only the control goroutine uses it.
-	given *hold
-	// answer is buffered, so that the control goroutine never waits for a caller.
-	answer chan answer
+	// overtaken counts the later requests that were started before this one.
+	overtaken int
+	queue     *queue
+	// heldSlot is set when the request gets a slot; only the control goroutine uses it.
+	heldSlot *heldSlot
+	// result is buffered, so that the control goroutine never blocks on a caller.
+	result chan acquireResult
 }
 
-type answer struct {
+type acquireResult struct {
 	slot    *slot
 	refused *refusal.Error
 }
 
-// Acquire waits for the request's turn.
+// Acquire waits until the request gets a slot.
 func (s *Scheduler) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Slot, error) {
-	w := &waiter{work: work, answer: make(chan answer, 1)}
-	if !s.loop.Post(func() { s.entry.add(s, s.timer.Now(), w) }) {
+	w := &waiter{work: work, result: make(chan acquireResult, 1)}
+	if !s.loop.Post(func() { s.local.add(s, s.timer.Now(), w) }) {
 		return nil, refusal.New(refusal.Stopping, "the router is stopping", time.Second)
 	}
 	select {
-	case a := <-w.answer:
+	case a := <-w.result:
 		if a.refused != nil {
 			return nil, a.refused
 		}
 		return a.slot, nil
 	case <-ctx.Done():
-		s.loop.Post(func() { s.entry.abandon(s, s.timer.Now(), w) })
-		gone := refusal.New(refusal.CallerGone, "the caller went away while its request waited", 0)
-		gone.Cause = context.Cause(ctx)
-		return nil, gone
+		s.loop.Post(func() { s.local.abandon(s, s.timer.Now(), w) })
+		refused := refusal.New(refusal.CallerGone, "the caller went away while its request waited", 0)
+		refused.Cause = context.Cause(ctx)
+		return nil, refused
 	}
 }
 
-// slot is a granted slot in the hands of the traffic.
+// slot implements dispatch.Slot for a request that was granted a slot.
 type slot struct {
 	scheduler *Scheduler
-	hold      *hold
+	held      *heldSlot
 	upstream  *schema.Upstream
-	// begin is true until the dispatcher that asked for it is told that the
-	// answer began.
-	begin atomic.Bool
-	done  atomic.Bool
+	// reportBegin is true until the dispatcher is told that the answer began, if
+	// the grant asked for that.
+	reportBegin atomic.Bool
+	returned    atomic.Bool
 }
 
-func newSlot(s *Scheduler, h *hold, upstream *schema.Upstream, begin bool) *slot {
-	given := &slot{scheduler: s, hold: h, upstream: upstream}
-	given.begin.Store(begin)
-	return given
+func newSlot(s *Scheduler, h *heldSlot, upstream *schema.Upstream, begin bool) *slot {
+	granted := &slot{scheduler: s, held: h, upstream: upstream}
+	granted.reportBegin.Store(begin)
+	return granted
 }
 
-// Upstream returns where to send the request.
+// Upstream returns the upstream to send the request to.
 func (g *slot) Upstream() *schema.Upstream { return g.upstream }
 
-// Progress reports the request's cost so far. It is told to a dispatcher that
-// takes over; the present one expects it from how long the request runs.
+// Progress records the request's cost so far. It is sent to a dispatcher that
+// takes over; the current one estimates it from the time that the request runs.
 func (g *slot) Progress(cost fleet.Tokens) {
-	g.hold.cost.Store(int64(cost))
-	if g.begin.CompareAndSwap(true, false) {
-		g.scheduler.loop.Post(func() { g.scheduler.entry.announce(g.scheduler, g.hold) })
+	g.held.cost.Store(int64(cost))
+	if g.reportBegin.CompareAndSwap(true, false) {
+		g.scheduler.loop.Post(func() { g.scheduler.local.reportProgress(g.scheduler, g.held) })
 	}
 }
 
-// Done gives the slot back. A second call has no effect.
+// Done returns the slot. A second call has no effect.
 func (g *slot) Done(done dispatch.Done) {
-	if g.done.Swap(true) {
+	if g.returned.Swap(true) {
 		return
 	}
-	g.scheduler.loop.Post(func() { g.scheduler.entry.done(g.scheduler, g.hold, done) })
+	g.scheduler.loop.Post(func() { g.scheduler.local.handleDone(g.scheduler, g.held, done) })
 }
 
 func (s *Scheduler) observeWait(w *waiter, now time.Time) {
--- a/scheduler/asking.go
+++ b/scheduler/asking.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// busyRate is the requests per second from which messages are spared: at
-	// 50 bytes each they would take the whole control allowance of 3 KB/s.
-	busyRate = 50.0
+	// preferOwnRate is the requests per second from which own slots are preferred
+	// to save messages: at 50 bytes each, the messages would use the whole control
+	// allowance of 3 KB/s.
+	preferOwnRate = 50.0
 )
 
-// rank returns the dispatchers that a queue asks, those that can be reached.
-// Those of upstreams that probably have the prompt cached come first. At high
-// rates this router's own does while its upstreams have room, since asking it
-// takes no message. It doesn't at low ones: own slots go to whoever comes first
-// at this router, before the asks of others meet, and in a burst the accounts
-// with the most callers took most of the fleet that way for a residence.
-func (e *entry) rank(s *Scheduler, now time.Time, q *queue) []fleet.RouterID {
+// rankDispatchers returns the reachable dispatchers in the order in which a queue
+// asks them: first those of upstreams that probably have the prompt cached. From
+// preferOwnRate on, this router's own dispatcher comes first while it has idle
+// slots, since asking it takes no message. At lower rates it does not: its slots
+// would go to the first requests at this router before asks of other routers
+// arrive, and in a burst the accounts with the most callers would hold most of
+// the fleet's slots for the duration of a request.
+func (l *localRequests) rankDispatchers(s *Scheduler, now time.Time, q *queue) []fleet.RouterID {
 	var preferred []fleet.Number
-	if head := e.line.Head(q.key); head != nil {
+	if head := l.waiting.Head(q.key); head != nil {
 		preferred = head.Value().preferred
 	}
-	ranked := s.assigned.ranked(q, preferred)
-	ranked = slices.DeleteFunc(ranked, func(router fleet.RouterID) bool { return !s.reaches(router) })
-	inFlight, limit := s.slots.Busy(now, q.key.service)
-	spare := e.rate >= busyRate && inFlight < limit
-	if !spare {
+	ranked := s.assignment.rankForQueue(q, preferred)
+	ranked = slices.DeleteFunc(ranked, func(router fleet.RouterID) bool { return !s.isReachable(router) })
+	inFlight, limit := s.dispatcher.Busy(now, q.key.service)
+	preferOwn := l.startRate >= preferOwnRate && inFlight < limit
+	if !preferOwn {
 		return ranked
 	}
 	if i := slices.Index(ranked, s.self); i > 0 {
@@ -39,7 +41,7 @@
 	return ranked
 }
 
-func (s *Scheduler) reaches(router fleet.RouterID) bool {
+func (s *Scheduler) isReachable(router fleet.RouterID) bool {
 	if router == s.self {
 		return true
 	}
@@ -47,47 +49,47 @@
 	return r != nil && r.connected
 }
 
-// ask tells dispatchers what waits in a queue, where their count is off by too
-// much or changed is true.
-func (e *entry) ask(s *Scheduler, now time.Time, q *queue, changed bool) {
-	want := e.line.Len(q.key)
+// updateAsks sends asks for a queue to the dispatchers whose count is too far
+// off, or to all asked ones if changed is true. It withdraws the asks to others.
+func (l *localRequests) updateAsks(s *Scheduler, now time.Time, q *queue, changed bool) {
+	want := l.waiting.Len(q.key)
 	if want == 0 {
-		q.targets = nil
-	} else if len(q.targets) == 0 {
-		ranked := e.rank(s, now, q)
-		q.targets = ranked[:min(1, len(ranked))]
+		q.askedDispatchers = nil
+	} else if len(q.askedDispatchers) == 0 {
+		ranked := l.rankDispatchers(s, now, q)
+		q.askedDispatchers = ranked[:min(1, len(ranked))]
 	}
-	for _, router := range q.targets {
-		if changed || needsAsk(q.asked[router], want) {
-			e.sendAsk(s, now, q, router)
+	for _, router := range q.askedDispatchers {
+		if changed || needsAsk(q.dispatcherCounts[router], want) {
+			l.sendAsk(s, now, q, router)
 		}
 	}
-	for router, counted := range q.asked {
-		if counted > 0 && !slices.Contains(q.targets, router) {
-			e.withdrawAsk(s, q, router)
+	for router, counted := range q.dispatcherCounts {
+		if counted > 0 && !slices.Contains(q.askedDispatchers, router) {
+			l.withdrawAsk(s, q, router)
 		}
 	}
 }
 
-func (e *entry) sendAsk(s *Scheduler, now time.Time, q *queue, router fleet.RouterID) {
-	message := e.askFor(now, q)
-	if q.asked[router] == 0 || len(message.GetAvoided()) > 0 {
-		// Where some are counted, the dispatcher goes on granting meanwhile.
-		s.outbox.urgent(router)
+func (l *localRequests) sendAsk(s *Scheduler, now time.Time, q *queue, router fleet.RouterID) {
+	message := l.newAsk(now, q)
+	if q.dispatcherCounts[router] == 0 || len(message.GetAvoided()) > 0 {
+		// A dispatcher with a count above zero goes on granting meanwhile.
+		s.outbox.sendUrgently(router)
 	}
-	q.asked[router] = e.line.Len(q.key)
-	e.putAsk(s, router, message)
+	q.dispatcherCounts[router] = l.waiting.Len(q.key)
+	l.putAsk(s, router, message)
 }
 
-func (e *entry) withdrawAsk(s *Scheduler, q *queue, router fleet.RouterID) {
-	delete(q.asked, router)
-	s.outbox.urgent(router)
-	e.putAsk(s, router, &schema.Ask{Service: uint32(q.key.service), Account: uint32(q.key.account)})
+func (l *localRequests) withdrawAsk(s *Scheduler, q *queue, router fleet.RouterID) {
+	delete(q.dispatcherCounts, router)
+	s.outbox.sendUrgently(router)
+	l.putAsk(s, router, &schema.Ask{Service: uint32(q.key.service), Account: uint32(q.key.account)})
 }
 
-// putAsk puts an ask into the next batch, in place of an earlier one there.
-func (e *entry) putAsk(s *Scheduler, router fleet.RouterID, message *schema.Ask) {
-	out := s.outbox.to(router)
+// putAsk adds an ask to the next batch, replacing an earlier one of the same queue.
+func (l *localRequests) putAsk(s *Scheduler, router fleet.RouterID, message *schema.Ask) {
+	out := s.outbox.batchTo(router)
 	for i, earlier := range out.Asks {
 		if earlier.GetService() == message.GetService() && earlier.GetAccount() == message.GetAccount() {
 			out.Asks[i] = message
@@ -97,54 +99,54 @@
 	out.Asks = append(out.Asks, message)
 }
 
-// widen asks further dispatchers for queues whose demand is not met.
-func (e *entry) widen(s *Scheduler, now time.Time) {
-	for _, q := range e.queues {
-		head := e.line.Head(q.key)
+// widenAsks asks more dispatchers for queues whose requests keep waiting.
+func (l *localRequests) widenAsks(s *Scheduler, now time.Time) {
+	for _, q := range l.queues {
+		head := l.waiting.Head(q.key)
 		if head == nil {
 			continue
 		}
-		wanted := fanout.Of(e.line.Len(q.key), now.Sub(head.Since()))
-		if len(q.targets) >= min(wanted, len(s.assigned.live)) {
+		wanted := fanout.Of(l.waiting.Len(q.key), now.Sub(head.Since()))
+		if len(q.askedDispatchers) >= min(wanted, len(s.assignment.liveRouters)) {
 			continue
 		}
-		for _, router := range e.rank(s, now, q) {
-			if len(q.targets) < wanted && !slices.Contains(q.targets, router) {
-				q.targets = append(q.targets, router)
-				e.sendAsk(s, now, q, router)
+		for _, router := range l.rankDispatchers(s, now, q) {
+			if len(q.askedDispatchers) < wanted && !slices.Contains(q.askedDispatchers, router) {
+				q.askedDispatchers = append(q.askedDispatchers, router)
+				l.sendAsk(s, now, q, router)
 			}
 		}
 	}
 }
 
-// offered takes note that a dispatcher has idle slots for a service.
-func (e *entry) offered(s *Scheduler, now time.Time, from fleet.RouterID, service fleet.Number) {
-	for _, q := range e.queues {
-		if q.key.service != service || e.line.Len(q.key) == 0 || slices.Contains(q.targets, from) {
+// handleFree asks a dispatcher that announced idle slots for a service.
+func (l *localRequests) handleFree(s *Scheduler, now time.Time, from fleet.RouterID, service fleet.Number) {
+	for _, q := range l.queues {
+		if q.key.service != service || l.waiting.Len(q.key) == 0 || slices.Contains(q.askedDispatchers, from) {
 			continue
 		}
-		q.targets = append(q.targets, from)
-		e.sendAsk(s, now, q, from)
+		q.askedDispatchers = append(q.askedDispatchers, from)
+		l.sendAsk(s, now, q, from)
 	}
 }
 
-// lost drops what was asked of a router that is gone, and asks another where
-// no other was asked.
-func (e *entry) lost(s *Scheduler, now time.Time, router fleet.RouterID) {
-	for _, q := range e.queues {
-		delete(q.asked, router)
-		q.targets = slices.DeleteFunc(q.targets, func(t fleet.RouterID) bool { return t == router })
-		e.ask(s, now, q, false)
+// handleRouterLost drops the asks to a disconnected router. Queues that asked no
+// other dispatcher ask another one.
+func (l *localRequests) handleRouterLost(s *Scheduler, now time.Time, router fleet.RouterID) {
+	for _, q := range l.queues {
+		delete(q.dispatcherCounts, router)
+		q.askedDispatchers = slices.DeleteFunc(q.askedDispatchers, func(asked fleet.RouterID) bool { return asked == router })
+		l.updateAsks(s, now, q, false)
 	}
 }
 
-// asksFor returns all that is asked of one router.
-func (e *entry) asksFor(now time.Time, router fleet.RouterID) []*schema.Ask {
+// allAsksTo returns the asks of all queues to one router.
+func (l *localRequests) allAsksTo(now time.Time, router fleet.RouterID) []*schema.Ask {
 	var asks []*schema.Ask
-	for _, q := range e.queues {
-		if e.line.Len(q.key) > 0 && slices.Contains(q.targets, router) {
-			q.asked[router] = e.line.Len(q.key)
-			asks = append(asks, e.askFor(now, q))
+	for _, q := range l.queues {
+		if l.waiting.Len(q.key) > 0 && slices.Contains(q.askedDispatchers, router) {
+			q.dispatcherCounts[router] = l.waiting.Len(q.key)
+			asks = append(asks, l.newAsk(now, q))
 		}
 	}
 	return asks
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -15,167 +15,167 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// assignment says which router dispatches each upstream, as far as this
-// router knows. Others may believe otherwise for a while.
+// assignment maps upstreams to their dispatchers in this router's view. Those of
+// other routers may differ for a while.
 type assignment struct {
-	live        []fleet.RouterID
+	liveRouters []fleet.RouterID
 	version     fleet.Version
 	dispatchers map[fleet.Number]fleet.RouterID
-	// byService lists the routers that dispatch upstreams of a service that
-	// take new work, once for each upstream.
-	byService map[fleet.Number][]target
-	services  map[fleet.ServiceID]fleet.Number
-	// own are the services of which this router dispatches an upstream.
-	own map[fleet.Number]bool
-	// denied is set when a router was left out of a service.
-	denied bool
-	// epoch grows with each change.
+	// available lists, for each service, its upstreams that take new requests.
+	available      map[fleet.Number][]availableUpstream
+	serviceNumbers map[fleet.ServiceID]fleet.Number
+	// ownServices are the services of the upstreams that this router dispatches.
+	ownServices map[fleet.Number]bool
+	// hasDenials is set if any router was excluded from a service after denials.
+	hasDenials bool
+	// epoch is incremented with each change.
 	epoch uint64
 }
 
-// target is an upstream that takes new work, and its dispatcher.
-type target struct {
-	upstream fleet.Number
-	router   fleet.RouterID
+// availableUpstream is an upstream that takes new requests, and its dispatcher.
+type availableUpstream struct {
+	number     fleet.Number
+	dispatcher fleet.RouterID
 }
 
-// dispatcherKey returns what the dispatcher of an upstream is chosen by.
+// dispatcherKey returns the rendezvous key that selects an upstream's dispatcher.
 func dispatcherKey(upstream fleet.Number) rendezvous.Key {
 	return rendezvous.KeyOfNumber("dispatcher", uint64(upstream))
 }
 
-// refresh brings the assignment up to the view in force and the live routers.
-func (s *Scheduler) refresh(now time.Time) {
+// refreshAssignment recomputes the assignment if the view, the live routers or the
+// inputs marked by assignmentStale have changed.
+func (s *Scheduler) refreshAssignment(now time.Time) {
 	view := s.notes.Current()
 	live := s.members.Dispatchers(now)
-	if view == nil || (view == s.view && !s.stale && slices.Equal(live, s.assigned.live)) {
+	if view == nil || (view == s.view && !s.assignmentStale && slices.Equal(live, s.assignment.liveRouters)) {
 		return
 	}
-	s.stale = false
-	before := s.assigned
-	if !slices.Equal(live, before.live) {
-		// What others denied they denied by the former view.
+	s.assignmentStale = false
+	before := s.assignment
+	if !slices.Equal(live, before.liveRouters) {
+		// The denials refer to the former live routers.
 		s.denials = newDenials()
 	}
-	first := s.view == nil
-	s.forgetWithdrawn(view)
+	isFirst := s.view == nil
+	s.forgetWithdrawnAccounts(view)
 	s.view = view
-	s.assigned = s.assign(view, live, before)
-	s.drains.forget(func(each word) bool { return view.UpstreamByNumber(each.upstream) == nil })
-	s.own(now)
-	s.announceMoved(before)
-	s.exchange.reassign(s)
-	s.entry.reassigned(s, now)
-	if first {
-		// The others left this router out until it could dispatch.
-		for _, id := range s.connected() {
+	s.assignment = s.computeAssignment(view, live, before)
+	s.drainReports.removeIf(func(report drainReport) bool { return view.UpstreamByNumber(report.upstream) == nil })
+	s.updateOwned(now)
+	s.announceReassigned(before)
+	s.exchange.updateKeepers(s)
+	s.local.applyAssignment(s, now)
+	if isFirst {
+		// This tells the others, which have excluded this router so far, that it can dispatch now.
+		for _, id := range s.connectedRouters() {
 			s.sendComplete(now, id)
 		}
 	}
 }
 
-func (s *Scheduler) forgetWithdrawn(view *note.View) {
+func (s *Scheduler) forgetWithdrawnAccounts(view *note.View) {
 	if s.view == nil || s.view == view {
 		return
 	}
 	for _, a := range s.view.State().GetAccounts() {
 		number := fleet.Number(a.GetNumber())
 		if view.AccountByNumber(number) == nil {
-			s.slots.Forget(number)
+			s.dispatcher.Forget(number)
 			s.exchange.forget(number)
 		}
 	}
 }
 
-func (s *Scheduler) assign(view *note.View, live []fleet.RouterID, before assignment) assignment {
+func (s *Scheduler) computeAssignment(view *note.View, live []fleet.RouterID, before assignment) assignment {
 	a := assignment{
-		live: live, version: view.Version(), epoch: before.epoch + 1,
-		dispatchers: make(map[fleet.Number]fleet.RouterID, len(view.State().GetUpstreams())),
-		byService:   make(map[fleet.Number][]target),
-		services:    make(map[fleet.ServiceID]fleet.Number, len(view.State().GetServices())),
-		own:         make(map[fleet.Number]bool),
+		liveRouters: live, version: view.Version(), epoch: before.epoch + 1,
+		dispatchers:    make(map[fleet.Number]fleet.RouterID, len(view.State().GetUpstreams())),
+		available:      make(map[fleet.Number][]availableUpstream),
+		serviceNumbers: make(map[fleet.ServiceID]fleet.Number, len(view.State().GetServices())),
+		ownServices:    make(map[fleet.Number]bool),
 	}
 	for _, service := range view.State().GetServices() {
-		a.services[fleet.ServiceID(service.GetId())] = fleet.Number(service.GetNumber())
+		a.serviceNumbers[fleet.ServiceID(service.GetId())] = fleet.Number(service.GetNumber())
 	}
-	pick := s.picker(live, before, a.services)
-	a.denied = s.denials.any()
+	pickDispatcher := s.dispatcherPicker(live, before, a.serviceNumbers)
+	a.hasDenials = s.denials.any()
 	for _, u := range view.State().GetUpstreams() {
 		number := fleet.Number(u.GetNumber())
 		router := s.self
 		if s.sharing != StaticShare {
-			router = pick(u)
+			router = pickDispatcher(u)
 		}
 		a.dispatchers[number] = router
-		service := a.services[fleet.ServiceID(u.GetService())]
-		a.own[service] = a.own[service] || router == s.self
-		if !s.departs(u) && !s.drainsAt(number, router) {
-			a.byService[service] = append(a.byService[service], target{number, router})
+		service := a.serviceNumbers[fleet.ServiceID(u.GetService())]
+		a.ownServices[service] = a.ownServices[service] || router == s.self
+		if !s.isLeaving(u) && !s.isDraining(number, router) {
+			a.available[service] = append(a.available[service], availableUpstream{number, router})
 		}
 	}
 	return a
 }
 
-// picker returns a function that chooses the dispatcher of an upstream. It
-// looks only at the routers that came when the former one is still alive: at
+// dispatcherPicker returns a function that selects an upstream's dispatcher. If the
+// former one is still live, it is compared only with the routers that joined: at
 // the target size a full comparison takes 5.5 million hashes for each change.
-func (s *Scheduler) picker(live []fleet.RouterID, before assignment, services map[fleet.ServiceID]fleet.Number) func(*schema.Upstream) fleet.RouterID {
-	var came []fleet.RouterID
+func (s *Scheduler) dispatcherPicker(live []fleet.RouterID, before assignment, services map[fleet.ServiceID]fleet.Number) func(*schema.Upstream) fleet.RouterID {
+	var joined []fleet.RouterID
 	for _, router := range live {
-		if !slices.Contains(before.live, router) {
-			came = append(came, router)
+		if !slices.Contains(before.liveRouters, router) {
+			joined = append(joined, router)
 		}
 	}
-	alive := make(map[fleet.RouterID]bool, len(live))
+	isLive := make(map[fleet.RouterID]bool, len(live))
 	for _, router := range live {
-		alive[router] = true
+		isLive[router] = true
 	}
 	return func(u *schema.Upstream) fleet.RouterID {
 		upstream := fleet.Number(u.GetNumber())
-		if service := services[fleet.ServiceID(u.GetService())]; s.denials.of(service) {
-			return cmp.Or(rendezvous.Pick(dispatcherKey(upstream), s.denials.without(service, live)), s.self)
+		if service := services[fleet.ServiceID(u.GetService())]; s.denials.affects(service) {
+			return cmp.Or(rendezvous.Pick(dispatcherKey(upstream), s.denials.filter(service, live)), s.self)
 		}
 		former := before.dispatchers[upstream]
-		if !alive[former] || before.denied {
+		if !isLive[former] || before.hasDenials {
 			return rendezvous.Pick(dispatcherKey(upstream), live)
 		}
-		if len(came) == 0 {
+		if len(joined) == 0 {
 			return former
 		}
-		return rendezvous.Pick(dispatcherKey(upstream), append(came[:len(came):len(came)], former))
+		return rendezvous.Pick(dispatcherKey(upstream), append(joined[:len(joined):len(joined)], former))
 	}
 }
 
-// own tells this router's dispatcher which upstreams are its own.
-func (s *Scheduler) own(now time.Time) {
+// updateOwned sets the upstreams of this router's dispatcher and load poller.
+func (s *Scheduler) updateOwned(now time.Time) {
 	var owned []*schema.Upstream
 	for _, u := range s.view.State().GetUpstreams() {
-		if s.assigned.dispatchers[fleet.Number(u.GetNumber())] != s.self {
+		if s.assignment.dispatchers[fleet.Number(u.GetNumber())] != s.self {
 			continue
 		}
-		if u = s.shareOf(u); u != nil {
+		if u = s.usableShare(u); u != nil {
 			owned = append(owned, u)
 		}
 	}
-	others := s.sharing != StaticShare && len(s.connected()) > 0
-	s.slots.Own(now, owned, s.assigned.services, others)
-	s.poller.watch(owned)
+	others := s.sharing != StaticShare && len(s.connectedRouters()) > 0
+	s.dispatcher.Own(now, owned, s.assignment.serviceNumbers, others)
+	s.loadPoller.setUpstreams(owned)
 }
 
-// shareOf returns the upstream with the slots that this router may use: all
-// of them, or with static shares the part that falls to it, nil when none does.
-func (s *Scheduler) shareOf(u *schema.Upstream) *schema.Upstream {
-	if s.departs(u) && !u.GetLeaving() {
+// usableShare returns the upstream with the number of slots that this router may
+// use: all, or with StaticShare its part. It returns nil if that part is zero.
+func (s *Scheduler) usableShare(u *schema.Upstream) *schema.Upstream {
+	if s.isLeaving(u) && !u.GetLeaving() {
 		u = proto.CloneOf(u)
 		u.Leaving = true
 	}
 	if s.sharing != StaticShare {
 		return u
 	}
-	n := uint32(max(1, len(s.assigned.live)))
-	i := uint32(max(0, slices.Index(s.assigned.live, s.self)))
-	// The remainder starts at another router for each upstream, or the first
-	// routers would get the odd slots of all.
+	n := uint32(max(1, len(s.assignment.liveRouters)))
+	i := uint32(max(0, slices.Index(s.assignment.liveRouters, s.self)))
+	// The router that gets the remainder varies by upstream. Otherwise the first
+	// routers would get the remainders of all upstreams.
 	i = (i + u.GetNumber()) % n
 	part := u.GetSlots()*(i+1)/n - u.GetSlots()*i/n
 	if part == 0 {
@@ -186,8 +186,8 @@
 	return clone
 }
 
-// connected returns the other routers that this one is connected to.
-func (s *Scheduler) connected() []fleet.RouterID {
+// connectedRouters returns the other routers that are connected, sorted by id.
+func (s *Scheduler) connectedRouters() []fleet.RouterID {
 	var ids []fleet.RouterID
 	for id, r := range s.routers {
 		if r.connected {
@@ -198,9 +198,9 @@
 	return ids
 }
 
-// keeperOf returns the router that sums an account's use of a service.
+// keeperOf returns the router that keeps an account's total for a service.
 func (a *assignment) keeperOf(service, account fleet.Number) fleet.RouterID {
-	return rendezvous.Pick(rendezvous.KeyOfNumber("keeper", uint64(service)<<32|uint64(account)), a.live)
+	return rendezvous.Pick(rendezvous.KeyOfNumber("keeper", uint64(service)<<32|uint64(account)), a.liveRouters)
 }
 
 func nonceOf(self fleet.RouterID, incarnation fleet.Incarnation) uint16 {
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -11,8 +11,8 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// processor returns the processor time that the process has used.
-func processor(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that the process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -21,21 +21,21 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkRequest runs requests through routers on loopback, each held
-// for 100 ms, and reports the processor time of all per request: waiting,
-// asks, grants, releases, exchange, timers and the network. At the target size
-// a router may spend 227 microseconds on each of 150 requests a second.
+// BenchmarkRequest runs requests of 100 ms each through routers on loopback and
+// reports the total CPU time per request: queues, asks, grants, releases, service
+// exchange, timers and network. At the target size a router may spend 227
+// microseconds on each of 150 requests a second.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{2, 6, 12, 24} {
-		b.Run(fmt.Sprintf("routers-%d", n), func(b *testing.B) { requests(b, n) })
+		b.Run(fmt.Sprintf("routers-%d", n), func(b *testing.B) { runRequests(b, n) })
 	}
 }
 
-func requests(b *testing.B, count int) {
+func runRequests(b *testing.B, count int) {
 	b.Helper()
-	view := viewOf(16, 2*count, 32)
+	view := newView(16, 2*count, 32)
 	routers := startTCP(b, count, view)
-	before := processor(b)
+	before := cpuTime(b)
 	b.SetParallelism(2 * count)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
@@ -55,6 +55,6 @@
 		}
 	})
 	b.StopTimer()
-	b.ReportMetric(float64((processor(b)-before).Microseconds())/float64(b.N), "cpu-us/op")
+	b.ReportMetric(float64((cpuTime(b)-before).Microseconds())/float64(b.N), "cpu-us/op")
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds()/float64(count), "requests/s/router")
 }
--- a/scheduler/denial.go
+++ b/scheduler/denial.go
@@ -8,18 +8,18 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// denials remembers routers that this one takes for dispatchers of a service
-// and that say they dispatch none of its upstreams.
+// denials records routers that this router considers dispatchers of a service but
+// that report that they dispatch none of its upstreams.
 //
-// While the network between some pairs of routers is cut, two routers that
-// reach each other may believe in different dispatchers for good. A router
-// that can't reach the dispatcher of an upstream takes the next one in rank
-// for it, which knows the true one and grants nothing: work would wait beside
-// idle slots until its deadline. A router that is denied so for a while leaves
-// the other out and asks the next in rank, in the end itself. The upstream
-// then has two dispatchers, which its own reports hold together.
+// While the network between some pairs of routers is cut, two routers that reach
+// each other may disagree on the dispatcher for as long as the cut lasts. A router
+// that can't reach an upstream's dispatcher selects the router of the next rank.
+// That one still reaches the dispatcher and therefore grants nothing: requests
+// would wait beside idle slots until their deadlines. After denials for a while,
+// a router excludes the other and asks the next in rank, in the end itself. The
+// upstream then has two dispatchers, which its load reports limit together.
 type denials struct {
-	by map[denialKey]denial
+	byKey map[denialKey]denial
 }
 
 type denialKey struct {
@@ -29,104 +29,104 @@
 
 type denial struct {
 	first, last time.Time
-	// believed is set once the router is left out.
-	believed bool
+	// confirmed is set when the router is excluded from the service.
+	confirmed bool
 }
 
 const (
-	// denialWait is how long a router must deny. Views of the fleet differ for
-	// about as long after each change.
-	denialWait = time.Second
-	// denialPause ends a denial that was not repeated.
-	denialPause = time.Second
-	// denialTime is how long a router is left out. Its own view may have changed.
-	denialTime = 30 * time.Second
+	// denialConfirmTime is how long a router must repeat a denial before it is
+	// excluded. Views of the fleet differ for about as long after each change.
+	denialConfirmTime = time.Second
+	// maxDenialGap is the longest time between two denials that count as one series.
+	maxDenialGap = time.Second
+	// denialTTL is how long a router stays excluded; its own view may have changed then.
+	denialTTL = 30 * time.Second
 )
 
-func newDenials() denials { return denials{by: make(map[denialKey]denial)} }
+func newDenials() denials { return denials{byKey: make(map[denialKey]denial)} }
 
-// take takes a denial and reports whether the router is left out from now on.
-func (d *denials) take(now time.Time, service fleet.Number, router fleet.RouterID) bool {
+// record records a denial and reports whether it caused the router's exclusion.
+func (d *denials) record(now time.Time, service fleet.Number, router fleet.RouterID) bool {
 	key := denialKey{service, router}
-	known := d.by[key]
-	if known.believed {
+	known := d.byKey[key]
+	if known.confirmed {
 		return false
 	}
-	if now.Sub(known.last) > denialPause {
+	if now.Sub(known.last) > maxDenialGap {
 		known.first = now
 	}
 	known.last = now
-	known.believed = now.Sub(known.first) >= denialWait
-	d.by[key] = known
-	return known.believed
+	known.confirmed = now.Sub(known.first) >= denialConfirmTime
+	d.byKey[key] = known
+	return known.confirmed
 }
 
-// expire forgets old denials and reports whether one was believed.
+// expire deletes old denials and reports whether any of them was confirmed.
 func (d *denials) expire(now time.Time) bool {
 	changed := false
-	maps.DeleteFunc(d.by, func(_ denialKey, each denial) bool {
-		old := now.Sub(each.last) > denialTime
-		changed = changed || (old && each.believed)
+	maps.DeleteFunc(d.byKey, func(_ denialKey, entry denial) bool {
+		old := now.Sub(entry.last) > denialTTL
+		changed = changed || (old && entry.confirmed)
 		return old
 	})
 	return changed
 }
 
-// without returns the routers that are not left out of a service.
-func (d *denials) without(service fleet.Number, routers []fleet.RouterID) []fleet.RouterID {
+// filter returns the routers that are not excluded from a service.
+func (d *denials) filter(service fleet.Number, routers []fleet.RouterID) []fleet.RouterID {
 	var rest []fleet.RouterID
 	for _, router := range routers {
-		if !d.by[denialKey{service, router}].believed {
+		if !d.byKey[denialKey{service, router}].confirmed {
 			rest = append(rest, router)
 		}
 	}
 	return rest
 }
 
-// of reports whether any router is left out of a service.
-func (d *denials) of(service fleet.Number) bool {
-	for key, each := range d.by {
-		if key.service == service && each.believed {
+// affects reports whether any router is excluded from a service.
+func (d *denials) affects(service fleet.Number) bool {
+	for key, entry := range d.byKey {
+		if key.service == service && entry.confirmed {
 			return true
 		}
 	}
 	return false
 }
 
-// any reports whether a router is left out of any service.
+// any reports whether any router is excluded from any service.
 func (d *denials) any() bool {
-	for _, each := range d.by {
-		if each.believed {
+	for _, entry := range d.byKey {
+		if entry.confirmed {
 			return true
 		}
 	}
 	return false
 }
 
-// deny tells a router that this one dispatches no upstream of a service.
-func (s *Scheduler) deny(to fleet.RouterID, service fleet.Number) {
-	if s.view == nil || s.assigned.own[service] || to == s.self {
+// sendDenial tells a router that this one dispatches no upstream of a service.
+func (s *Scheduler) sendDenial(to fleet.RouterID, service fleet.Number) {
+	if s.view == nil || s.assignment.ownServices[service] || to == s.self {
 		return
 	}
-	out := s.outbox.to(to)
+	out := s.outbox.batchTo(to)
 	if !slices.Contains(out.GetDenied(), uint32(service)) {
 		out.Denied = append(out.Denied, uint32(service))
 	}
 }
 
-// denied takes a router's word that it dispatches no upstream of a service.
-// Its asks are repeated at the next review.
-func (s *Scheduler) denied(now time.Time, from fleet.RouterID, service fleet.Number) {
-	if !slices.ContainsFunc(s.assigned.byService[service], func(t target) bool { return t.router == from }) {
+// handleDenial handles a router's report that it dispatches no upstream of a
+// service. The next review repeats the asks to it.
+func (s *Scheduler) handleDenial(now time.Time, from fleet.RouterID, service fleet.Number) {
+	if !slices.ContainsFunc(s.assignment.available[service], func(u availableUpstream) bool { return u.dispatcher == from }) {
 		return
 	}
-	for key, q := range s.entry.queues {
+	for key, q := range s.local.queues {
 		if key.service == service {
-			delete(q.asked, from)
+			delete(q.dispatcherCounts, from)
 		}
 	}
-	if s.denials.take(now, service, from) {
-		s.stale = true
-		s.refresh(now)
+	if s.denials.record(now, service, from) {
+		s.assignmentStale = true
+		s.refreshAssignment(now)
 	}
 }
--- a/scheduler/drain_test.go
+++ b/scheduler/drain_test.go
@@ -11,25 +11,24 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// Every upstream of a service drains by its own report, which only its
-// dispatcher reads. A request that waits, and one that arrives at another
-// router, can't be served: they are refused at once with when to come back,
-// and not when their deadline nears. When one upstream takes work again,
-// requests are let in again.
+// All upstreams of a service report draining, which only their dispatchers read.
+// Waiting requests and those that arrive at other routers must be refused at once
+// with a retry time, not shortly before their deadlines. When the upstreams take
+// requests again, requests are admitted again.
 func TestServiceWhoseUpstreamsAllDrainIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		load := &reporting{}
-		f := newFleet(t, viewOf(1, 3, 1))
-		f.client = &http.Client{Transport: load}
+		reporter := &loadReporter{}
+		f := newFleet(t, newView(1, 3, 1))
+		f.client = &http.Client{Transport: reporter}
 		ids := f.startAll(3)
 		defer f.stopAll()
-		f.load(ids[0], "account-0", 3, time.Hour)
+		f.keepLoad(ids[0], "account-0", 3, time.Hour)
 		time.Sleep(time.Second)
 		waiting := make(chan error, 1)
-		go func() { waiting <- f.one("account-0", time.Second) }()
+		go func() { waiting <- f.runOnFirst("account-0", time.Second) }()
 		time.Sleep(time.Second)
-		load.draining.Store(true)
+		reporter.draining.Store(true)
 		time.Sleep(3 * time.Second)
 		select {
 		case err := <-waiting:
@@ -38,13 +37,13 @@
 			require.Fail(t, "the request still waits")
 		}
 		for _, id := range ids {
-			begun := time.Now()
-			requireNoUpstream(t, f.run(f.routers[id], "account-0", 300, time.Second))
-			require.Zero(t, time.Since(begun))
+			startedAt := time.Now()
+			requireNoUpstream(t, f.runOn(f.routers[id], "account-0", 300, time.Second))
+			require.Zero(t, time.Since(startedAt))
 		}
-		load.draining.Store(false)
+		reporter.draining.Store(false)
 		time.Sleep(3 * time.Second)
-		go func() { waiting <- f.one("account-0", time.Second) }()
+		go func() { waiting <- f.runOnFirst("account-0", time.Second) }()
 		time.Sleep(time.Second)
 		require.Empty(t, waiting)
 		require.Equal(t, 1, f.state(ids[0]).Queues[0].Waiting)
@@ -60,30 +59,29 @@
 	require.NotZero(t, refused.RetryAfter)
 }
 
-// Two routers start apart and find each other a little later. Each one that
-// dispatches an upstream by its own view tells the other as soon as it hears
-// that the upstream drains, maybe before the other believes that it is the
-// dispatcher. If the other dropped its word then, nobody would repeat it for a
-// minute, and callers would wait for a slot until their deadlines near.
-func TestWordOfADispatcherOutlivesAnotherView(t *testing.T) {
+// Two routers are connected again after a cut. Each reports draining upstreams that
+// it dispatches in its own view, possibly before the other considers it their
+// dispatcher. If the other dropped that report, it would not be repeated for a
+// minute, and requests would wait in vain until shortly before their deadlines.
+func TestDrainReportSurvivesDisagreementOnTheDispatcher(t *testing.T) {
 	t.Parallel()
 	for after := time.Duration(0); after < 2*time.Second; after += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			load := &reporting{}
-			f := newFleet(t, viewOf(1, 6, 1))
-			f.client = &http.Client{Transport: load}
+			reporter := &loadReporter{}
+			f := newFleet(t, newView(1, 6, 1))
+			f.client = &http.Client{Transport: reporter}
 			defer f.stopAll()
 			ids := f.startAll(2)
-			f.net.cut(ids[0], ids[1])
+			f.network.cut(ids[0], ids[1])
 			time.Sleep(10 * time.Second)
-			f.net.connect(ids[0], ids[1])
+			f.network.connect(ids[0], ids[1])
 			time.Sleep(after)
-			load.draining.Store(true)
+			reporter.draining.Store(true)
 			time.Sleep(10 * time.Second)
 			for _, id := range ids {
-				begun := time.Now()
-				requireNoUpstream(t, f.run(f.routers[id], "account-0", 300, time.Second))
-				require.Zero(t, time.Since(begun), "%s after %s", id, after)
+				startedAt := time.Now()
+				requireNoUpstream(t, f.runOn(f.routers[id], "account-0", 300, time.Second))
+				require.Zero(t, time.Since(startedAt), "%s after %s", id, after)
 			}
 		})
 	}
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -8,83 +8,82 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// drains is what dispatchers know of upstreams that take no new work by their
-// own word. Every router has to know: with all upstreams of a service
-// draining, a request would otherwise wait for a slot that never comes until
-// its deadline nears, where it can be refused at once.
-type drains struct {
-	// words are what routers said of upstreams that they dispatch by their own
-	// view. A word is kept also while this router takes another one for the
-	// dispatcher: it is said once, and the views may meet only afterwards.
-	words map[word]bool
-	// told are those of this router's dispatcher that the others know of.
-	told []fleet.Number
+// drainReports holds the upstreams that their dispatchers report as draining.
+// Every router needs them: if all upstreams of a service drain, it refuses
+// requests at once, which would otherwise wait for a slot in vain until shortly
+// before their deadlines.
+type drainReports struct {
+	// received holds the reports of routers about upstreams that they dispatch in
+	// their own view. A report is kept even if this router considers another
+	// router the dispatcher: it is sent once, and the views may converge later.
+	received map[drainReport]bool
+	// announced are the draining upstreams of this dispatcher last reported to the others.
+	announced []fleet.Number
 }
 
-// word is that an upstream drains, said by a router.
-type word struct {
+// drainReport is a router's report that an upstream drains.
+type drainReport struct {
 	upstream fleet.Number
-	by       fleet.RouterID
+	reporter fleet.RouterID
 }
 
-func newDrains() drains { return drains{words: make(map[word]bool)} }
+func newDrainReports() drainReports { return drainReports{received: make(map[drainReport]bool)} }
 
-// tell tells all routers, this one included, what changed at its upstreams.
-func (d *drains) tell(s *Scheduler) {
-	now := s.slots.Draining()
-	if slices.Equal(now, d.told) {
+// announce reports changes at this dispatcher's upstreams to all routers, including this one.
+func (d *drainReports) announce(s *Scheduler) {
+	draining := s.dispatcher.Draining()
+	if slices.Equal(draining, d.announced) {
 		return
 	}
-	began, ended := without(now, d.told), without(d.told, now)
-	d.told = now
-	for _, id := range append(s.connected(), s.self) {
-		out := s.outbox.to(id)
+	began, ended := numbersExcept(draining, d.announced), numbersExcept(d.announced, draining)
+	d.announced = draining
+	for _, id := range append(s.connectedRouters(), s.self) {
+		out := s.outbox.batchTo(id)
 		out.Draining = append(out.Draining, began...)
 		out.Working = append(out.Working, ended...)
-		s.outbox.urgent(id)
+		s.outbox.sendUrgently(id)
 	}
 }
 
-// without returns the numbers of all that are not in some, for a message.
-func without(all, some []fleet.Number) []uint32 {
+// numbersExcept returns the numbers in all that are not in excluded, as message fields.
+func numbersExcept(all, excluded []fleet.Number) []uint32 {
 	var rest []uint32
 	for _, number := range all {
-		if !slices.Contains(some, number) {
+		if !slices.Contains(excluded, number) {
 			rest = append(rest, uint32(number))
 		}
 	}
 	return rest
 }
 
-// take takes what a dispatcher says of its upstreams, and reports whether that
-// is new.
-func (d *drains) take(from fleet.RouterID, batch *schema.Batch) bool {
+// handleBatch applies a dispatcher's drain reports and reports whether any of them
+// changed something.
+func (d *drainReports) handleBatch(from fleet.RouterID, batch *schema.Batch) bool {
 	changed := false
 	if batch.GetComplete() {
-		changed = d.forget(func(each word) bool { return each.by == from })
+		changed = d.removeIf(func(report drainReport) bool { return report.reporter == from })
 	}
 	for _, number := range batch.GetDraining() {
-		each := word{fleet.Number(number), from}
-		changed = changed || !d.words[each]
-		d.words[each] = true
+		report := drainReport{fleet.Number(number), from}
+		changed = changed || !d.received[report]
+		d.received[report] = true
 	}
 	for _, number := range batch.GetWorking() {
-		each := word{fleet.Number(number), from}
-		changed = changed || d.words[each]
-		delete(d.words, each)
+		report := drainReport{fleet.Number(number), from}
+		changed = changed || d.received[report]
+		delete(d.received, report)
 	}
 	return changed
 }
 
-// forget drops the words that gone accepts and reports whether there was any.
-func (d *drains) forget(gone func(each word) bool) bool {
-	before := len(d.words)
-	maps.DeleteFunc(d.words, func(each word, _ bool) bool { return gone(each) })
-	return len(d.words) != before
+// removeIf deletes the reports for which match is true and returns whether there were any.
+func (d *drainReports) removeIf(match func(report drainReport) bool) bool {
+	before := len(d.received)
+	maps.DeleteFunc(d.received, func(report drainReport, _ bool) bool { return match(report) })
+	return len(d.received) != before
 }
 
-// drainsAt reports whether an upstream takes no new work by its own word, which
-// its dispatcher passed on.
-func (s *Scheduler) drainsAt(upstream fleet.Number, dispatcher fleet.RouterID) bool {
-	return s.drains.words[word{upstream, dispatcher}]
+// isDraining reports whether an upstream drains according to its dispatcher.
+func (s *Scheduler) isDraining(upstream fleet.Number, dispatcher fleet.RouterID) bool {
+	return s.drainReports.received[drainReport{upstream, dispatcher}]
 }
--- a/scheduler/exchange.go
+++ b/scheduler/exchange.go
@@ -10,69 +10,72 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// reportThreshold is the change in an account's service and half of what is
-// outstanding, in weighted tokens, after which its keeper is told. It is less
-// than half of a usual request, so that each start and end is told; the
-// fairness bound grows by it once for each other dispatcher. In the
-// virtual-time model at six routers the gap is 3.9 times the largest request
-// at 1000 and 2.4 times at 100, and control rises from 2.3 to 2.8 KB/s.
+// reportThreshold is the change of an account's service plus half of its
+// outstanding estimates, in weighted tokens, that is reported to its keeper. It
+// is less than half of a usual request, so that each start and end is reported;
+// it adds to the fairness bound once per other dispatcher. In the virtual-time
+// model with six routers the gap is 3.9 times the largest request at 1000 and
+// 2.4 times at 100, while control traffic rises from 2.3 to 2.8 KB/s.
 const reportThreshold fleet.Tokens = 100
 
-// sparedRate is the requests per second at this router up to which each start
-// and end is told. Above it the threshold grows in proportion, so that the
-// exchange stays at about half of the control allowance.
-const sparedRate = 15.0
+// fullReportRate is the requests per second at this router up to which each start
+// and end is reported. Above it the threshold grows in proportion, which keeps
+// the reports at about half of the control allowance.
+const fullReportRate = 15.0
 
-// threshold returns the report threshold at a rate of requests.
-func threshold(rate float64) fleet.Tokens {
-	return fleet.Tokens(float64(reportThreshold) * max(1, rate/sparedRate))
+// reportThresholdAt returns the report threshold for a rate in requests per second.
+func reportThresholdAt(rate float64) fleet.Tokens {
+	return fleet.Tokens(float64(reportThreshold) * max(1, rate/fullReportRate))
 }
 
-// exchange is this dispatcher's side of summing service across the fleet.
-type exchange struct {
-	// keepers are the keepers that were told of each account, and their incarnation.
-	keepers map[keeper.Key]told
+// serviceExchange reports this dispatcher's service to the accounts' keepers and
+// applies their totals.
+type serviceExchange struct {
+	// keepers holds the keeper that each account was last reported to.
+	keepers map[keeper.Key]keeperInstance
 }
 
-type told struct {
+type keeperInstance struct {
 	router      fleet.RouterID
 	incarnation fleet.Incarnation
 }
 
-func newExchange() exchange { return exchange{keepers: make(map[keeper.Key]told)} }
+func newServiceExchange() serviceExchange {
+	return serviceExchange{keepers: make(map[keeper.Key]keeperInstance)}
+}
 
-func (s *Scheduler) toldOf(key keeper.Key) told {
-	router := s.assigned.keeperOf(key.Service, key.Account)
+func (s *Scheduler) keeperInstanceOf(key keeper.Key) keeperInstance {
+	router := s.assignment.keeperOf(key.Service, key.Account)
 	if r := s.routers[router]; r != nil {
-		return told{router, r.incarnation}
+		return keeperInstance{router, r.incarnation}
 	}
-	return told{router, s.incarnation}
+	return keeperInstance{router, s.incarnation}
 }
 
-// reassign takes note of accounts that have another keeper now, or one that
-// started anew: it does not know what the former one did.
-func (x *exchange) reassign(s *Scheduler) {
-	for key, before := range x.keepers {
-		now := s.toldOf(key)
-		if now == before {
+// updateKeepers marks the accounts whose keeper changed or restarted, since the
+// new one does not know the former reports.
+func (x *serviceExchange) updateKeepers(s *Scheduler) {
+	for key, former := range x.keepers {
+		current := s.keeperInstanceOf(key)
+		if current == former {
 			continue
 		}
-		x.keepers[key] = now
-		s.slots.Reassigned(key.Service, key.Account)
+		x.keepers[key] = current
+		s.dispatcher.Reassigned(key.Service, key.Account)
 	}
 }
 
-// tick reports to keepers.
-func (x *exchange) tick(s *Scheduler, _ time.Time) {
-	if s.sharing == StaticShare || s.view == nil || len(s.assigned.live) == 0 {
+// sendReports sends the due reports to keepers.
+func (x *serviceExchange) sendReports(s *Scheduler, _ time.Time) {
+	if s.sharing == StaticShare || s.view == nil || len(s.assignment.liveRouters) == 0 {
 		return
 	}
-	for service, reports := range s.slots.Reports(threshold(s.entry.rate)) {
+	for service, reports := range s.dispatcher.Reports(reportThresholdAt(s.local.startRate)) {
 		for _, report := range reports {
 			key := keeper.Key{Service: service, Account: report.Key}
-			to := s.toldOf(key)
+			to := s.keeperInstanceOf(key)
 			x.keepers[key] = to
-			out := s.outbox.to(to.router)
+			out := s.outbox.batchTo(to.router)
 			out.Reports = append(out.Reports, &schema.ServiceReport{
 				Service: uint32(service), Account: uint32(report.Key),
 				Cumulative: int64(report.Cumulative), Floor: int64(report.Floor),
@@ -82,14 +85,14 @@
 	}
 }
 
-// report takes another dispatcher's report as keeper, and answers.
-func (x *exchange) report(s *Scheduler, now time.Time, from fleet.RouterID, incarnation fleet.Incarnation, message *schema.ServiceReport) {
+// handleReport adds a dispatcher's report as keeper and answers with the total.
+func (x *serviceExchange) handleReport(s *Scheduler, now time.Time, from fleet.RouterID, incarnation fleet.Incarnation, message *schema.ServiceReport) {
 	key := keeper.Key{Service: fleet.Number(message.GetService()), Account: fleet.Number(message.GetAccount())}
 	total := s.keeper.Report(now, from, incarnation, share.Report[keeper.Key]{
 		Key: key, Cumulative: fleet.Tokens(message.GetCumulative()), Floor: fleet.Tokens(message.GetFloor()),
 		Outstanding: fleet.Tokens(message.GetOutstanding()),
 	})
-	out := s.outbox.to(from)
+	out := s.outbox.batchTo(from)
 	out.Totals = append(out.Totals, &schema.ServiceTotal{
 		Service: message.GetService(), Account: message.GetAccount(),
 		Total: int64(total.Sum), Covered: int64(total.Covered),
@@ -97,15 +100,15 @@
 	})
 }
 
-// total takes a keeper's answer.
-func (x *exchange) total(s *Scheduler, message *schema.ServiceTotal) {
-	s.slots.Observe(fleet.Number(message.GetService()), fleet.Number(message.GetAccount()), share.Total{
+// handleTotal applies a keeper's total.
+func (x *serviceExchange) handleTotal(s *Scheduler, message *schema.ServiceTotal) {
+	s.dispatcher.Observe(fleet.Number(message.GetService()), fleet.Number(message.GetAccount()), share.Total{
 		Sum: fleet.Tokens(message.GetTotal()), Covered: fleet.Tokens(message.GetCovered()),
 		Outstanding: fleet.Tokens(message.GetOutstanding()),
 	})
 }
 
-// forget drops an account that was withdrawn.
-func (x *exchange) forget(account fleet.Number) {
-	maps.DeleteFunc(x.keepers, func(key keeper.Key, _ told) bool { return key.Account == account })
+// forget removes a withdrawn account.
+func (x *serviceExchange) forget(account fleet.Number) {
+	maps.DeleteFunc(x.keepers, func(key keeper.Key, _ keeperInstance) bool { return key.Account == account })
 }
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -12,13 +12,13 @@
 	"nutmeglock.example/nutmeglock/rendezvous"
 )
 
-// dispatcherOf returns who dispatches the first upstream, as a router sees it.
+// dispatcherOf returns the dispatcher of the first upstream in a router's view.
 func (f *testFleet) dispatcherOf(seenBy fleet.RouterID) fleet.RouterID {
 	return f.state(seenBy).Upstreams[0].Dispatcher
 }
 
-// others returns the routers but one.
-func others(ids []fleet.RouterID, not fleet.RouterID) []fleet.RouterID {
+// allExcept returns all routers but one.
+func allExcept(ids []fleet.RouterID, not fleet.RouterID) []fleet.RouterID {
 	var rest []fleet.RouterID
 	for _, id := range ids {
 		if id != not {
@@ -28,261 +28,258 @@
 	return rest
 }
 
-// A router is killed while its requests hold every slot of an upstream. Its
-// releases never come; if nobody reclaimed the slots, the upstream would be
-// lost to all callers of the other routers.
+// A router is killed while its requests hold all slots of an upstream, so it never
+// releases them. If they were not reclaimed, the other routers could not use the
+// upstream any more.
 func TestKilledRouterReturnsItsSlots(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 4))
+		f := newFleet(t, newView(2, 1, 4))
 		ids := f.startAll(3)
 		defer f.stopAll()
-		rest := others(ids, f.dispatcherOf(ids[0]))
-		f.load(rest[0], "account-0", 4, time.Hour)
+		rest := allExcept(ids, f.dispatcherOf(ids[0]))
+		f.keepLoad(rest[0], "account-0", 4, time.Hour)
 		time.Sleep(time.Second)
-		f.load(rest[1], "account-1", 8, time.Second)
+		f.keepLoad(rest[1], "account-1", 8, time.Second)
 		time.Sleep(time.Second)
-		require.Zero(t, f.ups.servedOf("account-1"))
+		require.Zero(t, f.upstreams.servedOf("account-1"))
 		f.kill(rest[0])
 		time.Sleep(12 * time.Second)
-		f.full(4)
-		require.NotZero(t, f.ups.servedOf("account-1"))
-		f.atMost(4)
+		f.requireFull(4)
+		require.NotZero(t, f.upstreams.servedOf("account-1"))
+		f.requireAtMost(4)
 	})
 }
 
-// The dispatcher of an upstream is killed while the upstream is full. The next
-// one starts with nothing; if it were not told what is in flight, it would
-// fill the upstream a second time, and everybody's answers would slow down.
+// The dispatcher of a full upstream is killed. The next one starts without state;
+// if it were not told about the requests in flight, it would fill the upstream a
+// second time and slow down all answers.
 func TestNextDispatcherLearnsWhatIsInFlight(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 6))
+		f := newFleet(t, newView(2, 1, 6))
 		ids := f.startAll(3)
 		defer f.stopAll()
-		dead := f.dispatcherOf(ids[0])
-		rest := others(ids, dead)
-		f.load(rest[0], "account-0", 10, 5*time.Second)
-		f.load(rest[1], "account-1", 10, 5*time.Second)
+		killed := f.dispatcherOf(ids[0])
+		rest := allExcept(ids, killed)
+		f.keepLoad(rest[0], "account-0", 10, 5*time.Second)
+		f.keepLoad(rest[1], "account-1", 10, 5*time.Second)
 		time.Sleep(7 * time.Second)
-		f.kill(dead)
+		f.kill(killed)
 		time.Sleep(2 * time.Second)
-		require.NotEqual(t, dead, f.dispatcherOf(rest[0]))
-		served := f.ups.servedOf("account-0")
+		require.NotEqual(t, killed, f.dispatcherOf(rest[0]))
+		served := f.upstreams.servedOf("account-0")
 		time.Sleep(30 * time.Second)
-		require.Greater(t, f.ups.servedOf("account-0"), served+10)
-		f.atMost(6)
-		f.full(6)
+		require.Greater(t, f.upstreams.servedOf("account-0"), served+10)
+		f.requireAtMost(6)
+		f.requireFull(6)
 	})
 }
 
-// The network between two routers is cut. Both keep serving their callers and
-// both believe that they dispatch the upstream, so it gets up to its limit
-// from each. After the rejoin one of them is the dispatcher again, with
-// nobody's help, and the upstream is back at its limit.
+// The network between two routers is cut. Both serve their callers and dispatch the
+// upstream, which gets up to its limit from each. After they rejoin, one must
+// become the only dispatcher by itself, and the upstream must return to its limit.
 func TestCutRoutersServeOnAndConverge(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 5))
+		f := newFleet(t, newView(2, 1, 5))
 		ids := f.startAll(2)
 		defer f.stopAll()
-		f.load(ids[0], "account-0", 10, time.Second)
-		f.load(ids[1], "account-1", 10, time.Second)
+		f.keepLoad(ids[0], "account-0", 10, time.Second)
+		f.keepLoad(ids[1], "account-1", 10, time.Second)
 		time.Sleep(5 * time.Second)
-		f.atMost(5)
-		f.net.cut(ids[0], ids[1])
+		f.requireAtMost(5)
+		f.network.cut(ids[0], ids[1])
 		time.Sleep(20 * time.Second)
 		require.Equal(t, ids[0], f.dispatcherOf(ids[0]))
 		require.Equal(t, ids[1], f.dispatcherOf(ids[1]))
-		f.atMost(2 * 5)
-		f.net.connect(ids[0], ids[1])
+		f.requireAtMost(2 * 5)
+		f.network.connect(ids[0], ids[1])
 		time.Sleep(10 * time.Second)
 		require.Equal(t, f.dispatcherOf(ids[0]), f.dispatcherOf(ids[1]))
-		f.ups.resetMost()
+		f.upstreams.resetPeaks()
 		time.Sleep(20 * time.Second)
-		f.atMost(5)
-		f.full(5)
+		f.requireAtMost(5)
+		f.requireFull(5)
 	})
 }
 
-// A router is killed and starts again with nothing remembered, before anyone
-// missed it. What its first life was granted is gone; the new life must get
-// its turn as if it had never been there, and no slot may stay lost.
+// A router is killed and restarts without state before the others notice. The
+// grants to its first incarnation are lost; the new one must be served like a new
+// router, and no slot may leak.
 func TestRouterRestartedWithNothingRemembered(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 4))
+		f := newFleet(t, newView(2, 1, 4))
 		ids := f.startAll(3)
 		defer f.stopAll()
 		dispatcher := f.dispatcherOf(ids[0])
-		rest := others(ids, dispatcher)
-		f.load(rest[0], "account-0", 4, time.Hour)
+		rest := allExcept(ids, dispatcher)
+		f.keepLoad(rest[0], "account-0", 4, time.Hour)
 		time.Sleep(time.Second)
 		f.kill(rest[0])
 		f.start(rest[0], 2)
 		time.Sleep(100 * time.Millisecond)
-		f.load(rest[0], "account-0", 8, time.Second)
+		f.keepLoad(rest[0], "account-0", 8, time.Second)
 		time.Sleep(12 * time.Second)
-		f.full(4)
-		f.atMost(4)
+		f.requireFull(4)
+		f.requireAtMost(4)
 	})
 }
 
-// The dispatcher itself is killed and starts again with nothing remembered
-// while others have requests in flight that it granted.
+// The dispatcher is killed and restarts without state while other routers have
+// requests in flight that it granted.
 func TestDispatcherRestartedWithNothingRemembered(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 4))
+		f := newFleet(t, newView(2, 1, 4))
 		ids := f.startAll(3)
 		defer f.stopAll()
 		dispatcher := f.dispatcherOf(ids[0])
-		rest := others(ids, dispatcher)
-		f.load(rest[0], "account-0", 8, 3*time.Second)
-		f.load(rest[1], "account-1", 8, 3*time.Second)
+		rest := allExcept(ids, dispatcher)
+		f.keepLoad(rest[0], "account-0", 8, 3*time.Second)
+		f.keepLoad(rest[1], "account-1", 8, 3*time.Second)
 		time.Sleep(4 * time.Second)
 		f.kill(dispatcher)
 		f.start(dispatcher, 2)
 		time.Sleep(30 * time.Second)
 		require.Equal(t, dispatcher, f.dispatcherOf(rest[0]))
-		f.atMost(4)
-		f.full(4)
+		f.requireAtMost(4)
+		f.requireFull(4)
 	})
 }
 
-// A router stands still, so nothing that is sent to it is read. Its slots go
-// to others after a while. When it wakes it reads grants of long ago and uses
-// them: the upstream gets at most those too many, and no further ones until
-// it is below its limit.
+// A paused router reads nothing, and after a while its slots go to others. When it
+// resumes, it reads and uses old grants. The upstream may exceed its limit by these
+// at most and must get no further requests until it is below the limit.
 func TestPausedRouterWakesWithOldGrants(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(3, 1, 2))
+		f := newFleet(t, newView(3, 1, 2))
 		ids := f.startAll(3)
 		defer f.stopAll()
 		dispatcher := f.dispatcherOf(ids[0])
-		rest := others(ids, dispatcher)
+		rest := allExcept(ids, dispatcher)
 		paused, awake := rest[0], rest[1]
-		f.load(paused, "account-0", 2, 2*time.Second)
+		f.keepLoad(paused, "account-0", 2, 2*time.Second)
 		time.Sleep(time.Second)
-		// Both slots are in use and two more requests wait at the paused router.
-		f.load(paused, "account-1", 2, 5*time.Second)
+		// Both slots are in use, and two more requests wait at the router to be paused.
+		f.keepLoad(paused, "account-1", 2, 5*time.Second)
 		time.Sleep(500 * time.Millisecond)
-		f.net.pause(dispatcher, paused)
+		f.network.pause(dispatcher, paused)
 		time.Sleep(3 * time.Second)
-		f.net.lose(paused, dispatcher)
-		f.load(awake, "account-2", 6, time.Second)
+		f.network.disconnectOneWay(paused, dispatcher)
+		f.keepLoad(awake, "account-2", 6, time.Second)
 		time.Sleep(15 * time.Second)
-		require.Positive(t, f.ups.servedOf("account-2"))
-		f.net.wake(dispatcher, paused)
+		require.Positive(t, f.upstreams.servedOf("account-2"))
+		f.network.resume(dispatcher, paused)
 		time.Sleep(30 * time.Second)
-		f.atMost(2 + 2)
-		f.ups.resetMost()
+		f.requireAtMost(2 + 2)
+		f.upstreams.resetPeaks()
 		time.Sleep(10 * time.Second)
-		f.atMost(2)
-		f.full(2)
+		f.requireAtMost(2)
+		f.requireFull(2)
 	})
 }
 
-// A router is stopped as planned. Its upstreams are dispatched by others at
-// once, what waits at it still gets its turn, and nothing in flight is cut.
+// A router shuts down gracefully. Others must dispatch its upstreams at once, its
+// waiting requests must still be served and those in flight must not be cut off.
 func TestLeavingRouterHandsItsUpstreamsOver(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 4))
+		f := newFleet(t, newView(2, 1, 4))
 		ids := f.startAll(3)
 		defer f.stopAll()
 		leaving := f.dispatcherOf(ids[0])
-		f.load(leaving, "account-0", 8, time.Second)
-		f.load(others(ids, leaving)[0], "account-1", 8, time.Second)
+		f.keepLoad(leaving, "account-0", 8, time.Second)
+		f.keepLoad(allExcept(ids, leaving)[0], "account-1", 8, time.Second)
 		time.Sleep(3 * time.Second)
 		f.routers[leaving].Leave()
 		time.Sleep(time.Second)
 		require.NotEqual(t, leaving, f.dispatcherOf(leaving))
-		require.Equal(t, f.dispatcherOf(leaving), f.dispatcherOf(others(ids, leaving)[0]))
-		served := f.ups.servedOf("account-0")
+		require.Equal(t, f.dispatcherOf(leaving), f.dispatcherOf(allExcept(ids, leaving)[0]))
+		served := f.upstreams.servedOf("account-0")
 		time.Sleep(5 * time.Second)
-		require.Greater(t, f.ups.servedOf("account-0"), served)
-		f.atMost(4)
+		require.Greater(t, f.upstreams.servedOf("account-0"), served)
+		f.requireAtMost(4)
 	})
 }
 
-// The network between two routers is cut, and both still reach the third. One
-// of them dispatches the only upstream of a service; the other takes the third
-// one for its dispatcher, which knows better and grants nothing. The callers
-// of that router would wait until their deadlines beside idle slots.
+// The network between two routers is cut, and both still reach the third. One of
+// them dispatches the only upstream of a service. The other considers the third the
+// dispatcher, which grants nothing, since it still reaches the real one. Without
+// denials, requests would wait until their deadlines beside idle slots.
 func TestRouterThatIsCutOffFromTheDispatcherOnly(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 4))
+		f := newFleet(t, newView(2, 1, 4))
 		ids := f.startAll(3)
 		defer f.stopAll()
 		dispatcher := f.dispatcherOf(ids[0])
-		rest := others(ids, dispatcher)
+		rest := allExcept(ids, dispatcher)
 		second := rendezvous.Pick(rendezvous.KeyOfNumber("dispatcher", 1000), rest)
-		cutOff := others(rest, second)[0]
-		f.net.cut(dispatcher, cutOff)
+		cutOff := allExcept(rest, second)[0]
+		f.network.cut(dispatcher, cutOff)
 		time.Sleep(time.Second)
 		require.Equal(t, second, f.dispatcherOf(cutOff))
 		require.Equal(t, dispatcher, f.dispatcherOf(second))
-		f.load(cutOff, "account-0", 8, time.Second)
+		f.keepLoad(cutOff, "account-0", 8, time.Second)
 		time.Sleep(5 * time.Second)
-		f.full(4)
-		// The others are still served by the dispatcher that they reach.
-		f.load(second, "account-1", 8, time.Second)
+		f.requireFull(4)
+		// The other router is still served by the dispatcher that it reaches.
+		f.keepLoad(second, "account-1", 8, time.Second)
 		time.Sleep(2 * time.Second)
-		require.Positive(t, f.ups.servedOf("account-1"))
-		f.atMost(2 * 4)
-		f.net.connect(dispatcher, cutOff)
+		require.Positive(t, f.upstreams.servedOf("account-1"))
+		f.requireAtMost(2 * 4)
+		f.network.connect(dispatcher, cutOff)
 		time.Sleep(15 * time.Second)
 		require.Equal(t, dispatcher, f.dispatcherOf(cutOff))
-		f.ups.resetMost()
-		f.full(4)
+		f.upstreams.resetPeaks()
+		f.requireFull(4)
 	})
 }
 
-// A dispatcher is killed and comes back while a request holds a slot that it
-// had granted, and the next dispatcher has been told of the slot. The request
-// then has no use for it, since its claim could not be written. If only the
-// granter heard of that, the slot would be taken for good at the dispatcher,
-// and after a few of them the upstream would stand idle beside waiting work.
+// A dispatcher is killed and restarts while a request holds a slot that it granted
+// and that the next dispatcher was told about. Then the slot is returned, for
+// example unused because the request's claim could not be written. If only the
+// granter were told, the slot would leak at the current dispatcher; after a few of
+// these, the upstream would idle while requests wait.
 func TestUnusedSlotOfAFormerDispatcherComesBack(t *testing.T) {
 	t.Parallel()
 	for _, result := range []dispatch.Result{dispatch.Unused, dispatch.Answered, dispatch.Failed} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet(t, viewOf(1, 1, 1))
+			f := newFleet(t, newView(1, 1, 1))
 			ids := f.startAll(3)
 			defer f.stopAll()
-			dead := f.dispatcherOf(ids[0])
-			id := others(ids, dead)[0]
+			killed := f.dispatcherOf(ids[0])
+			id := allExcept(ids, killed)[0]
 			holder := f.routers[id]
 			slot, err := holder.Acquire(holder.ctx, f.work("account-0"))
 			require.NoError(t, err)
-			f.kill(dead)
+			f.kill(killed)
 			time.Sleep(3 * time.Second)
-			f.start(dead, 2)
+			f.start(killed, 2)
 			time.Sleep(500 * time.Millisecond)
 
 			slot.Done(dispatch.Done{Result: result})
 
 			time.Sleep(500 * time.Millisecond)
-			present := f.dispatcherOf(id)
-			require.NotEqual(t, dead, present)
-			require.Zero(t, f.state(present).Upstreams[0].InFlight, "result %d", result)
+			current := f.dispatcherOf(id)
+			require.NotEqual(t, killed, current)
+			require.Zero(t, f.state(current).Upstreams[0].InFlight, "result %d", result)
 		})
 	}
 }
 
-// A request gives its slot back unused, since its claim could not be written
-// or its caller has just gone, while others of the same account wait at the
-// same router. The dispatcher takes a slot that comes back unused for a sign
-// that the router has no work left. If the router did not ask again, those
-// others would wait for ever beside accounts that are served.
-func TestUnusedSlotLeavesTheOthersTheirTurn(t *testing.T) {
+// A request returns its slot unused, because its claim could not be written or its
+// caller has disconnected, while others of the same account wait at the router.
+// The dispatcher takes an unused slot as a sign that the router has no waiting
+// requests. If the router did not ask again, these would wait for ever.
+func TestUnusedSlotDoesNotStarveOtherRequests(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{0, 1, 2} { // The dispatcher itself, and routers that ask it.
 		synctest.Test(t, func(t *testing.T) {
-			f := newFleet(t, viewOf(1, 1, 1))
+			f := newFleet(t, newView(1, 1, 1))
 			ids := f.startAll(3)
 			defer f.stopAll()
 			r := f.routers[ids[n]]
@@ -290,7 +287,7 @@
 			require.NoError(t, err)
 			answered := make(chan error, 3)
 			for range 3 {
-				go func() { answered <- f.run(r, "account-0", 300, time.Second) }()
+				go func() { answered <- f.runOn(r, "account-0", 300, time.Second) }()
 			}
 			time.Sleep(time.Second)
 
--- a/scheduler/fairness_test.go
+++ b/scheduler/fairness_test.go
@@ -14,113 +14,113 @@
 	"nutmeglock.example/nutmeglock/scheduler"
 )
 
-// Requests of the fairness test cost 120 to 800 tokens and stream 25 a second.
+// Requests in the fairness tests cost 120 to 800 tokens and stream 25 tokens a second.
 const (
-	leastCost    = 120
-	mostCost     = 800
+	minCost      = 120
+	maxCost      = 800
 	tokensPerSec = 25
 )
 
-// meter follows the service of each account while its answers stream.
-type meter struct {
-	done    map[string]float64
-	running map[*stream]bool
+// serviceMeter measures the service of each account while its answers stream.
+type serviceMeter struct {
+	completed map[string]float64
+	running   map[*runningStream]bool
 }
 
-type stream struct {
-	account string
-	begun   time.Time
-	cost    float64
+type runningStream struct {
+	account   string
+	startedAt time.Time
+	cost      float64
 }
 
-// service returns what each account received until now.
-func (m *meter) service() map[string]float64 {
-	sum := make(map[string]float64, len(m.done))
-	for account, cost := range m.done {
+// serviceByAccount returns the tokens that each account has received so far.
+func (m *serviceMeter) serviceByAccount() map[string]float64 {
+	sum := make(map[string]float64, len(m.completed))
+	for account, cost := range m.completed {
 		sum[account] = cost
 	}
 	for s := range m.running {
-		sum[s.account] += min(s.cost, time.Since(s.begun).Seconds()*tokensPerSec)
+		sum[s.account] += min(s.cost, time.Since(s.startedAt).Seconds()*tokensPerSec)
 	}
 	return sum
 }
 
-// backlog keeps n requests of an account at a router.
-func (f *testFleet) backlog(m *meter, random *rand.Rand, id fleet.RouterID, account string, n int) {
+// keepBacklog keeps n requests of an account at a router, as runStreamed runs them.
+func (f *testFleet) keepBacklog(m *serviceMeter, random *rand.Rand, id fleet.RouterID, account string, n int) {
 	r := f.routers[id]
 	for range n {
 		own := rand.New(rand.NewPCG(random.Uint64(), 1))
 		go func() {
 			for r.ctx.Err() == nil {
-				f.streamed(m, r, account, float64(leastCost+own.IntN(mostCost-leastCost)), func() {})
+				f.runStreamed(m, r, account, float64(minCost+own.IntN(maxCost-minCost)), func() {})
 			}
 		}()
 	}
 }
 
-// streamed runs one request and calls begun when it has its slot.
-func (f *testFleet) streamed(m *meter, r *testRouter, account string, cost float64, begun func()) {
+// runStreamed runs one request and calls onStart when it gets its slot.
+func (f *testFleet) runStreamed(m *serviceMeter, r *testRouter, account string, cost float64, onStart func()) {
 	slot, err := r.Acquire(r.ctx, dispatch.Work{
 		Account: f.view.Account(fleet.AccountID(account)), Service: f.view.Service("model"),
-		Estimate: (leastCost + mostCost) / 2, Deadline: time.Now().Add(time.Hour),
+		Estimate: (minCost + maxCost) / 2, Deadline: time.Now().Add(time.Hour),
 	})
 	if err != nil {
 		return
 	}
-	begun()
-	s := &stream{account: account, begun: time.Now(), cost: cost}
-	f.ups.mu.Lock()
+	onStart()
+	s := &runningStream{account: account, startedAt: time.Now(), cost: cost}
+	f.upstreams.mu.Lock()
 	m.running[s] = true
-	f.ups.mu.Unlock()
-	for streamed := 0.0; streamed < cost && r.ctx.Err() == nil; streamed = time.Since(s.begun).Seconds() * tokensPerSec {
+	f.upstreams.mu.Unlock()
+	for streamed := 0.0; streamed < cost && r.ctx.Err() == nil; streamed = time.Since(s.startedAt).Seconds() * tokensPerSec {
 		time.Sleep(min(time.Second, time.Duration((cost-streamed)/tokensPerSec*float64(time.Second))+time.Millisecond))
-		slot.Progress(fleet.Tokens(min(cost, time.Since(s.begun).Seconds()*tokensPerSec)))
+		slot.Progress(fleet.Tokens(min(cost, time.Since(s.startedAt).Seconds()*tokensPerSec)))
 	}
-	f.ups.mu.Lock()
+	f.upstreams.mu.Lock()
 	delete(m.running, s)
-	m.done[account] += cost
-	f.ups.mu.Unlock()
+	m.completed[account] += cost
+	f.upstreams.mu.Unlock()
 	slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: fleet.Tokens(cost), FirstToken: time.Second})
 }
 
-// gap returns the largest difference of service between two accounts over any
-// interval of the measured time, and the least part of the slots in use.
-func gap(t *testing.T, sharing scheduler.Sharing, warm time.Duration) (tokens, used float64) {
+// measureGap returns the largest difference between the service of two accounts
+// over any interval of the measured time, and the lowest fraction of slots in use.
+func measureGap(t *testing.T, sharing scheduler.Sharing, warmup time.Duration) (tokens, used float64) {
 	t.Helper()
 	const accounts, upstreams, slots = 12, 10, 16
 	used = 1
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(accounts, upstreams, slots))
+		f := newFleet(t, newView(accounts, upstreams, slots))
 		f.sharing = sharing
 		ids := f.startAll(6)
 		defer f.stopAll()
 		random := rand.New(rand.NewPCG(3, 3))
-		m := &meter{done: make(map[string]float64), running: make(map[*stream]bool)}
+		m := &serviceMeter{completed: make(map[string]float64), running: make(map[*runningStream]bool)}
 		for _, account := range f.view.State().GetAccounts() {
-			m.done[account.GetId()] = 0
+			m.completed[account.GetId()] = 0
 		}
 		for i := range accounts {
 			account := fmt.Sprintf("account-%d", i)
 			switch {
-			case i < 4: // All at one router.
-				f.backlog(m, random, ids[i%2], account, 60)
-			case i < 8: // Floods, at all routers.
+			case i < 4: // All requests at one router.
+				f.keepBacklog(m, random, ids[i%2], account, 60)
+			case i < 8: // A flood at all routers.
 				for _, id := range ids {
-					f.backlog(m, random, id, account, 40)
+					f.keepBacklog(m, random, id, account, 40)
 				}
-			default: // Just backlogged, at two routers.
-				f.backlog(m, random, ids[i%6], account, 20)
-				f.backlog(m, random, ids[(i+1)%6], account, 20)
+			default: // A small backlog at two routers.
+				f.keepBacklog(m, random, ids[i%6], account, 20)
+				f.keepBacklog(m, random, ids[(i+1)%6], account, 20)
 			}
 		}
-		time.Sleep(warm)
+		time.Sleep(warmup)
 		low, high := make(map[[2]string]float64), make(map[[2]string]float64)
 		for range 120 {
 			time.Sleep(500 * time.Millisecond)
-			f.ups.mu.Lock()
+			f.upstreams.mu.Lock()
 			used = min(used, float64(len(m.running))/(upstreams*slots))
-			now := m.service()
-			f.ups.mu.Unlock()
+			now := m.serviceByAccount()
+			f.upstreams.mu.Unlock()
 			for a, sa := range now {
 				for b, sb := range now {
 					pair := [2]string{a, b}
@@ -136,20 +136,20 @@
 	return tokens, used
 }
 
-// Accounts are backlogged for a minute: some at one router, some at all, some
-// flooding. Whoever spreads its requests over more routers, or sends more,
-// must not be served more. With a share of the slots for each router it is.
+// All accounts are backlogged for a minute: some at one router, some at two, some
+// flooding all. An account that uses more routers or sends more requests must not
+// get more service, as it does with a fixed share of the slots per router.
 //
-// The fleet is empty at first, and whoever comes first gets every slot, as it
-// should; the others catch up within two minutes. The bound holds from then on.
+// The fleet is empty at first and the first accounts correctly get every slot; the
+// others catch up within two minutes. The bound holds from then on.
 func TestServiceIsSharedEvenlyAcrossTheFleet(t *testing.T) {
 	t.Parallel()
-	const caughtUp = 150 * time.Second
-	tokens, used := gap(t, scheduler.Fleet, caughtUp)
-	t.Logf("fleet: gap %.0f tokens, %.1f times the largest cost, at least %.3f of the slots in use", tokens, tokens/mostCost, used)
-	static, staticUsed := gap(t, scheduler.StaticShare, 10*time.Second)
-	t.Logf("static share: gap %.0f tokens, %.1f times the largest cost, at least %.3f of the slots in use", static, static/mostCost, staticUsed)
+	const catchUpTime = 150 * time.Second
+	tokens, used := measureGap(t, scheduler.FleetWide, catchUpTime)
+	t.Logf("fleet-wide: gap %.0f tokens, %.1f times the largest cost, at least %.3f of the slots in use", tokens, tokens/maxCost, used)
+	static, staticUsed := measureGap(t, scheduler.StaticShare, 10*time.Second)
+	t.Logf("static share: gap %.0f tokens, %.1f times the largest cost, at least %.3f of the slots in use", static, static/maxCost, staticUsed)
 	require.GreaterOrEqual(t, used, 0.98)
-	require.LessOrEqual(t, tokens, 2.0*mostCost)
-	require.Greater(t, static, 20.0*mostCost)
+	require.LessOrEqual(t, tokens, 2.0*maxCost)
+	require.Greater(t, static, 20.0*maxCost)
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -24,11 +24,11 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// upstreams counts what is in flight at each upstream, as the upstream sees it.
+// upstreams counts the requests that actually run at each upstream.
 type upstreams struct {
 	mu      sync.Mutex
 	running map[string]int
-	most    map[string]int
+	peak    map[string]int
 	served  map[string]int
 	cost    map[string]fleet.Tokens
 }
@@ -37,7 +37,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running[id]++
-	u.most[id] = max(u.most[id], u.running[id])
+	u.peak[id] = max(u.peak[id], u.running[id])
 }
 
 func (u *upstreams) end(id, account string, cost fleet.Tokens) {
@@ -54,14 +54,14 @@
 	return u.served[account]
 }
 
-func (u *upstreams) mostOf(id string) int {
+func (u *upstreams) peakOf(id string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.most[id]
+	return u.peak[id]
 }
 
-// total returns what runs at all upstreams now.
-func (u *upstreams) total() int {
+// totalRunning returns the number of requests that run at all upstreams.
+func (u *upstreams) totalRunning() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	sum := 0
@@ -71,35 +71,35 @@
 	return sum
 }
 
-func (u *upstreams) resetMost() {
+func (u *upstreams) resetPeaks() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	clear(u.most)
+	clear(u.peak)
 }
 
 func newFixed(slots int) inflight.Limiter { return inflight.Fixed(slots) }
 
-// bounded admits as long as the account's bound is kept.
+// bounded admits requests up to the account's limit, whatever their deadlines.
 type bounded struct{}
 
 func (bounded) Admit(_, _ time.Time, queue admission.Queue) *refusal.Error {
 	if queue.Account >= queue.AccountBound {
-		return refusal.New(refusal.AccountQueueFull, "too many wait", time.Second)
+		return refusal.New(refusal.AccountQueueFull, "too many waiting requests", time.Second)
 	}
 	return nil
 }
 
-type fixedView struct{ view *note.View }
+type fixedNotes struct{ view *note.View }
 
-func (f fixedView) Current() *note.View { return f.view }
+func (f fixedNotes) Current() *note.View { return f.view }
 
-// source is a note.Source whose view changes.
-type source struct{ atomic.Pointer[note.View] }
+// switchableNotes is a note.Source whose view tests can replace.
+type switchableNotes struct{ atomic.Pointer[note.View] }
 
-// Current returns the view in force.
-func (s *source) Current() *note.View { return s.Load() }
+// Current returns the current view.
+func (s *switchableNotes) Current() *note.View { return s.Load() }
 
-func viewOf(accounts, ups, slots int) *note.View {
+func newView(accounts, ups, slots int) *note.View {
 	state := &schema.FleetState{Version: 1, Services: []*schema.Service{{Id: "model", Kind: "model", Number: 1}}}
 	for i := range accounts {
 		state.Accounts = append(state.Accounts, &schema.Account{Id: fmt.Sprintf("account-%d", i), Weight: 1, Number: uint32(100 + i)})
@@ -112,22 +112,22 @@
 	return note.NewView(state)
 }
 
-// testFleet is several routers in one process.
+// testFleet runs several routers in one process.
 type testFleet struct {
-	t       *testing.T
-	net     *network
-	ups     *upstreams
-	view    *note.View
-	routers map[fleet.RouterID]*testRouter
-	sharing scheduler.Sharing
-	client  *http.Client
-	// notes and vms replace what single routers see.
-	notes map[fleet.RouterID]note.Source
-	vms   map[fleet.RouterID]store.VMs
-	limit func(slots int) inflight.Limiter
-	// order replaces the fair one.
+	t         *testing.T
+	network   *network
+	upstreams *upstreams
+	view      *note.View
+	routers   map[fleet.RouterID]*testRouter
+	sharing   scheduler.Sharing
+	client    *http.Client
+	// notes and vms override the sources of single routers.
+	notes   map[fleet.RouterID]note.Source
+	vms     map[fleet.RouterID]store.VMs
+	limiter func(slots int) inflight.Limiter
+	// order overrides share.Fair.
 	order func() share.Order[fleet.Number]
-	// placement replaces the least loaded upstream.
+	// placement overrides placement.LeastLoaded.
 	placement placement.Policy
 }
 
@@ -141,38 +141,38 @@
 func newFleet(t *testing.T, view *note.View) *testFleet {
 	t.Helper()
 	f := &testFleet{
-		t: t, net: newNetwork(), view: view, routers: make(map[fleet.RouterID]*testRouter),
-		ups: &upstreams{
-			running: make(map[string]int), most: make(map[string]int),
+		t: t, network: newNetwork(), view: view, routers: make(map[fleet.RouterID]*testRouter),
+		upstreams: &upstreams{
+			running: make(map[string]int), peak: make(map[string]int),
 			served: make(map[string]int), cost: make(map[string]fleet.Tokens),
 		},
 	}
 	return f
 }
 
-// start starts a router with nothing remembered and connects it to the others.
-func (f *testFleet) start(id fleet.RouterID, life fleet.Incarnation) {
+// start starts a router without state and connects it to the others.
+func (f *testFleet) start(id fleet.RouterID, incarnation fleet.Incarnation) {
 	f.t.Helper()
 	notes := f.notes[id]
 	if notes == nil {
-		notes = fixedView{f.view}
+		notes = fixedNotes{f.view}
 	}
 	order := f.order
 	if order == nil {
 		order = func() share.Order[fleet.Number] { return &share.Fair[fleet.Number]{} }
 	}
-	place := f.placement
-	if place == nil {
-		place = placement.LeastLoaded{}
+	policy := f.placement
+	if policy == nil {
+		policy = placement.LeastLoaded{}
 	}
-	limit := f.limit
-	if limit == nil {
-		limit = newFixed
+	limiter := f.limiter
+	if limiter == nil {
+		limiter = newFixed
 	}
 	s := scheduler.New(scheduler.Options[share.Order[fleet.Number], inflight.Limiter, placement.Policy]{
-		Self: id, Incarnation: life, Notes: notes, VMs: f.vms[id], Peers: f.net.port(id, life),
-		Order: order, Limiter: limit,
-		Admission: bounded{}, MaxWaiting: 10_000, MaxWaitingTotal: 100_000, Sharing: f.sharing, Placement: place, Client: f.client,
+		Self: id, Incarnation: incarnation, Notes: notes, VMs: f.vms[id], Peers: f.network.newPeers(id, incarnation),
+		Order: order, Limiter: limiter,
+		Admission: bounded{}, MaxWaiting: 10_000, MaxWaitingTotal: 100_000, Sharing: f.sharing, Placement: policy, Client: f.client,
 	})
 	ctx, cancel := context.WithCancel(f.t.Context())
 	r := &testRouter{Scheduler: s, stop: cancel, ctx: ctx, done: make(chan struct{})}
@@ -181,7 +181,7 @@
 		_ = s.Run(ctx)
 	}()
 	for other := range f.routers {
-		f.net.connect(id, other)
+		f.network.connect(id, other)
 	}
 	f.routers[id] = r
 }
@@ -197,17 +197,17 @@
 	return ids
 }
 
-// kill ends a router without a word: its requests end, its connections break.
+// kill stops a router without notice: its requests end and its connections close.
 func (f *testFleet) kill(id fleet.RouterID) {
 	r := f.routers[id]
 	delete(f.routers, id)
 	r.stop()
 	<-r.done
-	f.net.mu.Lock()
-	delete(f.net.ports, id)
-	f.net.mu.Unlock()
+	f.network.mu.Lock()
+	delete(f.network.peers, id)
+	f.network.mu.Unlock()
 	for other := range f.routers {
-		f.net.cut(id, other)
+		f.network.cut(id, other)
 	}
 }
 
@@ -215,16 +215,16 @@
 	for id := range f.routers {
 		f.kill(id)
 	}
-	// What is on the wire arrives nowhere, and streams see that their router is gone.
-	time.Sleep(10*wire + 2*time.Second)
+	// Waits until batches under way are dropped and streams notice that their router has stopped.
+	time.Sleep(10*linkDelay + 2*time.Second)
 }
 
-// one runs one request through the first router.
-func (f *testFleet) one(account string, took time.Duration) error {
-	return f.run(f.routers["router-0"], account, 300, took)
+// runOnFirst runs one request through router-0.
+func (f *testFleet) runOnFirst(account string, duration time.Duration) error {
+	return f.runOn(f.routers["router-0"], account, 300, duration)
 }
 
-// work returns a request of an account with an hour to wait.
+// work returns a request of an account with a deadline in an hour.
 func (f *testFleet) work(account string) dispatch.Work {
 	return dispatch.Work{
 		Account: f.view.Account(fleet.AccountID(account)), Service: f.view.Service("model"), Estimate: 300,
@@ -232,30 +232,30 @@
 	}
 }
 
-func (f *testFleet) run(r *testRouter, account string, cost fleet.Tokens, took time.Duration) error {
+func (f *testFleet) runOn(r *testRouter, account string, cost fleet.Tokens, duration time.Duration) error {
 	slot, err := r.Acquire(r.ctx, f.work(account))
 	if err != nil {
 		return err
 	}
 	upstream := slot.Upstream().GetId()
-	f.ups.begin(upstream)
+	f.upstreams.begin(upstream)
 	select {
-	case <-time.After(took):
-		f.ups.end(upstream, account, cost)
-		slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: cost, FirstToken: took / 10})
+	case <-time.After(duration):
+		f.upstreams.end(upstream, account, cost)
+		slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: cost, FirstToken: duration / 10})
 	case <-r.ctx.Done():
-		f.ups.end(upstream, account, 0)
+		f.upstreams.end(upstream, account, 0)
 	}
 	return nil
 }
 
-// load keeps n requests of an account at a router until the router is killed.
-func (f *testFleet) load(id fleet.RouterID, account string, n int, took time.Duration) {
+// keepLoad keeps n requests of an account at a router until the router stops.
+func (f *testFleet) keepLoad(id fleet.RouterID, account string, n int, duration time.Duration) {
 	r := f.routers[id]
 	for range n {
 		go func() {
 			for r.ctx.Err() == nil {
-				if err := f.run(r, account, 300, took); err != nil {
+				if err := f.runOn(r, account, 300, duration); err != nil {
 					return
 				}
 			}
@@ -269,28 +269,28 @@
 	return state
 }
 
-// full checks over some seconds that so many requests run at all upstreams
-// together. A single look could fall between a request's end and the next
-// one's begin, a few milliseconds of each second.
-func (f *testFleet) full(slots int) {
+// requireFull checks over some seconds that the upstreams run so many requests in
+// total. A single sample could fall between the end of a request and the start of
+// the next, which takes a few milliseconds of each second.
+func (f *testFleet) requireFull(slots int) {
 	f.t.Helper()
-	const looks, part = 100, 0.97
+	const samples, fraction = 100, 0.97
 	sum := 0
-	for range looks {
+	for range samples {
 		time.Sleep(37 * time.Millisecond)
-		total := f.ups.total()
+		total := f.upstreams.totalRunning()
 		require.LessOrEqual(f.t, total, slots)
 		sum += total
 	}
-	require.GreaterOrEqual(f.t, float64(sum)/looks, part*float64(slots))
+	require.GreaterOrEqual(f.t, float64(sum)/samples, fraction*float64(slots))
 }
 
-// atMost checks that no upstream ever ran more than limit since the last reset.
-func (f *testFleet) atMost(limit int) {
+// requireAtMost checks that no upstream has run more than limit requests since the last reset.
+func (f *testFleet) requireAtMost(limit int) {
 	f.t.Helper()
-	f.ups.mu.Lock()
-	defer f.ups.mu.Unlock()
-	for id, most := range f.ups.most {
+	f.upstreams.mu.Lock()
+	defer f.upstreams.mu.Unlock()
+	for id, most := range f.upstreams.peak {
 		require.LessOrEqual(f.t, most, limit, id)
 	}
 }
--- a/scheduler/free.go
+++ b/scheduler/free.go
@@ -9,72 +9,73 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// freeAnnouncer tells other routers of idle slots here. Work asks at a few
-// dispatchers only; without the announcement a slot at another would stay idle
-// while that work waits.
+// freeAnnouncer tells other routers about this dispatcher's idle slots. A queue
+// asks only a few dispatchers; without announcements the slots of others would
+// stay idle while its requests wait.
 type freeAnnouncer struct {
-	// idle are the services with idle slots that nobody asks for.
-	idle  map[fleet.Number]bool
-	next  time.Time
-	pause time.Duration
+	// idleServices are the services with idle slots and no waiting asks.
+	idleServices map[fleet.Number]bool
+	nextAt       time.Time
+	interval     time.Duration
 }
 
-// Pace of announcements.
+// Intervals and recipients of announcements.
 const (
-	// firstPause is after the first announcement of idle slots, a few round trips.
-	firstPause = 20 * time.Millisecond
-	// longestPause is reached when nobody asks, as while the whole fleet has
-	// room. It bounds how long work that was asked at fanout.Most dispatchers in
-	// vain waits beside an idle slot. One service costs 70 bytes a second then.
-	longestPause = time.Second
-	// sparedServices is the number of services from which the longest pause
-	// grows in proportion.
-	sparedServices = 4
-	// announceTo is how many routers are told at once, chosen at random.
-	announceTo = 8
+	// minAnnounceInterval follows the first announcement of idle slots. It is a few round trips.
+	minAnnounceInterval = 20 * time.Millisecond
+	// maxAnnounceInterval is reached when nobody asks, for example while the whole
+	// fleet has idle slots. It limits how long a queue that asked fanout.Most
+	// dispatchers in vain waits while another dispatcher has an idle slot. At this
+	// interval one service takes 70 bytes a second.
+	maxAnnounceInterval = time.Second
+	// servicesPerMaxInterval is the number of idle services that extends the
+	// longest interval by another maxAnnounceInterval.
+	servicesPerMaxInterval = 4
+	// announceFanout is the number of routers, chosen at random, per announcement.
+	announceFanout = 8
 )
 
 func newFreeAnnouncer() freeAnnouncer {
-	return freeAnnouncer{idle: make(map[fleet.Number]bool), pause: firstPause}
+	return freeAnnouncer{idleServices: make(map[fleet.Number]bool), interval: minAnnounceInterval}
 }
 
 func (f *freeAnnouncer) tick(s *Scheduler, now time.Time) {
 	if s.sharing == StaticShare || len(s.routers) < fanout.Most {
-		// Work that waits is asked at every dispatcher as it is.
+		// Queues ask every dispatcher anyway.
 		return
 	}
-	counts := s.slots.Idle(now)
+	counts := s.dispatcher.Idle(now)
 	for service := range counts {
-		if s.slots.Unmet(service) {
+		if s.dispatcher.Unmet(service) {
 			delete(counts, service)
 		}
 	}
-	for service := range f.idle {
+	for service := range f.idleServices {
 		if counts[service] == 0 {
-			delete(f.idle, service)
+			delete(f.idleServices, service)
 		}
 	}
 	for service := range counts {
-		if !f.idle[service] {
-			f.idle[service] = true
-			f.pause, f.next = firstPause, now
+		if !f.idleServices[service] {
+			f.idleServices[service] = true
+			f.interval, f.nextAt = minAnnounceInterval, now
 		}
 	}
-	if len(counts) == 0 || now.Before(f.next) {
+	if len(counts) == 0 || now.Before(f.nextAt) {
 		return
 	}
-	announce(s, counts)
-	f.next = now.Add(f.pause)
-	f.pause = min(2*f.pause, longestPause*time.Duration(1+len(counts)/sparedServices))
+	announceIdleSlots(s, counts)
+	f.nextAt = now.Add(f.interval)
+	f.interval = min(2*f.interval, maxAnnounceInterval*time.Duration(1+len(counts)/servicesPerMaxInterval))
 }
 
-func announce(s *Scheduler, counts map[fleet.Number]int) {
-	others := s.connected()
-	for i, at := range rand.Perm(len(others)) {
-		if i >= announceTo {
+func announceIdleSlots(s *Scheduler, counts map[fleet.Number]int) {
+	routers := s.connectedRouters()
+	for i, index := range rand.Perm(len(routers)) {
+		if i >= announceFanout {
 			return
 		}
-		out := s.outbox.to(others[at])
+		out := s.outbox.batchTo(routers[index])
 		for service, count := range counts {
 			out.Free = append(out.Free, &schema.Free{Service: uint32(service), Slots: clampUint32(count)})
 		}
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -10,105 +10,106 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// hold is a slot that a request of this router takes at an upstream.
-type hold struct {
-	key      holdKey
+// heldSlot is a slot held by a request of this router.
+type heldSlot struct {
+	key      grantKey
 	account  fleet.Number
 	upstream fleet.Number
 	service  *schema.Service
-	// cost is what the request cost so far, written by the traffic.
+	// cost is the request's cost so far, written by the request's own goroutine.
 	cost atomic.Int64
-	// told is the cost that a dispatcher was told when it took over.
-	told fleet.Tokens
+	// reportedCost is the cost last sent to a dispatcher in a Held message.
+	reportedCost fleet.Tokens
 }
 
-// holdKey names a grant among those of all dispatchers.
-type holdKey struct {
+// grantKey identifies a grant among those of all dispatchers.
+type grantKey struct {
 	granter fleet.RouterID
 	id      dispatcher.GrantID
 }
 
-// settler returns the router that charges a hold's cost: the granter, which
-// charged the estimate, or when that is gone the upstream's present dispatcher.
-func (s *Scheduler) settler(h *hold) fleet.RouterID {
-	if s.reaches(h.key.granter) {
+// settlingDispatcher returns the router that charges the cost of a held slot: the
+// granter, which charged the estimate, or if that is not reachable, the
+// upstream's current dispatcher.
+func (s *Scheduler) settlingDispatcher(h *heldSlot) fleet.RouterID {
+	if s.isReachable(h.key.granter) {
 		return h.key.granter
 	}
-	return s.assigned.dispatchers[h.upstream]
+	return s.assignment.dispatchers[h.upstream]
 }
 
-// announce tells the settling dispatcher what a request in flight cost so far,
-// which also says that its answer began.
-func (e *entry) announce(s *Scheduler, h *hold) {
-	if e.holds[h.key] != h {
+// reportProgress sends the settling dispatcher a request's cost so far, which
+// also tells it that the answer began.
+func (l *localRequests) reportProgress(s *Scheduler, h *heldSlot) {
+	if l.heldSlots[h.key] != h {
 		return
 	}
-	out := s.outbox.to(s.settler(h))
+	out := s.outbox.batchTo(s.settlingDispatcher(h))
 	out.Held = append(out.Held, heldMessage(h))
 }
 
-func heldMessage(h *hold) *schema.Held {
-	h.told = fleet.Tokens(h.cost.Load())
+func heldMessage(h *heldSlot) *schema.Held {
+	h.reportedCost = fleet.Tokens(h.cost.Load())
 	return &schema.Held{
 		Upstream: uint32(h.upstream), Ids: []uint64{uint64(h.key.id)},
-		Accounts: []uint32{uint32(h.account)}, Costs: []uint32{clampUint32(h.told)},
+		Accounts: []uint32{uint32(h.account)}, Costs: []uint32{clampUint32(h.reportedCost)},
 	}
 }
 
-// giveBack returns a slot for which there is no use.
-func (e *entry) giveBack(s *Scheduler, h *hold) {
-	e.release(s, h, dispatch.Done{Result: dispatch.Unused})
+// returnUnused returns a slot to which nothing was sent.
+func (l *localRequests) returnUnused(s *Scheduler, h *heldSlot) {
+	l.release(s, h, dispatch.Done{Result: dispatch.Unused})
 }
 
-// done gives a slot back for the request that had it. Dispatchers take an
-// unused one for a sign that the account has nothing waiting here, so they are
-// asked again when it has: its other requests would else wait for ever, since
-// an ask that has not changed is not repeated.
-func (e *entry) done(s *Scheduler, h *hold, done dispatch.Done) {
-	dispatchers := []fleet.RouterID{s.settler(h), s.assigned.dispatchers[h.upstream]}
-	e.release(s, h, done)
+// handleDone returns the slot of a request that has ended. Dispatchers take an
+// unused slot as a sign that the account has no waiting requests here. If it has,
+// they are asked again: an unchanged ask is not repeated, so the requests would
+// wait for ever.
+func (l *localRequests) handleDone(s *Scheduler, h *heldSlot, done dispatch.Done) {
+	dispatchers := []fleet.RouterID{s.settlingDispatcher(h), s.assignment.dispatchers[h.upstream]}
+	l.release(s, h, done)
 	if done.Result != dispatch.Unused || h.service == nil {
 		return
 	}
-	q := e.queues[queueKey{fleet.Number(h.service.GetNumber()), h.account}]
+	q := l.queues[queueKey{fleet.Number(h.service.GetNumber()), h.account}]
 	if q == nil {
 		return
 	}
 	for _, router := range dispatchers {
-		delete(q.asked, router)
+		delete(q.dispatcherCounts, router)
 	}
-	e.ask(s, s.timer.Now(), q, false)
+	l.updateAsks(s, s.timer.Now(), q, false)
 }
 
-// release gives a slot back. The dispatcher that settles is told the cost; one
-// that only counts the slot, as both do while an upstream changes hands, is
-// told what it knows already. It has to hear of unused slots as well: nobody
-// else would free them there, and the upstream would stand idle.
-func (e *entry) release(s *Scheduler, h *hold, done dispatch.Done) {
-	delete(e.holds, h.key)
-	settler, present := s.settler(h), s.assigned.dispatchers[h.upstream]
-	s.sendRelease(settler, h, done, done.Cost)
-	if present != settler && present != "" {
-		s.sendRelease(present, h, done, h.told)
+// release returns a slot. The settling dispatcher gets the cost. While an upstream
+// changes its dispatcher, both count the slot, so the current dispatcher gets a
+// release too, with the cost that it already knows. It needs one for unused slots
+// as well: otherwise it would never free them, and the upstream would idle.
+func (l *localRequests) release(s *Scheduler, h *heldSlot, done dispatch.Done) {
+	delete(l.heldSlots, h.key)
+	settling, current := s.settlingDispatcher(h), s.assignment.dispatchers[h.upstream]
+	s.sendRelease(settling, h, done, done.Cost)
+	if current != settling && current != "" {
+		s.sendRelease(current, h, done, h.reportedCost)
 	}
-	s.countService(h, done)
+	s.countServiceTokens(h, done)
 }
 
-func (s *Scheduler) sendRelease(to fleet.RouterID, h *hold, done dispatch.Done, cost fleet.Tokens) {
+func (s *Scheduler) sendRelease(to fleet.RouterID, h *heldSlot, done dispatch.Done, cost fleet.Tokens) {
 	message := &schema.Release{
-		Cost: clampUint32(cost), Result: messageOf(done.Result), FirstTokenMs: clampUint32(done.FirstToken.Milliseconds()),
+		Cost: clampUint32(cost), Result: schemaResult(done.Result), FirstTokenMs: clampUint32(done.FirstToken.Milliseconds()),
 	}
 	if h.key.granter == to && h.key.id.GrantedBy(s.nonce(to)) {
 		message.Id = h.key.id.Count()
 	} else {
 		message.ForeignId = uint64(h.key.id)
 	}
-	out := s.outbox.to(to)
+	out := s.outbox.batchTo(to)
 	out.Releases = append(out.Releases, message)
-	s.outbox.within(to, releaseDelay)
+	s.outbox.sendWithin(to, releaseDelay)
 }
 
-// nonce returns what the ids of a router's grants contain in its present life.
+// nonce returns the nonce in the ids of the grants of a router's current incarnation.
 func (s *Scheduler) nonce(router fleet.RouterID) uint16 {
 	if r := s.routers[router]; r != nil {
 		return nonceOf(router, r.incarnation)
@@ -116,11 +117,11 @@
 	return nonceOf(router, s.incarnation)
 }
 
-// releaseDelay is short beside the residence of a request, so that a slot is
-// hardly idle for it, and lets releases share a frame with asks.
+// releaseDelay lets releases share a frame with asks. It is short compared with
+// the duration of a request, so that slots are hardly idle for it.
 const releaseDelay = 3 * time.Millisecond
 
-func messageOf(result dispatch.Result) schema.Result {
+func schemaResult(result dispatch.Result) schema.Result {
 	switch result {
 	case dispatch.Refused:
 		return schema.Result_RESULT_REFUSED
@@ -135,7 +136,7 @@
 	}
 }
 
-func (s *Scheduler) countService(h *hold, done dispatch.Done) {
+func (s *Scheduler) countServiceTokens(h *heldSlot, done dispatch.Done) {
 	if s.metrics == nil || done.Cost <= 0 {
 		return
 	}
@@ -144,19 +145,19 @@
 	}
 }
 
-// heldFor returns what a router has to know of the holds here: those that it
-// granted, and those at the upstreams that it dispatches.
-func (e *entry) heldFor(s *Scheduler, router fleet.RouterID) []*schema.Held {
-	return e.collect(func(h *hold) bool {
-		return h.key.granter == router || s.assigned.dispatchers[h.upstream] == router
+// heldRelevantTo returns the held slots that concern a router: those that it
+// granted, and those at upstreams that it dispatches.
+func (l *localRequests) heldRelevantTo(s *Scheduler, router fleet.RouterID) []*schema.Held {
+	return l.heldMessages(func(h *heldSlot) bool {
+		return h.key.granter == router || s.assignment.dispatchers[h.upstream] == router
 	})
 }
 
-func (e *entry) collect(wanted func(h *hold) bool) []*schema.Held {
+func (l *localRequests) heldMessages(include func(h *heldSlot) bool) []*schema.Held {
 	byUpstream := make(map[fleet.Number]*schema.Held)
 	var all []*schema.Held
-	for _, h := range e.holds {
-		if !wanted(h) {
+	for _, h := range l.heldSlots {
+		if !include(h) {
 			continue
 		}
 		message := byUpstream[h.upstream]
@@ -167,40 +168,40 @@
 		}
 		message.Ids = append(message.Ids, uint64(h.key.id))
 		message.Accounts = append(message.Accounts, uint32(h.account))
-		h.told = fleet.Tokens(h.cost.Load())
-		message.Costs = append(message.Costs, clampUint32(h.told))
+		h.reportedCost = fleet.Tokens(h.cost.Load())
+		message.Costs = append(message.Costs, clampUint32(h.reportedCost))
 	}
 	return all
 }
 
-// announceMoved tells new dispatchers what is in flight at their upstreams.
-// Without it a dispatcher that takes over would fill each upstream once more.
-func (s *Scheduler) announceMoved(before assignment) {
-	told := make(map[fleet.RouterID]bool)
-	for _, h := range s.entry.holds {
-		now := s.assigned.dispatchers[h.upstream]
-		if now == before.dispatchers[h.upstream] || now == "" || told[now] {
+// announceReassigned tells new dispatchers which requests are in flight at their
+// upstreams. Otherwise they would fill each upstream a second time.
+func (s *Scheduler) announceReassigned(before assignment) {
+	notified := make(map[fleet.RouterID]bool)
+	for _, h := range s.local.heldSlots {
+		current := s.assignment.dispatchers[h.upstream]
+		if current == before.dispatchers[h.upstream] || current == "" || notified[current] {
 			continue
 		}
-		told[now] = true
-		out := s.outbox.to(now)
-		out.Held = append(out.Held, s.entry.collect(func(h *hold) bool {
-			return s.assigned.dispatchers[h.upstream] == now && before.dispatchers[h.upstream] != now
+		notified[current] = true
+		out := s.outbox.batchTo(current)
+		out.Held = append(out.Held, s.local.heldMessages(func(h *heldSlot) bool {
+			return s.assignment.dispatchers[h.upstream] == current && before.dispatchers[h.upstream] != current
 		})...)
-		s.outbox.urgent(now)
+		s.outbox.sendUrgently(current)
 	}
 }
 
-// announceForeign tells the present dispatcher of a request that another one
-// granted. The grant was on its way when the upstream changed hands, so it
-// was not among those that announceMoved told of; the new dispatcher would
-// send the upstream one request too much.
-func (s *Scheduler) announceForeign(h *hold) {
-	present := s.assigned.dispatchers[h.upstream]
-	if present == h.key.granter || present == "" {
+// announceForeignGrant tells an upstream's current dispatcher about a request that
+// another one granted. The grant was under way when the dispatcher changed, so
+// announceReassigned did not include it; without this message the new dispatcher
+// would send the upstream one request too many.
+func (s *Scheduler) announceForeignGrant(h *heldSlot) {
+	current := s.assignment.dispatchers[h.upstream]
+	if current == h.key.granter || current == "" {
 		return
 	}
-	out := s.outbox.to(present)
+	out := s.outbox.batchTo(current)
 	out.Held = append(out.Held, heldMessage(h))
-	s.outbox.urgent(present)
+	s.outbox.sendUrgently(current)
 }
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -16,101 +16,102 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Pace of polling upstreams for their load.
+// Intervals and limits of polling upstreams for their load.
 const (
-	leastPollInterval = time.Second
-	// pollStretch is added for each upstream of this dispatcher. One poll takes
-	// some 350 bytes with its headers; at 26 upstreams that is 1 KB/s.
-	pollStretch = 350 * time.Millisecond
-	// learnInterval and learnTime pace the polls of an upstream once it is
-	// filled for the first time. Its limit grows by a step for each report; at
-	// the usual pace it would take ten seconds and more until the batch is full,
-	// in which work waits or queues inside the engine.
-	learnInterval = 250 * time.Millisecond
-	learnTime     = 15 * time.Second
-	pollTimeout   = time.Second
-	// maxLoadBytes bounds a report; a usual one has about 100 bytes.
-	maxLoadBytes = 4096
+	minPollInterval = time.Second
+	// pollIntervalPerUpstream times the number of this dispatcher's upstreams is the
+	// interval if it exceeds minPollInterval. One poll takes some 350 bytes with its
+	// headers; at 26 upstreams that is 1 KB/s.
+	pollIntervalPerUpstream = 350 * time.Millisecond
+	// rampPollInterval applies for rampPollTime after an upstream first reaches its
+	// limit. The limit grows by one step per report; at the usual interval it would
+	// take ten seconds or more until the batch is full, while requests wait or
+	// queue inside the engine.
+	rampPollInterval = 250 * time.Millisecond
+	rampPollTime     = 15 * time.Second
+	pollTimeout      = time.Second
+	// maxReportBytes limits the size of a load report; a usual one has about 100 bytes.
+	maxReportBytes = 4096
 )
 
-// poller asks the upstreams of this dispatcher for their load.
-type poller struct {
+// loadPoller polls this dispatcher's upstreams for their load.
+type loadPoller struct {
 	scheduler *Scheduler
-	upstreams map[fleet.Number]*polled
+	upstreams map[fleet.Number]*polledUpstream
 	ctx       context.Context
 	cancel    context.CancelFunc
 }
 
-type polled struct {
+type polledUpstream struct {
 	address string
-	next    time.Time
-	busy    bool
-	// learnUntil is set when the upstream is filled for the first time.
-	learnUntil time.Time
+	nextAt  time.Time
+	polling bool
+	// rampUntil is set when the upstream first reaches its limit.
+	rampUntil time.Time
 }
 
-func newPoller(s *Scheduler) *poller {
-	p := &poller{scheduler: s, upstreams: make(map[fleet.Number]*polled)}
+func newLoadPoller(s *Scheduler) *loadPoller {
+	p := &loadPoller{scheduler: s, upstreams: make(map[fleet.Number]*polledUpstream)}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-func (p *poller) close() { p.cancel() }
+func (p *loadPoller) close() { p.cancel() }
 
-// watch replaces the upstreams that are polled.
-func (p *poller) watch(owned []*schema.Upstream) {
+// setUpstreams replaces the upstreams to poll.
+func (p *loadPoller) setUpstreams(owned []*schema.Upstream) {
 	before := p.upstreams
-	p.upstreams = make(map[fleet.Number]*polled, len(owned))
+	p.upstreams = make(map[fleet.Number]*polledUpstream, len(owned))
 	for _, u := range owned {
 		number := fleet.Number(u.GetNumber())
-		each := before[number]
-		if each == nil || each.address != u.GetAddress() {
-			each = &polled{address: u.GetAddress()}
+		polled := before[number]
+		if polled == nil || polled.address != u.GetAddress() {
+			polled = &polledUpstream{address: u.GetAddress()}
 		}
-		p.upstreams[number] = each
+		p.upstreams[number] = polled
 	}
 }
 
-func (p *poller) interval(now time.Time, number fleet.Number, each *polled) time.Duration {
-	if each.learnUntil.IsZero() && p.scheduler.slots.Filled(now, number) {
-		each.learnUntil = now.Add(learnTime)
+func (p *loadPoller) pollInterval(now time.Time, number fleet.Number, polled *polledUpstream) time.Duration {
+	if polled.rampUntil.IsZero() && p.scheduler.dispatcher.Filled(now, number) {
+		polled.rampUntil = now.Add(rampPollTime)
 	}
-	if now.Before(each.learnUntil) {
-		return learnInterval
+	if now.Before(polled.rampUntil) {
+		return rampPollInterval
 	}
-	return max(leastPollInterval, time.Duration(len(p.upstreams))*pollStretch)
+	return max(minPollInterval, time.Duration(len(p.upstreams))*pollIntervalPerUpstream)
 }
 
-func (p *poller) tick(now time.Time) {
+func (p *loadPoller) tick(now time.Time) {
 	if p.scheduler.client == nil {
 		return
 	}
-	for number, each := range p.upstreams {
-		if each.busy || now.Before(each.next) {
+	for number, polled := range p.upstreams {
+		if polled.polling || now.Before(polled.nextAt) {
 			continue
 		}
-		each.busy = true
-		each.next = now.Add(p.interval(now, number, each))
-		go p.poll(number, each)
+		polled.polling = true
+		polled.nextAt = now.Add(p.pollInterval(now, number, polled))
+		go p.poll(number, polled)
 	}
 }
 
-// poll asks one upstream and hands the answer to the control goroutine. An
-// upstream that does not answer reports nothing; the limiter allows for that.
-func (p *poller) poll(number fleet.Number, each *polled) {
+// poll polls one upstream and posts its report to the control goroutine. Without
+// an answer there is no report; the limiter allows for that.
+func (p *loadPoller) poll(number fleet.Number, polled *polledUpstream) {
 	s := p.scheduler
-	load, err := p.fetch(each.address)
+	load, err := p.fetch(polled.address)
 	s.loop.Post(func() {
-		each.busy = false
+		polled.polling = false
 		if err != nil {
 			s.logger.Debug("upstream did not report its load", "upstream", number, "error", err)
 			return
 		}
-		s.slots.Reported(s.timer.Now(), number, load)
+		s.dispatcher.Reported(s.timer.Now(), number, load)
 	})
 }
 
-// report is the upstreams' own format.
+// loadReport is the JSON format of an upstream's load report.
 type loadReport struct {
 	Running   int     `json:"running"`
 	Queued    int     `json:"queued"`
@@ -119,29 +120,29 @@
 	Draining  bool    `json:"draining"`
 }
 
-func (p *poller) fetch(address string) (inflight.Load, error) {
+func (p *loadPoller) fetch(address string) (inflight.Load, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/load", http.NoBody)
 	if err != nil {
-		return inflight.Load{}, eris.Wrap(err, "load request")
+		return inflight.Load{}, eris.Wrap(err, "create load request")
 	}
 	response, err := p.scheduler.client.Do(request)
 	if err != nil {
-		return inflight.Load{}, eris.Wrap(err, "ask for load")
+		return inflight.Load{}, eris.Wrap(err, "request load")
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxLoadBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
-		return inflight.Load{}, eris.Wrap(err, "read load")
+		return inflight.Load{}, eris.Wrap(err, "read load report")
 	}
-	p.count(request, response, len(body))
+	p.countBytes(request, response, len(body))
 	if response.StatusCode != http.StatusOK {
-		return inflight.Load{}, eris.Errorf("load answered with status %d", response.StatusCode)
+		return inflight.Load{}, eris.Errorf("load request was answered with status %d", response.StatusCode)
 	}
 	var report loadReport
 	if err := json.Unmarshal(body, &report); err != nil {
-		return inflight.Load{}, eris.Wrap(err, "decode load")
+		return inflight.Load{}, eris.Wrap(err, "decode load report")
 	}
 	return inflight.Load{
 		Running: report.Running, Queued: report.Queued, CacheUsed: report.CacheUsed,
@@ -149,12 +150,12 @@
 	}, nil
 }
 
-// count counts a poll's bytes with its headers.
-func (p *poller) count(request *http.Request, response *http.Response, body int) {
+// countBytes adds a poll's bytes, including headers, to the metrics.
+func (p *loadPoller) countBytes(request *http.Request, response *http.Response, body int) {
 	if p.scheduler.metrics == nil {
 		return
 	}
-	var sent, received lengthWriter
+	var sent, received byteCounter
 	_ = request.Write(&sent)
 	_ = response.Header.Write(&received)
 	const statusLine = len("HTTP/1.1 200 OK\r\n\r\n")
@@ -162,11 +163,11 @@
 	p.scheduler.metrics.Control(metric.Received, metric.Upstream, int(received.Load())+statusLine+body)
 }
 
-// lengthWriter counts what is written to it.
-type lengthWriter struct{ atomic.Int64 }
+// byteCounter is an io.Writer that counts the bytes written to it.
+type byteCounter struct{ atomic.Int64 }
 
 // Write counts p.
-func (w *lengthWriter) Write(p []byte) (int, error) {
+func (w *byteCounter) Write(p []byte) (int, error) {
 	w.Add(int64(len(p)))
 	return len(p), nil
 }
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reporting answers polls for load in place of the upstreams.
-type reporting struct {
+// loadReporter answers load polls in place of the upstreams.
+type loadReporter struct {
 	draining atomic.Bool
 	down     atomic.Bool
 	polls    atomic.Int64
 }
 
-func (r *reporting) RoundTrip(request *http.Request) (*http.Response, error) {
+func (r *loadReporter) RoundTrip(request *http.Request) (*http.Response, error) {
 	r.polls.Add(1)
 	if r.down.Load() {
 		return nil, io.ErrUnexpectedEOF
@@ -32,27 +32,26 @@
 	}, nil
 }
 
-// An upstream is to be replaced and says in its load report that it drains.
-// Nobody tells the routers otherwise. It must get no new work after a few
-// seconds, and none either when its reports stop after that.
+// An upstream that is to be replaced reports draining in its load report only. It
+// must get no new requests after a few seconds, even if its reports then stop.
 func TestUpstreamThatReportsDrainingGetsNoWork(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		upstream := &reporting{}
-		f := newFleet(t, viewOf(1, 1, 4))
+		upstream := &loadReporter{}
+		f := newFleet(t, newView(1, 1, 4))
 		f.client = &http.Client{Transport: upstream}
 		f.start("router-0", 1)
 		defer f.stopAll()
-		f.load("router-0", "account-0", 4, time.Second)
+		f.keepLoad("router-0", "account-0", 4, time.Second)
 		time.Sleep(5500 * time.Millisecond)
-		f.full(4)
-		// While its limit is being learnt it is polled four times a second.
+		f.requireFull(4)
+		// During the ramp it is polled four times a second.
 		require.GreaterOrEqual(t, upstream.polls.Load(), int64(15))
 		upstream.draining.Store(true)
 		time.Sleep(4 * time.Second)
-		require.Zero(t, f.ups.total())
+		require.Zero(t, f.upstreams.totalRunning())
 		upstream.down.Store(true)
 		time.Sleep(time.Minute)
-		require.Zero(t, f.ups.total())
+		require.Zero(t, f.upstreams.totalRunning())
 	})
 }
--- a/scheduler/loopback_test.go
+++ b/scheduler/loopback_test.go
@@ -25,7 +25,7 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// vmList is the platform's list in a test.
+// vmList implements store.VMs with a list that tests set.
 type vmList struct {
 	mu  sync.Mutex
 	vms []store.VM
@@ -37,22 +37,22 @@
 	return append([]store.VM(nil), l.vms...), nil
 }
 
-// tcpRouter is a scheduler with its peers over TCP.
+// tcpRouter is a scheduler that reaches its peers over TCP.
 type tcpRouter struct {
 	*scheduler.Scheduler
-	id      fleet.RouterID
-	metrics *metric.Set
-	wire    *wireListener
+	id       fleet.RouterID
+	metrics  *metric.Set
+	listener *cuttableListener
 }
 
 func startTCP(tb testing.TB, n int, view *note.View) []*tcpRouter {
 	tb.Helper()
 	list := &vmList{}
-	var listeners []*wireListener
+	var listeners []*cuttableListener
 	for i := range n {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(tb, err)
-		listeners = append(listeners, newWireListener(listener))
+		listeners = append(listeners, newCuttableListener(listener))
 		list.vms = append(list.vms, store.VM{
 			Name: fmt.Sprintf("router-%d", i), Role: store.RouterVM, Address: listener.Addr().String(),
 		})
@@ -66,19 +66,19 @@
 	var routers []*tcpRouter
 	for i, listener := range listeners {
 		id := fleet.RouterID(fmt.Sprintf("router-%d", i))
-		set := metric.New(prometheus.NewRegistry())
+		metrics := metric.New(prometheus.NewRegistry())
 		peers := peer.New(peer.Options{
 			Self: id, Incarnation: 1, Address: listener.Addr().String(), Key: []byte("the key of the fleet"),
-			Listener: listener, Metrics: set, Heartbeat: 200 * time.Millisecond,
+			Listener: listener, Metrics: metrics, Heartbeat: 200 * time.Millisecond,
 		})
 		s := scheduler.New(scheduler.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.Affinity]{
-			Self: id, Incarnation: 1, Notes: fixedView{view}, Peers: peers, VMs: list, Metrics: set,
+			Self: id, Incarnation: 1, Notes: fixedNotes{view}, Peers: peers, VMs: list, Metrics: metrics,
 			Order:   func() *share.Fair[fleet.Number] { return &share.Fair[fleet.Number]{} },
 			Limiter: func(slots int) inflight.Fixed { return inflight.Fixed(slots) }, Admission: admission.Bounded{},
 		})
 		group.Go(func() { _ = peers.Run(ctx) })
 		group.Go(func() { _ = s.Run(ctx) })
-		routers = append(routers, &tcpRouter{s, id, set, listener})
+		routers = append(routers, &tcpRouter{s, id, metrics, listener})
 	}
 	for _, r := range routers {
 		require.Eventually(tb, func() bool {
@@ -98,15 +98,15 @@
 	return routers
 }
 
-func (r *tcpRouter) once(tb testing.TB, view *note.View, account string, took time.Duration) string {
+func (r *tcpRouter) runOne(tb testing.TB, view *note.View, account string, duration time.Duration) string {
 	tb.Helper()
 	slot, err := r.Acquire(tb.Context(), dispatch.Work{
 		Account: view.Account(fleet.AccountID(account)), Service: view.Service("model"), Estimate: 300,
 		Deadline: time.Now().Add(time.Minute),
 	})
 	require.NoError(tb, err)
-	time.Sleep(took)
-	slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: 310, FirstToken: took})
+	time.Sleep(duration)
+	slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: 310, FirstToken: duration})
 	return slot.Upstream().GetId()
 }
 
@@ -118,7 +118,7 @@
 
 func TestSixRoutersOverLoopback(t *testing.T) {
 	t.Parallel()
-	view := viewOf(4, 6, 4)
+	view := newView(4, 6, 4)
 	routers := startTCP(t, 6, view)
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -126,7 +126,7 @@
 	for i, r := range routers {
 		for range 20 {
 			group.Go(func() {
-				upstream := r.once(t, view, fmt.Sprintf("account-%d", i%4), 5*time.Millisecond)
+				upstream := r.runOne(t, view, fmt.Sprintf("account-%d", i%4), 5*time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
 				used[upstream]++
--- a/scheduler/outbox.go
+++ b/scheduler/outbox.go
@@ -7,78 +7,78 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// How long a message may wait for others to the same router.
+// Delays in which further messages to the same router join a batch.
 const (
-	// urgentDelay is small beside the round trip of 1 to 2 ms between data
-	// centres, since a slot may be idle for as long.
+	// urgentDelay is small compared with the round trip of 1 to 2 ms between data
+	// centres, because a slot may be idle meanwhile.
 	urgentDelay = time.Millisecond
-	// lazyDelay is for what nobody waits for. It is small beside the seconds
-	// between two exchanges of service.
-	lazyDelay = 100 * time.Millisecond
+	// defaultDelay applies to messages that no request waits for. It is small
+	// compared with the seconds between two exchanges of service.
+	defaultDelay = 100 * time.Millisecond
 )
 
-// outbox collects messages by router, so that several go in one frame.
+// outbox collects messages per router, so that one frame carries several.
 type outbox struct {
 	scheduler *Scheduler
 	batches   map[fleet.RouterID]*schema.Batch
-	due       map[fleet.RouterID]time.Time
-	wake      time.Time
-	// earliest is not later than any of due.
-	earliest time.Time
+	dueAt     map[fleet.RouterID]time.Time
+	wakeAt    time.Time
+	// earliestDue is not later than any time in dueAt.
+	earliestDue time.Time
 }
 
 func newOutbox(s *Scheduler) outbox {
 	return outbox{
 		scheduler: s,
 		batches:   make(map[fleet.RouterID]*schema.Batch),
-		due:       make(map[fleet.RouterID]time.Time),
+		dueAt:     make(map[fleet.RouterID]time.Time),
 	}
 }
 
-// to returns the batch that goes to a router next, by lazyDelay at the latest.
-func (o *outbox) to(router fleet.RouterID) *schema.Batch {
+// batchTo returns the next batch to a router, which is sent within defaultDelay.
+func (o *outbox) batchTo(router fleet.RouterID) *schema.Batch {
 	batch := o.batches[router]
 	if batch == nil {
 		batch = &schema.Batch{}
 		o.batches[router] = batch
 	}
-	o.within(router, lazyDelay)
+	o.sendWithin(router, defaultDelay)
 	return batch
 }
 
-// urgent makes a router's batch go within urgentDelay.
-func (o *outbox) urgent(router fleet.RouterID) { o.within(router, urgentDelay) }
+// sendUrgently makes the batch to a router due within urgentDelay.
+func (o *outbox) sendUrgently(router fleet.RouterID) { o.sendWithin(router, urgentDelay) }
 
-func (o *outbox) within(router fleet.RouterID, delay time.Duration) {
+func (o *outbox) sendWithin(router fleet.RouterID, delay time.Duration) {
 	at := o.scheduler.timer.Now().Add(delay)
-	if due, ok := o.due[router]; !ok || at.Before(due) {
-		o.due[router] = at
+	if due, ok := o.dueAt[router]; !ok || at.Before(due) {
+		o.dueAt[router] = at
 	}
-	if o.earliest.IsZero() || at.Before(o.earliest) {
-		o.earliest = at
+	if o.earliestDue.IsZero() || at.Before(o.earliestDue) {
+		o.earliestDue = at
 	}
 }
 
-// drop forgets what was to be sent to a router.
+// drop discards the batch to a router.
 func (o *outbox) drop(router fleet.RouterID) {
 	delete(o.batches, router)
-	delete(o.due, router)
+	delete(o.dueAt, router)
 }
 
-// takeOwn returns what this router has for itself, nil when that is nothing.
-func (o *outbox) takeOwn() *schema.Batch {
+// takeLocal removes and returns the batch from this router to itself, nil if there is none.
+func (o *outbox) takeLocal() *schema.Batch {
 	batch := o.batches[o.scheduler.self]
 	o.drop(o.scheduler.self)
 	return batch
 }
 
-// flushDue sends the batches that are due, and arranges for the next.
+// flushDue sends the batches that are due and schedules the next call.
 func (o *outbox) flushDue(now time.Time) {
-	if len(o.due) == 0 || (o.earliest.After(now) && !o.wake.After(o.earliest) && o.wake.After(now)) {
+	if len(o.dueAt) == 0 || (o.earliestDue.After(now) && !o.wakeAt.After(o.earliestDue) && o.wakeAt.After(now)) {
 		return
 	}
 	var next time.Time
-	for router, due := range o.due {
+	for router, due := range o.dueAt {
 		if !due.After(now) {
 			o.send(router)
 			continue
@@ -87,12 +87,12 @@
 			next = due
 		}
 	}
-	o.earliest = next
-	if next.IsZero() || (o.wake.After(now) && !next.Before(o.wake)) {
+	o.earliestDue = next
+	if next.IsZero() || (o.wakeAt.After(now) && !next.Before(o.wakeAt)) {
 		return
 	}
-	o.wake = next
-	// The loop settles after the post, which flushes.
+	o.wakeAt = next
+	// The loop calls finishRound after the timer function, which flushes.
 	o.scheduler.loop.After(o.scheduler.timer, next.Sub(now), func(time.Time) {})
 }
 
@@ -104,9 +104,9 @@
 	if r == nil || !r.connected || s.peers == nil {
 		return
 	}
-	if through := s.entry.through[router]; len(batch.GetAsks()) > 0 && through != r.told {
-		batch.GrantedThrough = through
-		r.told = through
+	if lastGrant := s.local.lastGrant[router]; len(batch.GetAsks()) > 0 && lastGrant != r.ackedGrant {
+		batch.GrantedThrough = lastGrant
+		r.ackedGrant = lastGrant
 	}
 	s.peers.Send(router, batch)
 }
--- a/scheduler/ranking.go
+++ b/scheduler/ranking.go
@@ -8,82 +8,82 @@
 	"nutmeglock.example/nutmeglock/rendezvous"
 )
 
-// ranking is the order in which an account asks the dispatchers of a service,
-// kept while the assignment stays: with a thousand upstreams it takes longer
-// than all else that a request costs here.
-type ranking struct {
-	epoch   uint64
-	routers []fleet.RouterID
+// dispatcherRanking caches the order in which an account asks a service's
+// dispatchers until the assignment changes: with a thousand upstreams, computing
+// it takes longer than all other work for a request in this package.
+type dispatcherRanking struct {
+	epoch       uint64
+	dispatchers []fleet.RouterID
 }
 
-// routersOf returns the dispatchers of a service in the order in which an
-// account asks them. They are ranked by upstream, so that accounts spread in
-// proportion to upstreams.
-func (a *assignment) routersOf(service, account fleet.Number) []fleet.RouterID {
+// rankForAccount returns a service's dispatchers in the order in which an account
+// asks them. Each upstream is scored, so that the accounts spread over the
+// dispatchers in proportion to their upstreams.
+func (a *assignment) rankForAccount(service, account fleet.Number) []fleet.RouterID {
 	type scored struct {
 		router fleet.RouterID
 		score  rendezvous.Key
 	}
 	var all []scored
-	for _, t := range a.byService[service] {
-		all = append(all, scored{t.router, rendezvous.KeyOfNumber("ask", uint64(account)<<32|uint64(t.upstream))})
+	for _, u := range a.available[service] {
+		all = append(all, scored{u.dispatcher, rendezvous.KeyOfNumber("ask", uint64(account)<<32|uint64(u.number))})
 	}
 	slices.SortFunc(all, func(x, y scored) int { return cmp.Compare(y.score, x.score) })
 	seen := make(map[fleet.RouterID]bool)
 	var routers []fleet.RouterID
-	for _, each := range all {
-		if !seen[each.router] {
-			seen[each.router] = true
-			routers = append(routers, each.router)
+	for _, candidate := range all {
+		if !seen[candidate.router] {
+			seen[candidate.router] = true
+			routers = append(routers, candidate.router)
 		}
 	}
 	return routers
 }
 
-// ranked returns the dispatchers that a queue asks, those of the preferred
-// upstreams first.
-func (a *assignment) ranked(q *queue, preferred []fleet.Number) []fleet.RouterID {
+// rankForQueue returns the order in which a queue asks its dispatchers, those of
+// the preferred upstreams first.
+func (a *assignment) rankForQueue(q *queue, preferred []fleet.Number) []fleet.RouterID {
 	if q.ranking.epoch != a.epoch {
-		q.ranking = ranking{a.epoch, a.routersOf(q.key.service, q.key.account)}
+		q.ranking = dispatcherRanking{a.epoch, a.rankForAccount(q.key.service, q.key.account)}
 	}
-	routers := make([]fleet.RouterID, 0, len(q.ranking.routers))
+	routers := make([]fleet.RouterID, 0, len(q.ranking.dispatchers))
 	for _, upstream := range preferred {
 		if router := a.dispatchers[upstream]; !slices.Contains(routers, router) {
 			routers = append(routers, router)
 		}
 	}
-	first := len(routers)
-	for _, router := range q.ranking.routers {
-		if !slices.Contains(routers[:first], router) {
+	preferredCount := len(routers)
+	for _, router := range q.ranking.dispatchers {
+		if !slices.Contains(routers[:preferredCount], router) {
 			routers = append(routers, router)
 		}
 	}
 	return routers
 }
 
-// preferredFor returns the two upstreams that requests with the same beginning
-// of the prompt go to, so that they find it in the cache. Every router
-// computes the same ones, so no message is needed.
-func (a *assignment) preferredFor(service fleet.Number, prefix []uint64) []fleet.Number {
+// prefixUpstreams returns the two upstreams preferred by all requests with the
+// same first prompt block, so that they find it cached. Every router computes the
+// same two, without any messages.
+func (a *assignment) prefixUpstreams(service fleet.Number, prefix []uint64) []fleet.Number {
 	if len(prefix) == 0 {
 		return nil
 	}
 	var first, second fleet.Number
 	var firstScore, secondScore rendezvous.Key
-	for _, t := range a.byService[service] {
-		score := rendezvous.KeyOfNumber("prefix", prefix[0]^uint64(dispatcherKey(t.upstream)))
+	for _, u := range a.available[service] {
+		score := rendezvous.KeyOfNumber("prefix", prefix[0]^uint64(dispatcherKey(u.number)))
 		switch {
 		case first == 0 || score > firstScore:
 			second, secondScore = first, firstScore
-			first, firstScore = t.upstream, score
+			first, firstScore = u.number, score
 		case second == 0 || score > secondScore:
-			second, secondScore = t.upstream, score
+			second, secondScore = u.number, score
 		}
 	}
 	return slices.DeleteFunc([]fleet.Number{first, second}, func(u fleet.Number) bool { return u == 0 })
 }
 
-// serves reports whether an upstream takes new work of a service.
+// serves reports whether an upstream of a service is available.
 func (a *assignment) serves(service, upstream fleet.Number) bool {
-	return slices.ContainsFunc(a.byService[service], func(t target) bool { return t.upstream == upstream })
+	return slices.ContainsFunc(a.available[service], func(u availableUpstream) bool { return u.number == upstream })
 }
--- a/scheduler/recent.go
+++ b/scheduler/recent.go
@@ -2,38 +2,39 @@
 
 import "nutmeglock.example/nutmeglock/fleet"
 
-// recentCapacity bounds the beginnings of prompts that are remembered in each
-// of two generations: a quarter of an hour of 150 requests a second with a few
-// new blocks each, at some 50 bytes a block.
-const recentCapacity = 65_536
+// prefixGenerationSize limits the prompt blocks in each of two generations. It is
+// enough for a quarter of an hour at 150 requests a second with a few new blocks
+// each, at some 50 bytes a block.
+const prefixGenerationSize = 65_536
 
-// recent remembers which upstream each beginning of a prompt was sent to last.
-// The next turn of a conversation finds its prompt in that upstream's cache;
-// by its first block alone it would go to any upstream that serves the same
-// system prompt. Its zero value is ready to use.
-type recent struct {
-	young map[uint64]fleet.Number
-	old   map[uint64]fleet.Number
+// recentPrefixes maps prompt prefixes to the upstream that they were last sent to.
+// The next turn of a conversation finds its prompt in that upstream's cache; by
+// its first block alone it could go to any upstream that caches the same system
+// prompt. Its zero value is ready to use.
+type recentPrefixes struct {
+	current  map[uint64]fleet.Number
+	previous map[uint64]fleet.Number
 }
 
-// sent takes note that a prompt with these beginnings goes to an upstream.
-func (r *recent) sent(blocks []uint64, upstream fleet.Number) {
-	if r.young == nil || len(r.young) >= recentCapacity {
-		r.old = r.young
-		r.young = make(map[uint64]fleet.Number)
+// record records that a prompt with these blocks is sent to an upstream.
+func (r *recentPrefixes) record(blocks []uint64, upstream fleet.Number) {
+	if r.current == nil || len(r.current) >= prefixGenerationSize {
+		r.previous = r.current
+		r.current = make(map[uint64]fleet.Number)
 	}
 	for _, block := range blocks {
-		r.young[block] = upstream
+		r.current[block] = upstream
 	}
 }
 
-// find returns where the longest known beginning was sent, and whether one is known.
-func (r *recent) find(blocks []uint64) (fleet.Number, bool) {
+// find returns the upstream that the longest known prefix was last sent to, and
+// whether one is known.
+func (r *recentPrefixes) find(blocks []uint64) (fleet.Number, bool) {
 	for i := len(blocks) - 1; i >= 0; i-- {
-		if upstream, ok := r.young[blocks[i]]; ok {
+		if upstream, ok := r.current[blocks[i]]; ok {
 			return upstream, true
 		}
-		if upstream, ok := r.old[blocks[i]]; ok {
+		if upstream, ok := r.previous[blocks[i]]; ok {
 			return upstream, true
 		}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,11 +1,11 @@
-// Package scheduler is a router's part in the fleet's dispatch. It keeps the
-// requests that wait here, asks the dispatchers of their upstreams for slots,
-// and hands each granted slot to a waiting request. It also runs this router's
-// dispatcher, for the upstreams that rendezvous hashing over the live routers
-// gives it, and its keeper.
+// Package scheduler implements one router's part in dispatching the fleet's
+// requests. It queues this router's requests, asks the dispatchers of their
+// upstreams for slots and starts one waiting request for each granted slot. It
+// also runs this router's keeper and its dispatcher, which serves the upstreams
+// assigned to this router by rendezvous hashing over the live routers.
 //
-// Requests and their bodies stay at the router that the caller reached; only
-// short messages travel. All state belongs to one control goroutine.
+// Requests and their bodies stay at the router that received them; routers
+// exchange short messages only. One control goroutine owns all state.
 package scheduler
 
 import (
@@ -33,27 +33,27 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Peers carries messages between routers. Package peer has it.
+// Peers exchanges messages with other routers. Package peer implements it.
 type Peers interface {
-	// Send hands a batch to a router, or drops it when that is not connected.
+	// Send queues a batch for a router, or drops it if the router is not connected.
 	Send(to fleet.RouterID, batch *schema.Batch)
-	// OnBatch calls fn with each batch that arrives, in order for each router.
+	// OnBatch registers fn, which is called for each received batch, in order per sender.
 	OnBatch(fn func(from fleet.RouterID, batch *schema.Batch))
-	// OnChange calls fn when a connection comes, before its first batch, and
-	// when it goes, after its last.
+	// OnChange registers fn, which is called when a connection opens, before its
+	// first batch, and when it closes, after its last.
 	OnChange(fn func(change peer.Change))
-	// Target replaces the routers to connect to.
+	// Target sets the routers to connect to.
 	Target(addresses map[fleet.RouterID]string)
 }
 
-// Sharing is the way that slots are shared between routers.
+// Sharing selects how the routers share the slots of an upstream.
 type Sharing int
 
 const (
-	// Fleet lets one dispatcher per upstream serve all routers.
-	Fleet Sharing = iota
-	// StaticShare gives each router its part of each upstream's slots, and
-	// exchanges nothing. It is a baseline.
+	// FleetWide shares all slots: each upstream has one dispatcher, which serves all routers.
+	FleetWide Sharing = iota
+	// StaticShare gives each router a fixed part of each upstream's slots,
+	// without messages between routers. It is a baseline for comparison.
 	StaticShare
 )
 
@@ -62,14 +62,14 @@
 	Self        fleet.RouterID
 	Incarnation fleet.Incarnation
 	Notes       note.Source
-	// Peers is nil for a router without others.
+	// Peers is nil if there are no other routers.
 	Peers Peers
-	// VMs is the platform's list; nil means that only connections count.
+	// VMs is the platform's VM list; if nil, only connections determine the members.
 	VMs     store.VMs
 	Timer   timer.Service
 	Metrics *metric.Set
 	Logger  *slog.Logger
-	// Client polls upstreams for their load; nil means that none is polled.
+	// Client polls upstreams for their load; nil disables polling.
 	Client *http.Client
 
 	Sharing   Sharing
@@ -77,25 +77,25 @@
 	Limiter   func(slots int) L
 	Placement P
 	Admission admission.Policy
-	// MaxWaiting and MaxWaitingTotal bound waiting requests, by account and in
-	// all; zero means 256 and 4096.
+	// MaxWaiting and MaxWaitingTotal limit the waiting requests of an account
+	// and of all accounts; zero means 256 and 4096.
 	MaxWaiting      int
 	MaxWaitingTotal int
-	// TakeoverWait and Grace are those of the dispatcher; zero means its defaults.
+	// TakeoverWait and Grace are passed to the dispatcher; zero means its defaults.
 	TakeoverWait time.Duration
 	Grace        time.Duration
-	// Warmup lets an upstream that joins or recovers take work step by step.
+	// Warmup raises the load of an upstream that joins or recovers step by step.
 	Warmup bool
 }
 
-// Bounds of waiting requests when Options leave them open.
+// Default limits of waiting requests.
 const (
 	DefaultMaxWaiting      = 256
 	DefaultMaxWaitingTotal = 4096
 )
 
-// slots is what the scheduler uses of a dispatcher.Dispatcher.
-type slots interface {
+// slotDispatcher is the part of dispatcher.Dispatcher that the scheduler uses.
+type slotDispatcher interface {
 	Own(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.Number, others bool)
 	Ask(now time.Time, from fleet.RouterID, through dispatcher.GrantID, message *schema.Ask)
 	Grant(now time.Time) []dispatcher.Grant
@@ -119,7 +119,7 @@
 	Limit(now time.Time, upstream fleet.Number) int
 }
 
-// config is the part of Options without the policies of the dispatcher.
+// config holds the Options except those of the dispatcher.
 type config struct {
 	self            fleet.RouterID
 	incarnation     fleet.Incarnation
@@ -139,70 +139,70 @@
 // Scheduler implements dispatch.Source for one router of a fleet.
 type Scheduler struct {
 	config
-	loop    *control.Loop
-	slots   slots
-	members *membership.Members
-	keeper  *keeper.Keeper
+	loop       *control.Loop
+	dispatcher slotDispatcher
+	members    *membership.Members
+	keeper     *keeper.Keeper
 
-	entry    *entry
-	assigned assignment
-	outbox   outbox
-	routers  map[fleet.RouterID]*router
-	exchange exchange
-	poller   *poller
-	free     freeAnnouncer
-	drains   drains
-	denials  denials
-	view     *note.View
-	// departing are the upstreams that the platform's list shows as leaving.
-	departing map[fleet.UpstreamID]bool
-	// stopping is set once the graceful shutdown has begun.
+	local         *localRequests
+	assignment    assignment
+	outbox        outbox
+	routers       map[fleet.RouterID]*remoteRouter
+	exchange      serviceExchange
+	loadPoller    *loadPoller
+	freeAnnouncer freeAnnouncer
+	drainReports  drainReports
+	denials       denials
+	view          *note.View
+	// leavingInList holds the upstreams marked as leaving in the platform's VM list.
+	leavingInList map[fleet.UpstreamID]bool
+	// stopping is set when the graceful shutdown begins.
 	stopping bool
-	// stale is set when the assignment has to be worked out again.
-	stale bool
+	// assignmentStale is set when the assignment must be recomputed.
+	assignmentStale bool
 }
 
-// router is what is known of another router's connection.
-type router struct {
+// remoteRouter holds the state of the connection to another router.
+type remoteRouter struct {
 	incarnation fleet.Incarnation
 	dataCenter  fleet.DataCenterID
 	address     string
 	connected   bool
-	// fresh is set until the first complete batch of a connection.
-	fresh     bool
-	restarted bool
-	// completeAt is when it was last told all.
-	completeAt time.Time
-	// seen is the highest id of this router's grants that it has seen, told
-	// the highest of its grants that it was told to have been seen here.
-	seen uint64
-	told uint64
+	// awaitsComplete is set until a connection's first complete batch arrives.
+	awaitsComplete bool
+	restarted      bool
+	// completeSentAt is when the last complete batch was sent to it.
+	completeSentAt time.Time
+	// seenGrant is the highest id among this router's grants that it has seen,
+	// ackedGrant the highest id among its grants that was acknowledged to it.
+	seenGrant  uint64
+	ackedGrant uint64
 }
 
-// New returns a Scheduler that starts to work when it is run.
+// New returns a Scheduler; Run starts it.
 func New[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) *Scheduler {
-	s := &Scheduler{config: configOf(options), routers: make(map[fleet.RouterID]*router)}
-	s.loop = control.New(s.settle)
-	s.slots = dispatcher.New(dispatcher.Options[O, L, P]{
+	s := &Scheduler{config: configOf(options), routers: make(map[fleet.RouterID]*remoteRouter)}
+	s.loop = control.New(s.finishRound)
+	s.dispatcher = dispatcher.New(dispatcher.Options[O, L, P]{
 		Order: options.Order, Limiter: options.Limiter, Placement: options.Placement,
-		Weight: s.weight, Warmup: options.Warmup, Nonce: nonceOf(options.Self, options.Incarnation),
+		Weight: s.accountWeight, Warmup: options.Warmup, Nonce: nonceOf(options.Self, options.Incarnation),
 		TakeoverWait: options.TakeoverWait, Grace: options.Grace,
 	})
 	s.members = membership.New(membership.Options{Self: options.Self})
 	s.keeper = keeper.New(keeper.Options{})
-	s.entry = newEntry()
+	s.local = newLocalRequests()
 	s.outbox = newOutbox(s)
-	s.exchange = newExchange()
-	s.poller = newPoller(s)
-	s.free = newFreeAnnouncer()
-	s.drains = newDrains()
+	s.exchange = newServiceExchange()
+	s.loadPoller = newLoadPoller(s)
+	s.freeAnnouncer = newFreeAnnouncer()
+	s.drainReports = newDrainReports()
 	s.denials = newDenials()
 	if s.peers != nil {
 		s.peers.OnBatch(func(from fleet.RouterID, batch *schema.Batch) {
 			s.loop.Post(func() { s.receive(from, batch) })
 		})
 		s.peers.OnChange(func(change peer.Change) {
-			s.loop.Post(func() { s.connectionChanged(change) })
+			s.loop.Post(func() { s.handleConnectionChange(change) })
 		})
 	}
 	return s
@@ -230,106 +230,106 @@
 	return c
 }
 
-// Intervals of the control goroutine's own work.
+// Intervals of the control goroutine's periodic work.
 const (
-	// tickInterval paces deadlines, limits that adapt with time, and asks at
-	// further dispatchers. It is a few round trips between data centres.
+	// tickInterval applies to deadlines, adaptive limits and asks to further
+	// dispatchers. It is a few round trips between data centres.
 	tickInterval = 10 * time.Millisecond
-	// upkeepInterval paces what nobody waits for.
-	upkeepInterval = 250 * time.Millisecond
-	// exchangeInterval paces the comparison of service. In the virtual-time
-	// model 100 ms in place of 250 halves the fairness gap.
+	// maintenanceInterval applies to work that no request waits for.
+	maintenanceInterval = 250 * time.Millisecond
+	// exchangeInterval applies to service reports to keepers. In the virtual-time
+	// model, 100 ms instead of 250 ms halves the fairness gap.
 	exchangeInterval = 100 * time.Millisecond
-	// leastCompleteInterval is how often each router is told all that this one
-	// asks of it and holds. Connections lose nothing, so it is a safeguard: a
-	// fault of ours that leaves a slot taken or a word unsaid then idles an
-	// upstream for seconds and not for good. completePerRouter stretches it, so
-	// that at 460 routers it takes five minutes and 1.5 messages a second.
-	leastCompleteInterval = 20 * time.Second
-	completePerRouter     = 650 * time.Millisecond
+	// minCompleteInterval is the least time between two complete batches to the
+	// same router. Connections lose no messages, so this is a safeguard: if a bug
+	// leaks a slot or omits a message, an upstream idles for seconds and not for
+	// ever. completeIntervalPerRouter extends the interval: with 460 routers it
+	// is five minutes, which takes 1.5 messages a second.
+	minCompleteInterval       = 20 * time.Second
+	completeIntervalPerRouter = 650 * time.Millisecond
 )
 
-// Run works until ctx ends. Requests that still wait then are refused with
-// reason stopping.
+// Run runs the scheduler until ctx ends. It then refuses all waiting requests
+// with reason stopping.
 func (s *Scheduler) Run(ctx context.Context) error {
-	defer s.poller.close()
+	defer s.loadPoller.close()
 	tick := s.loop.Every(s.timer, tickInterval, s.tick)
 	defer tick.Cancel()
-	upkeep := s.loop.Every(s.timer, upkeepInterval, s.upkeep)
-	defer upkeep.Cancel()
-	exchange := s.loop.Every(s.timer, exchangeInterval, func(now time.Time) { s.exchange.tick(s, now) })
+	maintenance := s.loop.Every(s.timer, maintenanceInterval, s.maintain)
+	defer maintenance.Cancel()
+	exchange := s.loop.Every(s.timer, exchangeInterval, func(now time.Time) { s.exchange.sendReports(s, now) })
 	defer exchange.Cancel()
-	list := s.listVMs(ctx)
-	defer list()
-	s.loop.Post(func() { s.refresh(s.timer.Now()) })
+	stopPolling := s.pollVMList(ctx)
+	defer stopPolling()
+	s.loop.Post(func() { s.refreshAssignment(s.timer.Now()) })
 	err := s.loop.Run(ctx)
-	s.entry.refuseAll(refusal.New(refusal.Stopping, "the router is stopping", time.Second))
+	s.local.refuseAll(refusal.New(refusal.Stopping, "the router is stopping", time.Second))
 	return err
 }
 
 // Leave tells the other routers that this one begins its graceful shutdown.
-// They take over its upstreams; what waits here still gets its turn.
+// They take over its upstreams; requests that wait here are still served.
 func (s *Scheduler) Leave() {
 	s.loop.Post(func() {
 		s.stopping = true
 		s.members.Leave(s.timer.Now(), s.self, true)
 		for id, r := range s.routers {
 			if r.connected {
-				s.outbox.to(id).Leaving = true
-				s.outbox.urgent(id)
+				s.outbox.batchTo(id).Leaving = true
+				s.outbox.sendUrgently(id)
 			}
 		}
-		s.refresh(s.timer.Now())
+		s.refreshAssignment(s.timer.Now())
 	})
 }
 
-// settle ends each round of the control goroutine: it grants what can be
-// granted and sends what has to be sent.
-func (s *Scheduler) settle() {
+// finishRound runs at the end of each round of the control goroutine. It grants
+// the free slots and sends the batches that are due.
+func (s *Scheduler) finishRound() {
 	now := s.timer.Now()
 	if s.notes.Current() != s.view {
-		s.refresh(now)
+		s.refreshAssignment(now)
 	}
 	for {
-		s.grant(now)
-		if !s.deliverOwn(now) {
+		s.sendGrants(now)
+		if !s.deliverLocal(now) {
 			break
 		}
 	}
 	s.outbox.flushDue(now)
 }
 
-func (s *Scheduler) grant(now time.Time) {
-	for _, g := range s.slots.Grant(now) {
-		out := s.outbox.to(g.To)
+func (s *Scheduler) sendGrants(now time.Time) {
+	for _, g := range s.dispatcher.Grant(now) {
+		out := s.outbox.batchTo(g.To)
 		out.Grants = append(out.Grants, &schema.Grant{
 			Id: g.ID.Count(), Account: uint32(g.Account), Upstream: uint32(g.Upstream), Begin: g.Begin,
 		})
-		s.outbox.urgent(g.To)
+		s.outbox.sendUrgently(g.To)
 	}
 }
 
 func (s *Scheduler) tick(now time.Time) {
-	s.slots.Tick(now)
-	s.entry.expire(s, now)
-	s.entry.widen(s, now)
-	s.free.tick(s, now)
-	s.drains.tell(s)
-	s.poller.tick(now)
+	s.dispatcher.Tick(now)
+	s.local.expire(s, now)
+	s.local.widenAsks(s, now)
+	s.freeAnnouncer.tick(s, now)
+	s.drainReports.announce(s)
+	s.loadPoller.tick(now)
 }
 
-func (s *Scheduler) upkeep(now time.Time) {
-	s.stale = s.denials.expire(now) || s.stale
-	s.refresh(now)
-	s.connect()
-	s.entry.review(s, now)
-	s.entry.measure(now)
+func (s *Scheduler) maintain(now time.Time) {
+	s.assignmentStale = s.denials.expire(now) || s.assignmentStale
+	s.refreshAssignment(now)
+	s.updatePeerTargets()
+	s.local.reviewQueues(s, now)
+	s.local.updateStartRate(now)
 	s.repeatComplete(now)
 	s.keeper.Tick(now)
-	s.gauges()
+	s.updateGauges()
 }
 
-func (s *Scheduler) weight(account fleet.Number) uint32 {
+func (s *Scheduler) accountWeight(account fleet.Number) uint32 {
 	if s.view == nil {
 		return 1
 	}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -8,19 +8,19 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// State is what an operator sees of a scheduler.
+// State is a snapshot of a scheduler for operators.
 type State struct {
 	Version   fleet.Version
 	Routers   []RouterState
 	Upstreams []UpstreamState
 	Queues    []QueueState
-	// InFlight is how many requests of this router each account has at upstreams.
+	// InFlight is the number of this router's requests in flight, by account.
 	InFlight map[fleet.AccountID]int
-	// Kept is how many accounts this router sums the service of.
-	Kept int
+	// TrackedAccounts is the number of accounts whose service this router's keeper sums.
+	TrackedAccounts int
 }
 
-// RouterState is what is known of one router.
+// RouterState is this router's view of one router.
 type RouterState struct {
 	ID          fleet.RouterID
 	Connected   bool
@@ -31,30 +31,31 @@
 	Address     string
 }
 
-// UpstreamState is what is known of one upstream.
+// UpstreamState is this router's view of one upstream.
 type UpstreamState struct {
 	ID         fleet.UpstreamID
 	Service    fleet.ServiceID
 	Dispatcher fleet.RouterID
-	// Here is how many requests of this router are in flight there.
+	// Here is the number of this router's requests in flight at the upstream.
 	Here int
-	// InFlight and Limit are those of all routers, known to the dispatcher only.
+	// InFlight and Limit cover all routers; only the upstream's dispatcher knows them.
 	InFlight int
 	Limit    int
 	Leaving  bool
 }
 
-// QueueState is what waits here of one account for one service.
+// QueueState describes the requests of one account that wait here for one service.
 type QueueState struct {
 	Account fleet.AccountID
 	Service fleet.ServiceID
 	Waiting int
-	// Drain is the requests started per second while some waited; zero when unknown.
-	Drain float64
-	Asked []fleet.RouterID
+	// DrainRate is the requests started per second while some waited; zero if unknown.
+	DrainRate float64
+	// Dispatchers are the routers that were asked for slots.
+	Dispatchers []fleet.RouterID
 }
 
-// State returns what the control goroutine knows now.
+// State returns a snapshot taken on the control goroutine.
 func (s *Scheduler) State(ctx context.Context) (State, error) {
 	result := make(chan State, 1)
 	if !s.loop.Post(func() { result <- s.state() }) {
@@ -69,7 +70,7 @@
 }
 
 func (s *Scheduler) state() State {
-	state := State{Kept: s.keeper.Len()}
+	state := State{TrackedAccounts: s.keeper.Len()}
 	now := s.timer.Now()
 	for _, m := range s.members.All(now) {
 		r := s.routers[m.ID]
@@ -85,46 +86,46 @@
 	}
 	state.Version = s.view.Version()
 	state.InFlight = make(map[fleet.AccountID]int)
-	here := make(map[fleet.Number]int)
-	for _, h := range s.entry.holds {
-		here[h.upstream]++
+	local := make(map[fleet.Number]int)
+	for _, h := range s.local.heldSlots {
+		local[h.upstream]++
 		if account := s.view.AccountByNumber(h.account); account != nil {
 			state.InFlight[fleet.AccountID(account.GetId())]++
 		}
 	}
 	for _, u := range s.view.State().GetUpstreams() {
 		number := fleet.Number(u.GetNumber())
-		inFlight, _ := s.slots.InFlight(number)
+		inFlight, _ := s.dispatcher.InFlight(number)
 		state.Upstreams = append(state.Upstreams, UpstreamState{
 			ID: fleet.UpstreamID(u.GetId()), Service: fleet.ServiceID(u.GetService()),
-			Dispatcher: s.assigned.dispatchers[number], Here: here[number],
-			InFlight: inFlight, Limit: s.slots.Limit(now, number), Leaving: u.GetLeaving() || s.departing[fleet.UpstreamID(u.GetId())],
+			Dispatcher: s.assignment.dispatchers[number], Here: local[number],
+			InFlight: inFlight, Limit: s.dispatcher.Limit(now, number), Leaving: u.GetLeaving() || s.leavingInList[fleet.UpstreamID(u.GetId())],
 		})
 	}
-	for _, q := range s.entry.queues {
+	for _, q := range s.local.queues {
 		state.Queues = append(state.Queues, QueueState{
 			Account: fleet.AccountID(q.account.GetId()), Service: fleet.ServiceID(q.service.GetId()),
-			Waiting: s.entry.line.Len(q.key), Drain: q.drain.Rate(now), Asked: q.targets,
+			Waiting: s.local.waiting.Len(q.key), DrainRate: q.drainMeter.Rate(now), Dispatchers: q.askedDispatchers,
 		})
 	}
 	return state
 }
 
-// gauges brings the gauges up to date.
-func (s *Scheduler) gauges() {
+// updateGauges sets the metrics of waiting requests, requests in flight and routers.
+func (s *Scheduler) updateGauges() {
 	if s.metrics == nil || s.view == nil {
 		return
 	}
 	waiting, inFlight := make(map[string]int), make(map[string]int)
-	for _, q := range s.entry.queues {
-		waiting[q.service.GetId()] += s.entry.line.Len(q.key)
+	for _, q := range s.local.queues {
+		waiting[q.service.GetId()] += s.local.waiting.Len(q.key)
 	}
-	for _, h := range s.entry.holds {
+	for _, h := range s.local.heldSlots {
 		inFlight[h.service.GetId()]++
 	}
 	for _, service := range s.view.State().GetServices() {
 		s.metrics.Waiting.WithLabelValues(service.GetId()).Set(float64(waiting[service.GetId()]))
 		s.metrics.InFlight.WithLabelValues(service.GetId()).Set(float64(inFlight[service.GetId()]))
 	}
-	s.metrics.Routers.Set(float64(1 + len(s.connected())))
+	s.metrics.Routers.Set(float64(1 + len(s.connectedRouters())))
 }
--- a/scheduler/traffic_test.go
+++ b/scheduler/traffic_test.go
@@ -13,8 +13,8 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// arrivals sends requests of an account to a router at a rate per second.
-func (f *testFleet) arrivals(random *rand.Rand, id fleet.RouterID, account string, rate float64, took time.Duration) {
+// startArrivals sends an account's requests to a router at an average rate per second.
+func (f *testFleet) startArrivals(random *rand.Rand, id fleet.RouterID, account string, rate float64, duration time.Duration) {
 	r := f.routers[id]
 	seed := random.Uint64()
 	go func() {
@@ -24,18 +24,18 @@
 			case <-time.After(time.Duration(own.ExpFloat64() / rate * float64(time.Second))):
 			case <-r.ctx.Done():
 			}
-			length := time.Duration((0.4 + 1.2*own.Float64()) * float64(took))
-			go func() { _ = f.run(r, account, fleet.Tokens(length.Seconds()*25), length) }()
+			length := time.Duration((0.4 + 1.2*own.Float64()) * float64(duration))
+			go func() { _ = f.runOn(r, account, fleet.Tokens(length.Seconds()*25), length) }()
 		}
 	}()
 }
 
-// traffic plays a load through routers in virtual time and returns control bytes sent per
-// router and second, per request, and how many times as many JSON would take.
-func traffic(t *testing.T, routers, upstreams, slots int, rate float64, took, warm, measured time.Duration) (perSecond, perRequest, json float64) {
+// measureTraffic runs a load in virtual time. It returns the control bytes sent per
+// router and second, those per request, and the factor by which JSON is larger.
+func measureTraffic(t *testing.T, routers, upstreams, slots int, rate float64, duration, warmup, measured time.Duration) (perSecond, perRequest, json float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(16, upstreams, slots))
+		f := newFleet(t, newView(16, upstreams, slots))
 		ids := f.startAll(routers)
 		defer f.stopAll()
 		random := rand.New(rand.NewPCG(7, 7))
@@ -45,13 +45,13 @@
 				weight = 9 // A few accounts are large.
 			}
 			for _, id := range ids {
-				f.arrivals(random, id, fmt.Sprintf("account-%d", i), rate/float64(routers)*weight/40, took)
+				f.startArrivals(random, id, fmt.Sprintf("account-%d", i), rate/float64(routers)*weight/40, duration)
 			}
 		}
-		time.Sleep(warm)
-		before, beforeJSON, beforeServed := f.net.totals(f.ups)
+		time.Sleep(warmup)
+		before, beforeJSON, beforeServed := f.network.totals(f.upstreams)
 		time.Sleep(measured)
-		after, afterJSON, afterServed := f.net.totals(f.ups)
+		after, afterJSON, afterServed := f.network.totals(f.upstreams)
 		bytes := float64(after - before)
 		perSecond = bytes / float64(routers) / measured.Seconds()
 		perRequest = bytes / float64(afterServed-beforeServed)
@@ -60,7 +60,7 @@
 	return perSecond, perRequest, json
 }
 
-// totals returns the bytes sent, what they would be in JSON, and the requests served.
+// totals returns the bytes sent, their size in JSON, and the number of requests served.
 func (n *network) totals(ups *upstreams) (bytes, json, served int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,9 +72,8 @@
 	return n.bytes, n.json, served
 }
 
-// Both of today's deployments, at a load that fills four fifths of the slots
-// and at one that is more than the slots take. Control traffic stays under
-// 3 KB/s a router.
+// Checks that control traffic stays below 3 KB/s per router in two deployments,
+// each at four fifths of its capacity and overloaded.
 func TestControlTraffic(t *testing.T) {
 	t.Parallel()
 	const residence = 13 * time.Second
@@ -89,18 +88,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			perSecond, perRequest, json := traffic(t, 6, load.upstreams, load.slots, load.rate, residence, 30*time.Second, time.Minute)
+			perSecond, perRequest, json := measureTraffic(t, 6, load.upstreams, load.slots, load.rate, residence, 30*time.Second, time.Minute)
 			t.Logf("%.0f B/s a router, %.0f B a request, JSON %.1f times as much", perSecond, perRequest, json)
 			require.Less(t, perSecond, 3000.0)
 		})
 	}
 }
 
-// slopes measures control traffic by the number of routers, for the capacity page.
+// slopes enables the measurement of control traffic by the number of routers, for the
+// capacity page.
 var slopes = flag.Bool("slopes", false, "measure control traffic at 2 to 24 routers")
 
-// The load grows with the routers: two upstreams of 32 slots and 5 requests a
-// second for each.
+// The load grows with the number of routers: two upstreams of 32 slots each and 5
+// requests a second per router.
 func TestControlTrafficByRouters(t *testing.T) {
 	if !*slopes {
 		t.Skip("takes a minute; run it with -slopes")
@@ -108,7 +108,7 @@
 	t.Parallel()
 	for _, routers := range []int{2, 4, 6, 12, 24} {
 		for name, part := range map[string]float64{"four fifths": 0.8, "saturated": 1.5} {
-			perSecond, perRequest, _ := traffic(t, routers, 2*routers, 32, part*float64(2*routers*32)/13,
+			perSecond, perRequest, _ := measureTraffic(t, routers, 2*routers, 32, part*float64(2*routers*32)/13,
 				13*time.Second, 30*time.Second, time.Minute)
 			t.Logf("%2d routers, %s: %4.0f B/s a router, %3.0f B a request", routers, name, perSecond, perRequest)
 		}
--- a/scheduler/view_test.go
+++ b/scheduler/view_test.go
@@ -17,48 +17,48 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// sent returns the bytes that all routers sent to each other.
-func (n *network) sent() int {
+// bytesSent returns the bytes sent between all routers.
+func (n *network) bytesSent() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytes
 }
 
-// A release note adds an upstream, and its dispatcher has the note before the
-// router at which a request waits. The router can't use the grant. Without a
-// pause the slot would be granted and given back over and over, and without a
-// repeated ask the request would wait for ever.
+// A release note adds an upstream, and its dispatcher has the note before a router
+// where a request waits. The router can't use the grant. If it asked again at once,
+// the slot would be granted and returned over and over; if it never did, the
+// request would wait for ever.
 func TestGrantForAnUpstreamThatIsNotKnownYet(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		newer, older := viewOf(2, 2, 1), viewOf(2, 1, 1)
+		newer, older := newView(2, 2, 1), newView(2, 1, 1)
 		f := newFleet(t, newer)
-		late := &source{}
-		late.Store(older)
-		f.notes = map[fleet.RouterID]note.Source{"router-0": late}
+		notes := &switchableNotes{}
+		notes.Store(older)
+		f.notes = map[fleet.RouterID]note.Source{"router-0": notes}
 		f.startAll(2)
 		defer f.stopAll()
-		// Both slots are taken; the second is one that router-0 does not know.
-		f.load("router-1", "account-1", 1, time.Hour)
+		// Both slots are in use; router-0 does not know the upstream of the second one.
+		f.keepLoad("router-1", "account-1", 1, time.Hour)
 		time.Sleep(time.Second)
-		f.load("router-0", "account-0", 2, 3*time.Second)
+		f.keepLoad("router-0", "account-0", 2, 3*time.Second)
 		time.Sleep(2 * time.Second)
-		before := f.net.sent()
+		before := f.network.bytesSent()
 		time.Sleep(10 * time.Second)
-		require.Less(t, f.net.sent()-before, 5000)
-		late.Store(newer)
+		require.Less(t, f.network.bytesSent()-before, 5000)
+		notes.Store(newer)
 		time.Sleep(5 * time.Second)
-		f.full(2)
+		f.requireFull(2)
 	})
 }
 
-// An upstream's VM is to be replaced, and one router sees it as leaving in the
-// platform's list before the others. Nothing new may go there from that
-// router, nor from the others once the router has told the dispatcher.
+// An upstream's VM is to be replaced, and the other routers see it as leaving in
+// the platform's VM list before its dispatcher does. They must send it no new
+// requests, and once they have told the dispatcher, no router may.
 func TestUpstreamThatLeavesByTheListGetsNoWork(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 8, 2))
+		f := newFleet(t, newView(2, 8, 2))
 		lists := map[fleet.RouterID]*vmList{"router-0": {}, "router-1": {}, "router-2": {}}
 		f.vms = make(map[fleet.RouterID]store.VMs)
 		for id, list := range lists {
@@ -67,44 +67,44 @@
 		ids := f.startAll(3)
 		defer f.stopAll()
 		dispatcher := f.dispatcherOf(ids[0])
-		rest := others(ids, dispatcher)
-		f.load(rest[0], "account-0", 10, time.Second)
-		f.load(rest[1], "account-1", 10, time.Second)
+		rest := allExcept(ids, dispatcher)
+		f.keepLoad(rest[0], "account-0", 10, time.Second)
+		f.keepLoad(rest[1], "account-1", 10, time.Second)
 		time.Sleep(5500 * time.Millisecond)
-		f.full(16)
+		f.requireFull(16)
 		for _, id := range rest {
 			lists[id].mu.Lock()
 			lists[id].vms = []store.VM{{Name: "upstream-0", Role: store.UpstreamVM, Leaving: true}}
 			lists[id].mu.Unlock()
 		}
 		time.Sleep(4 * time.Second)
-		f.ups.resetMost()
+		f.upstreams.resetPeaks()
 		time.Sleep(10 * time.Second)
-		f.ups.mu.Lock()
-		defer f.ups.mu.Unlock()
-		require.Zero(t, f.ups.most["upstream-0"])
-		require.Len(t, f.ups.most, 7)
+		f.upstreams.mu.Lock()
+		defer f.upstreams.mu.Unlock()
+		require.Zero(t, f.upstreams.peak["upstream-0"])
+		require.Len(t, f.upstreams.peak, 7)
 	})
 }
 
-// A router boots while the platform is down and holds no release note yet. If
-// the others took it for a dispatcher, the upstreams that fall to it would
-// idle while work waits, for as long as the outage lasts.
+// A router boots during an outage of the platform and has no release note yet. If
+// the others made it a dispatcher, its upstreams would idle while requests wait,
+// until the outage ends.
 func TestRouterWithoutAReleaseNoteDispatchesNothing(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(1, 12, 2))
-		empty := &source{}
+		f := newFleet(t, newView(1, 12, 2))
+		empty := &switchableNotes{}
 		f.notes = map[fleet.RouterID]note.Source{"router-2": empty}
 		ids := f.startAll(3)
 		defer f.stopAll()
-		f.load(ids[0], "account-0", 40, time.Second)
+		f.keepLoad(ids[0], "account-0", 40, time.Second)
 		time.Sleep(2500 * time.Millisecond)
-		f.full(24)
+		f.requireFull(24)
 		empty.Store(f.view)
 		time.Sleep(5 * time.Second)
-		f.full(24)
-		f.atMost(2)
+		f.requireFull(24)
+		f.requireAtMost(2)
 		dispatchers := make(map[fleet.RouterID]bool)
 		for _, u := range f.state(ids[0]).Upstreams {
 			dispatchers[u.Dispatcher] = true
@@ -113,48 +113,49 @@
 	})
 }
 
-// engine answers polls with what runs at the first upstream.
-type engine struct{ f *testFleet }
+// limitedEngine answers load polls like an engine that runs at most 8 requests and
+// queues the others.
+type limitedEngine struct{ fleet *testFleet }
 
 // RoundTrip answers one poll.
-func (e engine) RoundTrip(request *http.Request) (*http.Response, error) {
-	running := min(e.f.ups.total(), 8)
-	queued := e.f.ups.total() - running
+func (e limitedEngine) RoundTrip(request *http.Request) (*http.Response, error) {
+	running := min(e.fleet.upstreams.totalRunning(), 8)
+	queued := e.fleet.upstreams.totalRunning() - running
 	body := fmt.Sprintf(`{"running":%d,"queued":%d,"at-unix-ms":%d}`, running, queued, time.Now().UnixMilli())
 	return &http.Response{
 		StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Header: make(http.Header), Request: request,
 	}, nil
 }
 
-// The network between two routers is cut, so that both dispatch one upstream.
-// Each sees in the upstream's reports what the other sends there. With a fixed
-// limit the upstream would run twice its batch until the cut ends; with the
-// adaptive one both together come back to about what fits.
+// The network between two routers is cut, so both dispatch the same upstream. Its
+// load reports include the requests of both. With fixed limits it would get twice
+// its batch until the cut ends; with adaptive limits both together return to about
+// its batch.
 func TestTwoDispatchersAreBoundedByTheUpstreamsReports(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, viewOf(2, 1, 64))
-		f.client = &http.Client{Transport: engine{f}}
-		f.limit = func(int) inflight.Limiter { return &inflight.Adaptive{} }
+		f := newFleet(t, newView(2, 1, 64))
+		f.client = &http.Client{Transport: limitedEngine{f}}
+		f.limiter = func(int) inflight.Limiter { return &inflight.Adaptive{} }
 		ids := f.startAll(2)
 		defer f.stopAll()
-		f.load(ids[0], "account-0", 40, time.Second)
-		f.load(ids[1], "account-1", 40, time.Second)
+		f.keepLoad(ids[0], "account-0", 40, time.Second)
+		f.keepLoad(ids[1], "account-1", 40, time.Second)
 		time.Sleep(30 * time.Second)
-		f.net.cut(ids[0], ids[1])
+		f.network.cut(ids[0], ids[1])
 		time.Sleep(20 * time.Second)
-		f.ups.resetMost()
-		const looks = 3000
+		f.upstreams.resetPeaks()
+		const samples = 3000
 		sum := 0
-		for range looks {
+		for range samples {
 			time.Sleep(37 * time.Millisecond)
-			sum += f.ups.total()
+			sum += f.upstreams.totalRunning()
 		}
-		mean := float64(sum) / looks
-		t.Logf("on average %.1f in flight, at most %d", mean, f.ups.mostOf("upstream-0"))
-		// A quarter above the batch on average, and never both limits at once.
+		mean := float64(sum) / samples
+		t.Logf("on average %.1f in flight, at most %d", mean, f.upstreams.peakOf("upstream-0"))
+		// At most a quarter above the batch on average, and never both limits together.
 		require.LessOrEqual(t, mean, 1.25*8)
-		f.atMost(2*8 - 1)
+		f.requireAtMost(2*8 - 1)
 		require.Equal(t, ids[0], f.dispatcherOf(ids[0]))
 		require.Equal(t, ids[1], f.dispatcherOf(ids[1]))
 	})
--- a/scheduler/wire_test.go
+++ b/scheduler/wire_test.go
@@ -15,90 +15,91 @@
 	"nutmeglock.example/nutmeglock/scheduler"
 )
 
-// wireListener is a listener whose connections can be cut without a word:
-// nothing passes in either direction, and nothing is closed.
-type wireListener struct {
+// cuttableListener is a listener whose connections can be cut silently: no data
+// passes in either direction, and no connection is closed.
+type cuttableListener struct {
 	net.Listener
-	mu   sync.Mutex
+	mu sync.Mutex
+	// open is a closed channel unless the connections are cut.
 	open chan struct{}
 }
 
-func newWireListener(listener net.Listener) *wireListener {
-	l := &wireListener{Listener: listener, open: make(chan struct{})}
+func newCuttableListener(listener net.Listener) *cuttableListener {
+	l := &cuttableListener{Listener: listener, open: make(chan struct{})}
 	close(l.open)
 	return l
 }
 
-func (l *wireListener) cut() {
+func (l *cuttableListener) cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open = make(chan struct{})
 }
 
-func (l *wireListener) mend() {
+func (l *cuttableListener) restore() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.open)
 }
 
-func (l *wireListener) passes() chan struct{} {
+func (l *cuttableListener) restored() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// Accept returns the next connection once the wire is whole.
-func (l *wireListener) Accept() (net.Conn, error) {
+// Accept returns the next connection, which can be cut.
+func (l *cuttableListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &wireConn{Conn: c, wire: l}, nil
+	return &cuttableConn{Conn: c, listener: l}, nil
 }
 
-type wireConn struct {
+type cuttableConn struct {
 	net.Conn
-	wire *wireListener
-	mu   sync.Mutex
-	read time.Time
+	listener     *cuttableListener
+	mu           sync.Mutex
+	readDeadline time.Time
 }
 
-// SetReadDeadline bounds the wait for a cut wire, too.
-func (c *wireConn) SetReadDeadline(t time.Time) error {
+// SetReadDeadline also limits the time that Read waits while the connection is cut.
+func (c *cuttableConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.read = t
+	c.readDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Read passes on what arrived, once the wire is whole.
-func (c *wireConn) Read(p []byte) (int, error) {
+// Read returns received data once the connection is not cut.
+func (c *cuttableConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
-	deadline := c.read
+	deadline := c.readDeadline
 	c.mu.Unlock()
 	if deadline.IsZero() {
 		deadline = time.Now().Add(time.Minute)
 	}
 	select {
-	case <-c.wire.passes():
+	case <-c.listener.restored():
 		return n, err
 	case <-time.After(time.Until(deadline)):
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
-// Write loses what is written to a cut wire.
-func (c *wireConn) Write(p []byte) (int, error) {
+// Write discards the data while the connection is cut.
+func (c *cuttableConn) Write(p []byte) (int, error) {
 	select {
-	case <-c.wire.passes():
+	case <-c.listener.restored():
 		return c.Conn.Write(p)
 	default:
 		return len(p), nil
 	}
 }
 
-// dispatchers returns which router dispatches each upstream, as r sees it.
+// dispatchers returns the dispatcher of each upstream in r's view.
 func (r *tcpRouter) dispatchers(t *testing.T) map[fleet.UpstreamID]fleet.RouterID {
 	t.Helper()
 	state, err := r.State(t.Context())
@@ -110,8 +111,8 @@
 	return all
 }
 
-// all reports whether r takes every upstream to be dispatched by one router.
-func (r *tcpRouter) all(t *testing.T, by fleet.RouterID) bool {
+// allDispatchedBy reports whether one router dispatches all upstreams in r's view.
+func (r *tcpRouter) allDispatchedBy(t *testing.T, by fleet.RouterID) bool {
 	t.Helper()
 	for _, dispatcher := range r.dispatchers(t) {
 		if dispatcher != by {
@@ -121,13 +122,12 @@
 	return true
 }
 
-// The network between two routers goes dead while both serve callers; no
-// connection ends, bytes just stop. Each must notice, serve its callers on its
-// own, and share the upstreams out again once the network is back, without a
-// slot lost on the way.
+// The network between two routers drops all data while both serve callers; no
+// connection is closed. Each must notice, serve its callers alone, and share the
+// upstreams again after the cut, without leaking a slot.
 func TestCutAndRejoinOverTCP(t *testing.T) {
 	t.Parallel()
-	view := viewOf(2, 4, 2)
+	view := newView(2, 4, 2)
 	routers := startTCP(t, 2, view)
 	a, b := routers[0], routers[1]
 	stop := make(chan struct{})
@@ -140,33 +140,33 @@
 					case <-stop:
 						return
 					default:
-						r.once(t, view, []string{"account-0", "account-1"}[i], 20*time.Millisecond)
+						r.runOne(t, view, []string{"account-0", "account-1"}[i], 20*time.Millisecond)
 					}
 				}
 			})
 		}
 	}
-	const patience, often = 20 * time.Second, 20 * time.Millisecond
+	const timeout, interval = 20 * time.Second, 20 * time.Millisecond
 	shared := func() bool {
 		seen := a.dispatchers(t)
-		return !a.all(t, a.id) && !a.all(t, b.id) && maps.Equal(seen, b.dispatchers(t))
+		return !a.allDispatchedBy(t, a.id) && !a.allDispatchedBy(t, b.id) && maps.Equal(seen, b.dispatchers(t))
 	}
-	require.Eventually(t, shared, patience, often)
-	a.wire.cut()
-	b.wire.cut()
-	require.Eventually(t, func() bool { return a.all(t, a.id) && b.all(t, b.id) }, patience, often)
-	a.wire.mend()
-	b.wire.mend()
-	require.Eventually(t, shared, patience, often)
+	require.Eventually(t, shared, timeout, interval)
+	a.listener.cut()
+	b.listener.cut()
+	require.Eventually(t, func() bool { return a.allDispatchedBy(t, a.id) && b.allDispatchedBy(t, b.id) }, timeout, interval)
+	a.listener.restore()
+	b.listener.restore()
+	require.Eventually(t, shared, timeout, interval)
 	close(stop)
 	group.Wait()
 	for _, r := range routers {
-		require.Eventually(t, func() bool { return idle(t, r) }, patience, often)
+		require.Eventually(t, func() bool { return isIdle(t, r) }, timeout, interval)
 	}
 }
 
-// idle reports whether no slot is taken, as far as a router knows.
-func idle(t *testing.T, r *tcpRouter) bool {
+// isIdle reports whether no slot is in use in a router's view.
+func isIdle(t *testing.T, r *tcpRouter) bool {
 	t.Helper()
 	state, err := r.State(t.Context())
 	require.NoError(t, err)
