--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,7 @@
-// Package store is the seam to what the platform gives: a transactional
-// table, an object store and a lagging list of VMs. Everything that has to be
-// agreed or to last goes through it, and all of it has outages.
+// Package store defines the interfaces to the platform's services: a
+// transactional table, an object store and a list of VMs that lags behind.
+// State that routers must agree on or that must outlive them is kept there. Each
+// service can be unavailable.
 package store
 
 import (
@@ -10,33 +11,33 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// Key names a row of the table. Parts are separated by slashes.
+// Key identifies a row of the table. Its parts are separated by slashes.
 type Key string
 
-// RowVersion grows with each write of a row. Zero means that the row is absent.
+// RowVersion increases with each write to a row. Zero means that the row does not exist.
 type RowVersion uint64
 
-// Row is what a read returns for one key, also for an absent one.
+// Row is the result of reading one key, whether or not the row exists.
 type Row struct {
 	Key     Key
 	Value   []byte
 	Version RowVersion
 }
 
-// Check makes a transaction depend on a row being at a version.
+// Check is a precondition of a transaction: the row must be at this version.
 type Check struct {
 	Key     Key
 	Version RowVersion
 }
 
-// Write sets a row, or removes it when Delete is true.
+// Write sets a row, or deletes it if Delete is true.
 type Write struct {
 	Key    Key
 	Value  []byte
 	Delete bool
 }
 
-// Txn is a conditional transaction: all writes apply, or none.
+// Txn is a conditional transaction. Either all of its writes apply or none.
 type Txn struct {
 	Checks []Check
 	Writes []Write
@@ -44,27 +45,28 @@
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Read returns a row for each key, in the order of keys. It may return an
-	// older state than the last commit. It fails with *UnavailableError.
+	// Read returns one row per key, in the order of keys. It may return a state
+	// older than the last commit. It fails with *UnavailableError.
 	Read(ctx context.Context, keys ...Key) ([]Row, error)
-	// Scan returns at most limit rows whose key begins with prefix and is
-	// greater than after, in the order of their keys. It fails with *UnavailableError.
+	// Scan returns at most limit rows, in key order, whose key begins with prefix
+	// and is greater than after. It fails with *UnavailableError.
 	Scan(ctx context.Context, prefix, after Key, limit int) ([]Row, error)
-	// Commit applies a transaction. It fails with *ConflictError when a check did
-	// not hold, *UnavailableError when nothing was applied, and *IndefiniteError when the
-	// transaction may have been applied or may yet be.
+	// Commit applies a transaction. It fails with *ConflictError if a check
+	// failed, *UnavailableError if nothing was applied, and *IndefiniteError if
+	// the transaction may have been applied or may still be applied later.
 	Commit(ctx context.Context, txn Txn) error
 }
 
 // Objects is the platform's object store.
 type Objects interface {
-	// Put stores an object whole. It fails with *UnavailableError or *IndefiniteError.
+	// Put stores or replaces an object atomically. It fails with
+	// *UnavailableError or *IndefiniteError.
 	Put(ctx context.Context, name string, data []byte) error
-	// Get returns an object, *NotFoundError when there is none, or *UnavailableError.
+	// Get returns an object. It fails with *NotFoundError or *UnavailableError.
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// VMRole tells routers from upstreams in the VM list.
+// VMRole is what a VM runs: a router or an upstream.
 type VMRole string
 
 const (
@@ -74,7 +76,7 @@
 	UpstreamVM VMRole = "upstream"
 )
 
-// VM is one entry of the platform's list.
+// VM is an entry of the platform's VM list.
 type VM struct {
 	// Name is the router's or upstream's id.
 	Name       string
@@ -84,25 +86,25 @@
 	Leaving    bool
 }
 
-// VMs is the platform's list of live and leaving VMs. It lags.
+// VMs is the platform's list of live and leaving VMs, which lags behind.
 type VMs interface {
-	// List returns the VMs that the platform believes in. It fails with *UnavailableError.
+	// List returns the VMs known to the platform. It fails with *UnavailableError.
 	List(ctx context.Context) ([]VM, error)
 }
 
-// ConflictError is the error of a transaction of which a check did not hold.
+// ConflictError is returned when a check of a transaction failed.
 type ConflictError struct {
 	Key      Key
 	Expected RowVersion
 	Found    RowVersion
 }
 
-// Error names the row and both versions.
+// Error returns the row's key and both versions.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("row %s is at version %d, expected %d", e.Key, e.Found, e.Expected)
 }
 
-// UnavailableError is the error of a call that certainly had no effect.
+// UnavailableError is returned when a call is known to have had no effect.
 type UnavailableError struct {
 	Operation string
 	Cause     error
@@ -116,8 +118,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// IndefiniteError is the error of a write whose reply was lost: it may have been
-// applied, may not, or may yet be.
+// IndefiniteError is returned when the reply to a write was lost: the write may
+// have been applied, may never be applied, or may still be applied later.
 type IndefiniteError struct {
 	Operation string
 	Cause     error
@@ -131,8 +133,8 @@
 // Unwrap returns the cause.
 func (e *IndefiniteError) Unwrap() error { return e.Cause }
 
-// NotFoundError is the error of an object that does not exist.
+// NotFoundError is returned when an object does not exist.
 type NotFoundError struct{ Name string }
 
-// Error names the object.
-func (e *NotFoundError) Error() string { return "no object " + e.Name }
+// Error returns the object's name.
+func (e *NotFoundError) Error() string { return "object not found: " + e.Name }
