--- a/store/memory/bucket.go
+++ b/store/memory/bucket.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// bucket is a token bucket that holds one second's worth of operations. Its
-// zero value has no bound.
-type bucket struct {
+// tokenBucket limits the rate of operations and allows a burst of one second's
+// worth. The zero value is unlimited.
+type tokenBucket struct {
+	// rate is the number of operations per second.
 	rate   float64
 	tokens float64
 	last   time.Time
 }
 
-// take uses one operation up and reports whether there was one.
-func (b *bucket) take(now time.Time) bool {
+// take consumes one token and reports whether one was available.
+func (b *tokenBucket) take(now time.Time) bool {
 	if b.rate <= 0 {
 		return true
 	}
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is the platform in memory, for tests and for trying the
-// fleet out on one machine. It plays the platform's faults on order.
+// Package memory implements the platform's services in memory, for tests and
+// for running a fleet on one machine. Tests can inject faults into it.
 package memory
 
 import (
@@ -17,7 +17,7 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// The operations that a fault can name.
+// The operations into which faults can be injected.
 const (
 	OperationRead   = "read"
 	OperationScan   = "scan"
@@ -28,65 +28,65 @@
 	OperationWatch  = "watch"
 )
 
-// The causes of the errors that faults bring about.
+// The causes of the errors that injected faults and the rate limits produce.
 var (
 	ErrDown    = errors.New("the platform is down")
 	ErrLost    = errors.New("the reply was lost")
-	ErrLimited = errors.New("the platform's rate limit is reached")
+	ErrLimited = errors.New("the platform's rate limit is exceeded")
 )
 
 // Platform implements store.Table, store.Objects and store.VMs.
 // Create it with New. It is safe for concurrent use.
 type Platform struct {
-	// Faults are the faults in force: down, slow, request-lost, reply-lost,
-	// late and stale.
+	// Faults are the active faults. Supported kinds: down, slow, request-lost,
+	// reply-lost, late and stale.
 	Faults fault.List
 
-	clock   timer.Service
-	mu      sync.Mutex
-	table   table
-	objects map[string][]byte
-	vms     lag.Value[[]store.VM]
-	reads   bucket
-	writes  bucket
-	waiting int
-	counts  map[string]int
-	// kept is the commit from which the history of changes is there, and changed
-	// is closed at the next commit.
-	kept    uint64
-	changed chan struct{}
+	clock           timer.Service
+	mu              sync.Mutex
+	table           table
+	objects         map[string][]byte
+	vms             lag.Value[[]store.VM]
+	reads           tokenBucket
+	writes          tokenBucket
+	pendingWrites   int
+	operationCounts map[string]int
+	// historyStart is the commit after which changes are still available.
+	historyStart uint64
+	// nextCommit is closed at the next commit.
+	nextCommit chan struct{}
 }
 
-// New returns an empty platform that tells the time by clock.
+// New returns an empty platform that uses clock.
 func New(clock timer.Service) *Platform {
-	return &Platform{clock: clock, objects: map[string][]byte{}, counts: map[string]int{}}
+	return &Platform{clock: clock, objects: map[string][]byte{}, operationCounts: map[string]int{}}
 }
 
-// SetLag sets how much later than SetVMs the list of VMs changes for readers.
-func (p *Platform) SetLag(by time.Duration) {
+// SetLag sets the delay after which readers see a VM list set with SetVMs.
+func (p *Platform) SetLag(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.vms.By = by
+	p.vms.By = delay
 }
 
-// SetLimits bounds reads and writes a second. Zero means no bound. A
-// transaction counts as one write, whatever the number of its rows.
+// SetLimits limits reads and writes per second. Zero means unlimited. A
+// transaction counts as one write, regardless of its number of rows.
 func (p *Platform) SetLimits(reads, writes float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reads = bucket{rate: reads}
-	p.writes = bucket{rate: writes}
+	p.reads = tokenBucket{rate: reads}
+	p.writes = tokenBucket{rate: writes}
 }
 
-// SetVMs changes the list of VMs, which readers see after the lag. The first
-// list is visible at once.
+// SetVMs replaces the list of VMs. Readers see it after the lag, but the first
+// list at once.
 func (p *Platform) SetVMs(vms ...store.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms.Set(p.clock.Now(), append([]store.VM{}, vms...))
 }
 
-// VMs returns the VMs that are visible after the lag, whatever faults are in force.
+// VMs returns the VMs that readers see, regardless of active faults.
 func (p *Platform) VMs() []store.VM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,32 +94,31 @@
 	return append([]store.VM{}, visible...)
 }
 
-// Commits returns the number of transactions that have taken effect.
+// Commits returns the number of transactions applied.
 func (p *Platform) Commits() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.commits
+	return p.table.lastCommit
 }
 
-// Counts returns how many operations of each kind were asked for, whatever
-// became of them.
+// Counts returns the number of calls of each operation, regardless of their result.
 func (p *Platform) Counts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.counts)
+	return maps.Clone(p.operationCounts)
 }
 
-func (p *Platform) count(operation string) {
+func (p *Platform) countOperation(operation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counts[operation]++
+	p.operationCounts[operation]++
 }
 
-// Waiting returns the number of writes that a slow or late fault holds back.
+// Waiting returns the number of writes that a slow or late fault is delaying.
 func (p *Platform) Waiting() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.waiting
+	return p.pendingWrites
 }
 
 // Change is a row that was written or removed.
@@ -128,33 +127,33 @@
 	Removed bool
 }
 
-// HistoryLostError is the error of a watch after a commit whose changes were dropped.
-type HistoryLostError struct{ After, Kept uint64 }
+// HistoryLostError is returned when changes after the requested commit have been dropped.
+type HistoryLostError struct{ After, DroppedThrough uint64 }
 
-// Error names both commits.
+// Error returns the requested commit and the last one whose changes were dropped.
 func (e *HistoryLostError) Error() string {
-	return fmt.Sprintf("changes after commit %d are dropped up to %d", e.After, e.Kept)
+	return fmt.Sprintf("changes after commit %d were dropped up to commit %d", e.After, e.DroppedThrough)
 }
 
-// DropHistory forgets the changes up to now: watches that ask for older ones fail.
+// DropHistory drops all changes so far. Watches that ask for them fail.
 func (p *Platform) DropHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.kept = p.table.commits
-	p.wake()
+	p.historyStart = p.table.lastCommit
+	p.notifyWatchers()
 }
 
-// Watch returns the changes of a prefix after a commit as soon as there are
-// any or wait has passed, and the latest commit.
+// Watch waits up to wait for changes under a prefix after a commit, and returns
+// them and the latest commit. It returns no changes if there were none.
 func (p *Platform) Watch(ctx context.Context, prefix store.Key, after uint64, wait time.Duration) ([]Change, uint64, error) {
-	p.count(OperationWatch)
+	p.countOperation(OperationWatch)
 	if f, faulty := p.Faults.Take(OperationWatch, string(prefix)); faulty {
-		if err := p.playRead(ctx, OperationWatch, f); err != nil {
+		if err := p.injectReadFault(ctx, OperationWatch, f); err != nil {
 			return nil, 0, err
 		}
 	}
-	over := make(chan struct{})
-	timeout := p.clock.After(wait, func(time.Time) { close(over) })
+	expired := make(chan struct{})
+	timeout := p.clock.After(wait, func(time.Time) { close(expired) })
 	defer timeout.Cancel()
 	for {
 		changes, commit, next, err := p.changesAfter(after, prefix)
@@ -163,7 +162,7 @@
 		}
 		select {
 		case <-next:
-		case <-over:
+		case <-expired:
 			return nil, commit, nil
 		case <-ctx.Done():
 			return nil, 0, &store.UnavailableError{Operation: OperationWatch, Cause: ctx.Err()}
@@ -171,39 +170,39 @@
 	}
 }
 
-// changesAfter returns the changes after a commit, the latest commit, and a
-// channel that is closed at the next.
+// changesAfter returns the changes under a prefix after a commit, the latest
+// commit, and a channel that is closed at the next commit.
 func (p *Platform) changesAfter(after uint64, prefix store.Key) ([]Change, uint64, <-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if after < p.kept {
-		return nil, 0, nil, &HistoryLostError{After: after, Kept: p.kept}
+	if after < p.historyStart {
+		return nil, 0, nil, &HistoryLostError{After: after, DroppedThrough: p.historyStart}
 	}
-	if p.changed == nil {
-		p.changed = make(chan struct{})
+	if p.nextCommit == nil {
+		p.nextCommit = make(chan struct{})
 	}
-	return p.table.changes(after, prefix), p.table.commits, p.changed, nil
+	return p.table.changes(after, prefix), p.table.lastCommit, p.nextCommit, nil
 }
 
-// wake ends the waits for a change. The lock must be held.
-func (p *Platform) wake() {
-	if p.changed != nil {
-		close(p.changed)
-		p.changed = nil
+// notifyWatchers wakes every waiting Watch. The lock must be held.
+func (p *Platform) notifyWatchers() {
+	if p.nextCommit != nil {
+		close(p.nextCommit)
+		p.nextCommit = nil
 	}
 }
 
-// Read returns a row for each key at one moment, or an older one under a stale fault.
+// Read returns a consistent snapshot of the keys, an older one under a stale fault.
 func (p *Platform) Read(ctx context.Context, keys ...store.Key) ([]store.Row, error) {
 	var rows []store.Row
-	err := p.read(ctx, OperationRead, texts(keys), func(at uint64) error {
+	err := p.read(ctx, OperationRead, keyStrings(keys), func(at uint64) error {
 		rows = p.table.read(at, keys)
 		return nil
 	})
 	return rows, err
 }
 
-// Scan returns the rows of a prefix in the order of their keys.
+// Scan returns the rows under a prefix in key order.
 func (p *Platform) Scan(ctx context.Context, prefix, after store.Key, limit int) ([]store.Row, error) {
 	var rows []store.Row
 	err := p.read(ctx, OperationScan, []string{string(prefix)}, func(at uint64) error {
@@ -213,7 +212,7 @@
 	return rows, err
 }
 
-// Get returns an object, or *store.NotFoundError when there is none.
+// Get returns an object, or *store.NotFoundError if it does not exist.
 func (p *Platform) Get(ctx context.Context, name string) ([]byte, error) {
 	var data []byte
 	err := p.read(ctx, OperationGet, []string{name}, func(uint64) error {
@@ -227,7 +226,7 @@
 	return data, err
 }
 
-// List returns the VMs that are visible after the lag.
+// List returns the VMs that readers see after the lag.
 func (p *Platform) List(ctx context.Context) ([]store.VM, error) {
 	var vms []store.VM
 	err := p.read(ctx, OperationList, nil, func(uint64) error {
@@ -238,7 +237,7 @@
 	return vms, err
 }
 
-// Commit applies a transaction whole or not at all.
+// Commit applies a transaction atomically.
 func (p *Platform) Commit(ctx context.Context, txn store.Txn) error {
 	keys := make([]string, 0, len(txn.Checks)+len(txn.Writes))
 	for _, check := range txn.Checks {
@@ -248,12 +247,12 @@
 		keys = append(keys, string(write.Key))
 	}
 	return p.write(ctx, OperationCommit, keys, func() error {
-		defer p.wake()
+		defer p.notifyWatchers()
 		return p.table.commit(p.clock.Now(), txn)
 	})
 }
 
-// Put stores an object whole.
+// Put stores or replaces an object atomically.
 func (p *Platform) Put(ctx context.Context, name string, data []byte) error {
 	copied := append([]byte{}, data...)
 	return p.write(ctx, OperationPut, []string{name}, func() error {
@@ -262,12 +261,12 @@
 	})
 }
 
-// read runs fn under the lock with the commit that the read is to see.
+// read runs fn under the lock, passing the commit whose state to return.
 func (p *Platform) read(ctx context.Context, operation string, keys []string, fn func(at uint64) error) error {
-	p.count(operation)
+	p.countOperation(operation)
 	f, faulty := p.Faults.Take(operation, keys...)
 	if faulty && f.Kind != fault.Stale {
-		if err := p.playRead(ctx, operation, f); err != nil {
+		if err := p.injectReadFault(ctx, operation, f); err != nil {
 			return err
 		}
 	}
@@ -283,11 +282,12 @@
 	if faulty && f.Kind == fault.Stale {
 		return fn(p.table.staleCommit(f, now))
 	}
-	return fn(p.table.commits)
+	return fn(p.table.lastCommit)
 }
 
-// playRead plays a fault before a read. A read has no effect, so each failure of one is definite.
-func (p *Platform) playRead(ctx context.Context, operation string, f fault.Fault) error {
+// injectReadFault applies a fault before a read. A read has no effect, so a
+// failed one never returns *store.IndefiniteError.
+func (p *Platform) injectReadFault(ctx context.Context, operation string, f fault.Fault) error {
 	if f.Kind == fault.Down {
 		return &store.UnavailableError{Operation: operation, Cause: ErrDown}
 	}
@@ -300,12 +300,12 @@
 	return &store.UnavailableError{Operation: operation, Cause: ErrLost}
 }
 
-// write runs apply under the lock, around the fault that is in force for it.
+// write runs apply under the lock, subject to the active fault for the operation.
 func (p *Platform) write(ctx context.Context, operation string, keys []string, apply func() error) error {
 	if err := ctx.Err(); err != nil {
 		return &store.UnavailableError{Operation: operation, Cause: err}
 	}
-	p.count(operation)
+	p.countOperation(operation)
 	f, _ := p.Faults.Take(operation, keys...)
 	switch f.Kind {
 	case fault.Down:
@@ -313,47 +313,48 @@
 	case fault.RequestLost:
 		return &store.IndefiniteError{Operation: operation, Cause: ErrLost}
 	case fault.ReplyLost:
-		_ = p.apply(operation, apply)
+		_ = p.applyWrite(operation, apply)
 		return &store.IndefiniteError{Operation: operation, Cause: ErrLost}
 	case fault.Late:
-		p.later(operation, f, apply)
+		p.applyAfterDelay(operation, f, apply)
 		return &store.IndefiniteError{Operation: operation, Cause: ErrLost}
 	case fault.Slow:
 		return p.slowWrite(ctx, operation, f, apply)
 	default:
-		return p.apply(operation, apply)
+		return p.applyWrite(operation, apply)
 	}
 }
 
-// slowWrite applies a write after the fault's delay, also when the caller has
-// given up by then: the store received the request and knows nothing of the caller.
+// slowWrite applies a write after the fault's delay, even if the caller has
+// given up by then: the store has received the request and can't know that.
 func (p *Platform) slowWrite(ctx context.Context, operation string, f fault.Fault, apply func() error) error {
 	select {
-	case err := <-p.later(operation, f, apply):
+	case err := <-p.applyAfterDelay(operation, f, apply):
 		return err
 	case <-ctx.Done():
 		return &store.IndefiniteError{Operation: operation, Cause: ctx.Err()}
 	}
 }
 
-// later applies a write after the fault's delay and then sends its result.
-func (p *Platform) later(operation string, f fault.Fault, apply func() error) <-chan error {
+// applyAfterDelay applies a write after the fault's delay and then sends the
+// result on the returned channel.
+func (p *Platform) applyAfterDelay(operation string, f fault.Fault, apply func() error) <-chan error {
 	result := make(chan error, 1)
 	p.clock.After(f.Delay(), func(time.Time) {
-		p.hold(-1)
-		result <- p.apply(operation, apply)
+		p.addPendingWrites(-1)
+		result <- p.applyWrite(operation, apply)
 	})
-	p.hold(1)
+	p.addPendingWrites(1)
 	return result
 }
 
-func (p *Platform) hold(n int) {
+func (p *Platform) addPendingWrites(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting += n
+	p.pendingWrites += n
 }
 
-func (p *Platform) apply(operation string, apply func() error) error {
+func (p *Platform) applyWrite(operation string, apply func() error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.writes.take(p.clock.Now()) {
@@ -362,7 +363,7 @@
 	return apply()
 }
 
-func texts(keys []store.Key) []string {
+func keyStrings(keys []store.Key) []string {
 	result := make([]string, len(keys))
 	for i, key := range keys {
 		result[i] = string(key)
@@ -370,4 +371,4 @@
 	return result
 }
 
-func hasPrefix(key, prefix store.Key) bool { return strings.HasPrefix(string(key), string(prefix)) }
+func keyHasPrefix(key, prefix store.Key) bool { return strings.HasPrefix(string(key), string(prefix)) }
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -18,7 +18,7 @@
 	return store.Write{Key: key, Value: []byte(value)}
 }
 
-func value(t *testing.T, p store.Table, key store.Key) string {
+func rowValue(t *testing.T, p store.Table, key store.Key) string {
 	t.Helper()
 	rows, err := p.Read(t.Context(), key)
 	require.NoError(t, err)
@@ -42,10 +42,10 @@
 	var conflict *store.ConflictError
 	require.ErrorAs(t, err, &conflict)
 	require.Equal(t, store.ConflictError{Key: "a", Expected: 0, Found: 1}, *conflict)
-	require.Equal(t, "1", value(t, p, "b"))
+	require.Equal(t, "1", rowValue(t, p, "b"))
 }
 
-func TestVersionGrowsOverARemoval(t *testing.T) {
+func TestVersionIncreasesAfterRemoval(t *testing.T) {
 	t.Parallel()
 	p := memory.New(timer.NewFake(time.Unix(1, 0)))
 	require.NoError(t, p.Commit(t.Context(), store.Txn{Writes: []store.Write{set("a", "1")}}))
@@ -107,16 +107,16 @@
 			var unavailable *store.UnavailableError
 			require.Equal(t, test.indefinite, errors.As(err, &indefinite))
 			require.Equal(t, !test.indefinite, errors.As(err, &unavailable))
-			require.Equal(t, test.atOnce, value(t, p, "a/1"))
+			require.Equal(t, test.atOnce, rowValue(t, p, "a/1"))
 			clock.Advance(time.Second)
-			require.Equal(t, test.afterDelay, value(t, p, "a/1"))
+			require.Equal(t, test.afterDelay, rowValue(t, p, "a/1"))
 			require.NoError(t, p.Commit(t.Context(), store.Txn{Writes: []store.Write{set("a/1", "2")}}))
 		})
 	}
 }
 
-// A caller gives up on a write while the store is slow. The store has the
-// request and applies it later, so the caller must not take it for undone.
+// A caller cancels a write while the store is slow. The store has received the
+// request and applies it later, so the caller must not treat it as not applied.
 func TestSlowCommitTakesEffectAfterItsCallerLeft(t *testing.T) {
 	t.Parallel()
 	clock := timer.NewFake(time.Unix(1, 0))
@@ -130,9 +130,9 @@
 
 	var indefinite *store.IndefiniteError
 	require.ErrorAs(t, <-result, &indefinite)
-	require.Empty(t, value(t, p, "a"))
+	require.Empty(t, rowValue(t, p, "a"))
 	clock.Advance(100 * time.Millisecond)
-	require.Equal(t, "1", value(t, p, "a"))
+	require.Equal(t, "1", rowValue(t, p, "a"))
 }
 
 func TestStaleReads(t *testing.T) {
@@ -146,7 +146,7 @@
 	read := func(f fault.Fault) string {
 		f.Kind, f.Times = fault.Stale, 1
 		p.Faults.Set(f)
-		return value(t, p, "a")
+		return rowValue(t, p, "a")
 	}
 	require.Equal(t, "2", read(fault.Fault{Commits: 1}))
 	require.Empty(t, read(fault.Fault{Commits: 7}))
@@ -154,7 +154,7 @@
 	require.Equal(t, "3", read(fault.Fault{Commit: 9}))
 	require.Equal(t, "3", read(fault.Fault{DelayMs: 1000}))
 	require.Equal(t, "1", read(fault.Fault{DelayMs: 2500}))
-	require.Equal(t, "3", value(t, p, "a"))
+	require.Equal(t, "3", rowValue(t, p, "a"))
 }
 
 func TestVMListLags(t *testing.T) {
--- a/store/memory/stale_test.go
+++ b/store/memory/stale_test.go
@@ -16,8 +16,8 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Reads and scans, stale by any number of commits, agree with copies of the
-// whole table that were kept after each commit.
+// Compares reads and scans that are stale by any number of commits with a copy
+// of the whole table taken after each commit.
 func TestStaleReadsAgreeWithKeptCopies(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
@@ -55,7 +55,7 @@
 
 func key(i int) store.Key { return store.Key(fmt.Sprintf("k/%d", i)) }
 
-// commit makes one transaction of some writes and applies it to state, too.
+// commit commits a random transaction and returns state with its writes applied.
 func commit(r *rapid.T, p *memory.Platform, state map[store.Key]store.Row, number int) map[store.Key]store.Row {
 	txn := store.Txn{Writes: []store.Write{{Key: "other", Value: []byte("x")}}}
 	for i := range 5 {
--- a/store/memory/table.go
+++ b/store/memory/table.go
@@ -9,23 +9,23 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// retention is how long a replaced value of a row stays readable for stale reads.
+// retention is how long a replaced value of a row stays available to stale reads.
 const retention = 10 * time.Minute
 
-// sweepEvery is the number of commits between two sweeps of removed rows.
-const sweepEvery = 4096
+// sweepInterval is the number of commits between sweeps of removed rows.
+const sweepInterval = 4096
 
-// table keeps each row's recent values, so that a stale read can return them.
-// Its zero value is empty. A row's version is the number of the commit that
-// wrote it, so that it grows also over a removal.
+// table keeps the recent values of each row for stale reads. The zero value is
+// an empty table. A row's version is the number of the commit that wrote it, so
+// it keeps increasing when a removed row is written again.
 type table struct {
-	commits uint64
-	times   []commitTime
-	keys    []store.Key
-	history map[store.Key][]value
+	lastCommit  uint64
+	commitTimes []commitTime
+	keys        []store.Key
+	history     map[store.Key][]rowValue
 }
 
-type value struct {
+type rowValue struct {
 	commit  uint64
 	at      time.Time
 	data    []byte
@@ -37,7 +37,7 @@
 	at     time.Time
 }
 
-// row returns the row as it was after a commit.
+// row returns a row as of the given commit.
 func (t *table) row(at uint64, key store.Key) store.Row {
 	values := t.history[key]
 	for i := len(values) - 1; i >= 0; i-- {
@@ -65,7 +65,7 @@
 	rows := []store.Row{}
 	start, _ := slices.BinarySearch(t.keys, max(prefix, after))
 	for _, key := range t.keys[start:] {
-		if len(rows) >= limit || !hasPrefix(key, prefix) {
+		if len(rows) >= limit || !keyHasPrefix(key, prefix) {
 			break
 		}
 		if row := t.row(at, key); key > after && row.Version != 0 {
@@ -75,14 +75,14 @@
 	return rows
 }
 
-// changes returns the rows of a prefix that a commit after the given one wrote
-// or removed, in the order of their commits. Those removed have no value.
+// changes returns the rows under a prefix that were written or removed after
+// the given commit, in commit order. Removed rows have no value.
 func (t *table) changes(after uint64, prefix store.Key) []Change {
 	var changes []Change
 	for _, key := range t.keys {
 		values := t.history[key]
 		last := values[len(values)-1]
-		if last.commit <= after || !hasPrefix(key, prefix) {
+		if last.commit <= after || !keyHasPrefix(key, prefix) {
 			continue
 		}
 		row := store.Row{Key: key, Version: store.RowVersion(last.commit)}
@@ -97,17 +97,17 @@
 
 func (t *table) commit(now time.Time, txn store.Txn) error {
 	for _, check := range txn.Checks {
-		found := t.row(t.commits, check.Key).Version
+		found := t.row(t.lastCommit, check.Key).Version
 		if found != check.Version {
 			return &store.ConflictError{Key: check.Key, Expected: check.Version, Found: found}
 		}
 	}
-	t.commits++
-	t.times = append(t.times, commitTime{commit: t.commits, at: now})
+	t.lastCommit++
+	t.commitTimes = append(t.commitTimes, commitTime{commit: t.lastCommit, at: now})
 	for _, write := range txn.Writes {
 		t.write(now, write)
 	}
-	if t.commits%sweepEvery == 0 {
+	if t.lastCommit%sweepInterval == 0 {
 		t.sweep(now)
 	}
 	return nil
@@ -115,27 +115,27 @@
 
 func (t *table) write(now time.Time, write store.Write) {
 	if t.history == nil {
-		t.history = map[store.Key][]value{}
+		t.history = map[store.Key][]rowValue{}
 	}
 	if _, known := t.history[write.Key]; !known {
 		i, _ := slices.BinarySearch(t.keys, write.Key)
 		t.keys = slices.Insert(t.keys, i, write.Key)
 	}
-	values := dropOld(t.history[write.Key], now)
-	t.history[write.Key] = append(values, value{
-		commit: t.commits, at: now, data: slices.Clone(write.Value), removed: write.Delete,
+	values := dropExpired(t.history[write.Key], now)
+	t.history[write.Key] = append(values, rowValue{
+		commit: t.lastCommit, at: now, data: slices.Clone(write.Value), removed: write.Delete,
 	})
 }
 
-// dropOld drops the values that were replaced longer ago than retention.
-func dropOld(values []value, now time.Time) []value {
+// dropExpired drops the values that were replaced more than retention ago.
+func dropExpired(values []rowValue, now time.Time) []rowValue {
 	for len(values) > 1 && now.Sub(values[1].at) > retention {
 		values = values[1:]
 	}
 	return values
 }
 
-// sweep drops rows that were removed, and the times of commits, longer ago than retention.
+// sweep drops rows removed more than retention ago, and commit times older than that.
 func (t *table) sweep(now time.Time) {
 	t.keys = slices.DeleteFunc(t.keys, func(key store.Key) bool {
 		values := t.history[key]
@@ -146,22 +146,22 @@
 		delete(t.history, key)
 		return true
 	})
-	for len(t.times) > 1 && now.Sub(t.times[1].at) > retention {
-		t.times = t.times[1:]
+	for len(t.commitTimes) > 1 && now.Sub(t.commitTimes[1].at) > retention {
+		t.commitTimes = t.commitTimes[1:]
 	}
 }
 
-// staleCommit returns the commit that a stale read sees: a given one, a number of commits
-// back, or the last one that is as old as the fault's delay.
+// staleCommit returns the commit whose state a stale read returns: the one that
+// the fault names, a number of commits back, or the latest as old as its delay.
 func (t *table) staleCommit(f fault.Fault, now time.Time) uint64 {
 	if f.Commit > 0 {
-		return min(t.commits, uint64(f.Commit))
+		return min(t.lastCommit, uint64(f.Commit))
 	}
 	if f.Commits > 0 {
-		return t.commits - min(t.commits, uint64(f.Commits))
+		return t.lastCommit - min(t.lastCommit, uint64(f.Commits))
 	}
 	seen := uint64(0)
-	for _, c := range t.times {
+	for _, c := range t.commitTimes {
 		if now.Sub(c.at) >= f.Delay() {
 			seen = c.commit
 		}
