--- a/standin/application/application.go
+++ b/standin/application/application.go
@@ -1,6 +1,6 @@
 // Package application is a stand-in for a plain service, such as work orders
-// or bookings. It counts the runs of each request, so that a test sees a
-// second one.
+// or bookings. It counts how often each request runs, so that a test can detect
+// a request that ran twice.
 package application
 
 import (
@@ -19,26 +19,28 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Options says how a service behaves. Its zero value works.
+// Options configures a service. The zero value is valid.
 type Options struct {
-	// Clock is the machine's clock when it is nil.
+	// Clock defaults to the system clock.
 	Clock timer.Service
 	// ServiceTime is how long one call runs.
 	ServiceTime time.Duration
-	// Slots is how many calls run at once; zero means 64. More are admitted and wait.
+	// Slots is the maximum number of calls that run at once; zero means 64. Calls
+	// beyond it are queued.
 	Slots int
-	// MaxQueued is how many calls wait before further ones are refused as full; zero means any number.
+	// MaxQueued is the maximum number of queued calls; zero means unlimited. Calls
+	// beyond it are refused as full.
 	MaxQueued int
-	// ReportLag is the age of a load report.
+	// ReportLag is the delay after which a load report becomes visible.
 	ReportLag time.Duration
 }
 
 const defaultSlots = 64
 
-// OperationCall is the operation that a fault can name. Its key is the path.
+// OperationCall is the operation into which faults can be injected. Its key is the path.
 const OperationCall = "call"
 
-// The headers between a router and a service.
+// The headers exchanged between a router and a service.
 const (
 	headerRequestID      = "nutmeglock-request-id"
 	headerRefused        = "nutmeglock-refused"
@@ -47,8 +49,8 @@
 
 // Application is an http.Handler. Create it with New. It is safe for concurrent use.
 type Application struct {
-	// Faults are the faults in force: down, slow, request-lost, reply-lost,
-	// refuse-full and refuse-draining.
+	// Faults are the active faults. Supported kinds: down, slow, request-lost,
+	// reply-lost, refuse-full and refuse-draining.
 	Faults fault.List
 
 	options Options
@@ -63,7 +65,7 @@
 	runs     map[string]int
 }
 
-// Load is a service's report of its load.
+// Load is a load report.
 type Load struct {
 	Running  int   `json:"running"`
 	Queued   int   `json:"queued"`
@@ -81,19 +83,19 @@
 	}
 	a := &Application{options: options, slots: make(chan struct{}, options.Slots), runs: map[string]int{}}
 	a.load.By = options.ReportLag
-	a.change(func() {})
+	a.update(func() {})
 	a.routes = a.newRoutes()
 	return a
 }
 
-// ServeHTTP answers a request of a router or an order of a test.
+// ServeHTTP serves routers and the control requests of tests.
 func (a *Application) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.routes.ServeHTTP(w, r) }
 
-// Drain makes the service refuse new calls and finish those that it has.
-func (a *Application) Drain() { a.change(func() { a.draining = true }) }
+// Drain makes the service refuse new calls and finish the queued and running ones.
+func (a *Application) Drain() { a.update(func() { a.draining = true }) }
 
-// Runs returns how many times each call was run, by idempotency key, or by
-// request id for a call without one.
+// Runs returns the number of times that each call ran, by idempotency key, or
+// by request id for a call without a key.
 func (a *Application) Runs() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,15 +106,15 @@
 	return runs
 }
 
-// Taken returns how many calls wait or run.
+// Taken returns the number of queued and running calls.
 func (a *Application) Taken() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queued + a.running
 }
 
-// change applies fn under the lock and takes a new load report.
-func (a *Application) change(fn func()) {
+// update runs fn under the lock and records a new load report.
+func (a *Application) update(fn func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	fn()
@@ -121,7 +123,7 @@
 
 func (a *Application) newRoutes() *echo.Echo {
 	routes := echo.New()
-	routes.GET("/load", a.answerLoad)
+	routes.GET("/load", a.handleLoad)
 	routes.GET("/runs", func(c echo.Context) error {
 		return c.JSON(http.StatusOK, map[string]map[string]int{"runs": a.Runs()})
 	})
@@ -129,12 +131,12 @@
 		a.Drain()
 		return c.NoContent(http.StatusNoContent)
 	})
-	routes.PUT("/faults", a.setFaults)
-	routes.Any("/*", a.call)
+	routes.PUT("/faults", a.handleFaults)
+	routes.Any("/*", a.handleCall)
 	return routes
 }
 
-func (a *Application) answerLoad(c echo.Context) error {
+func (a *Application) handleLoad(c echo.Context) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.options.Clock.Now()
@@ -143,7 +145,7 @@
 	return c.JSON(http.StatusOK, load)
 }
 
-func (a *Application) setFaults(c echo.Context) error {
+func (a *Application) handleFaults(c echo.Context) error {
 	var request fault.Orders
 	if err := c.Bind(&request); err != nil {
 		return err
@@ -156,13 +158,13 @@
 	Error string `json:"error"`
 }
 
-func refuse(c echo.Context, why string) error {
-	c.Response().Header().Set(headerRefused, why)
-	return c.JSON(http.StatusServiceUnavailable, errorBody{why})
+func refuse(c echo.Context, reason string) error {
+	c.Response().Header().Set(headerRefused, reason)
+	return c.JSON(http.StatusServiceUnavailable, errorBody{reason})
 }
 
-// call plays the fault in force and runs the request.
-func (a *Application) call(c echo.Context) error {
+// handleCall applies the active fault, if any, and runs the request.
+func (a *Application) handleCall(c echo.Context) error {
 	f, _ := a.Faults.Take(OperationCall, c.Request().URL.Path)
 	switch f.Kind {
 	case fault.RequestLost:
@@ -175,57 +177,57 @@
 		return refuse(c, "draining")
 	default:
 	}
-	return a.run(c, f)
+	return a.serveCall(c, f)
 }
 
-// Answer is the body of each answer. It depends on the request alone, but for
-// the run, which is 1 unless the request was run before.
+// Answer is the body of each response. It depends only on the request, except
+// for RunNumber, which is 1 unless the request ran before.
 type Answer struct {
-	Method string `json:"method"`
-	Path   string `json:"path"`
-	Query  string `json:"query,omitempty"`
-	Body   string `json:"body-sha256"`
-	Length int    `json:"body-length"`
-	Run    int    `json:"run"`
+	Method     string `json:"method"`
+	Path       string `json:"path"`
+	Query      string `json:"query,omitempty"`
+	BodySHA256 string `json:"body-sha256"`
+	BodyLength int    `json:"body-length"`
+	RunNumber  int    `json:"run"`
 }
 
-// maxBody bounds the body of a call, in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes is the size at which the body of a call is truncated.
+const maxBodyBytes = 64 << 20
 
-func (a *Application) run(c echo.Context, f fault.Fault) error {
+func (a *Application) serveCall(c echo.Context, f fault.Fault) error {
 	request := c.Request()
-	body, err := io.ReadAll(io.LimitReader(request.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
-	if !a.start() {
-		return refuse(c, a.refusal())
+	if !a.enqueue() {
+		return refuse(c, a.refusalReason())
 	}
-	n := a.work(c, f)
+	n := a.execute(c, f)
 	if f.Kind == fault.ReplyLost {
 		panic(http.ErrAbortHandler)
 	}
 	sum := sha256.Sum256(body)
 	return c.JSON(http.StatusOK, Answer{
 		Method: request.Method, Path: request.URL.Path, Query: request.URL.RawQuery,
-		Body: hex.EncodeToString(sum[:]), Length: len(body), Run: n,
+		BodySHA256: hex.EncodeToString(sum[:]), BodyLength: len(body), RunNumber: n,
 	})
 }
 
-// start queues a call, and returns false when it is refused.
-func (a *Application) start() bool {
-	taken := false
-	a.change(func() {
+// enqueue queues a call and reports whether it was accepted.
+func (a *Application) enqueue() bool {
+	accepted := false
+	a.update(func() {
 		full := a.options.MaxQueued > 0 && a.queued >= a.options.MaxQueued
-		taken = !a.draining && !full
-		if taken {
+		accepted = !a.draining && !full
+		if accepted {
 			a.queued++
 		}
 	})
-	return taken
+	return accepted
 }
 
-func (a *Application) refusal() string {
+func (a *Application) refusalReason() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.draining {
@@ -234,9 +236,9 @@
 	return "full"
 }
 
-// work waits for a slot, counts the run and returns its number once it is
-// done, also when the caller has gone by then, of which a service knows nothing.
-func (a *Application) work(c echo.Context, f fault.Fault) int {
+// execute waits for a slot, runs the call and returns the number of its run. It
+// continues after the caller has disconnected, which a service does not notice.
+func (a *Application) execute(c echo.Context, f fault.Fault) int {
 	a.slots <- struct{}{}
 	defer func() { <-a.slots }()
 	key := c.Request().Header.Get(headerIdempotencyKey)
@@ -244,7 +246,7 @@
 		key = c.Request().Header.Get(headerRequestID)
 	}
 	n := 0
-	a.change(func() {
+	a.update(func() {
 		a.queued--
 		a.running++
 		a.runs[key]++
@@ -255,6 +257,6 @@
 		duration += f.Delay()
 	}
 	_ = fault.Wait(context.WithoutCancel(c.Request().Context()), a.options.Clock, duration)
-	a.change(func() { a.running-- })
+	a.update(func() { a.running-- })
 	return n
 }
--- a/standin/application/application_test.go
+++ b/standin/application/application_test.go
@@ -14,7 +14,7 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 func post(t *testing.T, url, key string) (int, string, error) {
 	t.Helper()
@@ -32,7 +32,7 @@
 	return response.StatusCode, response.Header.Get("nutmeglock-refused"), nil
 }
 
-func TestFaultsShowInTheRuns(t *testing.T) {
+func TestFaultsAndRunCounts(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name    string
@@ -80,7 +80,7 @@
 			_, _, err := post(t, httpServer.URL, key)
 			ended <- err
 		}()
-		require.Eventually(t, func() bool { return a.Taken() == i+1 && len(a.Runs()) == 1 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return a.Taken() == i+1 && len(a.Runs()) == 1 }, waitTimeout, time.Millisecond)
 	}
 
 	_, refused, err := post(t, httpServer.URL, "k3")
@@ -90,13 +90,13 @@
 		require.Eventually(t, func() bool {
 			clock.Advance(time.Hour)
 			return len(ended) > 0
-		}, patience, time.Millisecond)
+		}, waitTimeout, time.Millisecond)
 		require.NoError(t, <-ended)
 	}
 	require.Equal(t, map[string]int{"k1": 1, "k2": 1}, a.Runs())
 }
 
-func TestDrainingServiceRefusesUnrun(t *testing.T) {
+func TestDrainingServiceRefusesCalls(t *testing.T) {
 	t.Parallel()
 	a := application.New(application.Options{})
 	httpServer := httptest.NewServer(a)
