--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// defaultMaxTokens is the longest answer to a request that names no max_tokens.
+// defaultMaxTokens is the maximum length of the answer to a request without max_tokens.
 const defaultMaxTokens = 256
 
-// created is the creation time in every answer, which is fixed so that answers
-// to equal requests are equal.
-const created = 1767225600
+// createdUnix is the creation time in every answer. It is fixed so that equal
+// requests get equal answers.
+const createdUnix = 1767225600
 
-// The bounds of a prefix block.
+// The size of a prefix block, and the number of prompt bytes counted as one token.
 const (
 	bytesPerToken = 4
 	blockTokens   = 16
@@ -29,65 +29,66 @@
 	Stream              bool            `json:"stream"`
 	MaxTokens           int             `json:"max_tokens"`
 	MaxCompletionTokens int             `json:"max_completion_tokens"`
-	// MinTokens is the least length of the answer. Equal to MaxTokens, it fixes the length.
+	// MinTokens is the minimum length of the answer. If it equals MaxTokens, the
+	// length is fixed.
 	MinTokens int `json:"min_tokens"`
 }
 
 func (r chatRequest) maxTokens() int {
-	return orElse(r.MaxCompletionTokens, orElse(r.MaxTokens, defaultMaxTokens))
+	return valueOr(r.MaxCompletionTokens, valueOr(r.MaxTokens, defaultMaxTokens))
 }
 
-// prompt is the length of a prompt and the hashes of its beginnings.
+// prompt holds the hash and length of a prompt and the hashes of its prefixes.
 type prompt struct {
-	seed   uint64
+	hash   uint64
 	tokens int
-	// blocks are the xxhash of the first 64, 128, 192, ... bytes of the
-	// request's messages as they stand in its JSON.
-	blocks []uint64
+	// blockHashes are the xxhash sums of the first 64, 128, 192, ... bytes of the
+	// request's raw JSON messages.
+	blockHashes []uint64
 }
 
 func newPrompt(messages []byte) prompt {
 	p := prompt{
-		seed:   xxhash.Sum64(messages),
+		hash:   xxhash.Sum64(messages),
 		tokens: (len(messages) + bytesPerToken - 1) / bytesPerToken,
 	}
 	digest := xxhash.New()
 	for rest := messages; len(rest) >= blockBytes; rest = rest[blockBytes:] {
 		_, _ = digest.Write(rest[:blockBytes]) // A Digest never fails.
-		p.blocks = append(p.blocks, digest.Sum64())
+		p.blockHashes = append(p.blockHashes, digest.Sum64())
 	}
 	return p
 }
 
-var words = strings.Fields("duct cable survey finding trench splice permit venue host member " +
+var vocabulary = strings.Fields("duct cable survey finding trench splice permit venue host member " +
 	"booking order camera depth metre blocked clear north south gravel clay water joint panel")
 
-// answer is the whole answer to a request, known from its beginning.
+// answer is the complete answer to a request, generated when the request arrives.
 type answer struct {
 	id           string
 	model        string
-	words        []string
+	tokenTexts   []string
 	promptTokens int
-	finish       string
+	finishReason string
 }
 
 func newAnswer(request chatRequest, p prompt) answer {
-	seed := xxhash.Sum64String(fmt.Sprintf("%s %d %d %d", request.Model, request.MinTokens, request.maxTokens(), p.seed))
-	random := rand.New(rand.NewPCG(seed, p.seed))
-	longest := request.maxTokens()
-	shortest := min(longest, max(1, orElse(request.MinTokens, longest/4)))
-	a := answer{id: fmt.Sprintf("chatcmpl-%016x", seed), model: request.Model, promptTokens: p.tokens, finish: "stop"}
-	length := shortest + random.IntN(longest-shortest+1)
-	if length == longest {
-		a.finish = "length"
+	seed := xxhash.Sum64String(fmt.Sprintf("%s %d %d %d", request.Model, request.MinTokens, request.maxTokens(), p.hash))
+	random := rand.New(rand.NewPCG(seed, p.hash))
+	maxLength := request.maxTokens()
+	minLength := min(maxLength, max(1, valueOr(request.MinTokens, maxLength/4)))
+	a := answer{id: fmt.Sprintf("chatcmpl-%016x", seed), model: request.Model, promptTokens: p.tokens, finishReason: "stop"}
+	length := minLength + random.IntN(maxLength-minLength+1)
+	if length == maxLength {
+		a.finishReason = "length"
 	}
 	for range length {
-		a.words = append(a.words, words[random.IntN(len(words))]+" ")
+		a.tokenTexts = append(a.tokenTexts, vocabulary[random.IntN(len(vocabulary))]+" ")
 	}
 	return a
 }
 
-func (a answer) tokens() int { return len(a.words) }
+func (a answer) tokenCount() int { return len(a.tokenTexts) }
 
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
@@ -95,16 +96,16 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-type text struct {
+type chatMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
 type choice struct {
-	Index        int     `json:"index"`
-	Message      *text   `json:"message,omitempty"`
-	Delta        *text   `json:"delta,omitempty"`
-	FinishReason *string `json:"finish_reason"`
+	Index        int          `json:"index"`
+	Message      *chatMessage `json:"message,omitempty"`
+	Delta        *chatMessage `json:"delta,omitempty"`
+	FinishReason *string      `json:"finish_reason"`
 }
 
 type completion struct {
@@ -117,52 +118,54 @@
 }
 
 const (
-	wholeObject = "chat.completion"
-	chunkObject = "chat.completion.chunk"
+	completionObject = "chat.completion"
+	chunkObject      = "chat.completion.chunk"
 )
 
 func (a answer) completion(object string, choices ...choice) completion {
-	return completion{ID: a.id, Object: object, Created: created, Model: a.model, Choices: choices}
+	return completion{ID: a.id, Object: object, Created: createdUnix, Model: a.model, Choices: choices}
 }
 
 func (a answer) usage() *usage {
-	return &usage{PromptTokens: a.promptTokens, CompletionTokens: a.tokens(), TotalTokens: a.promptTokens + a.tokens()}
+	return &usage{PromptTokens: a.promptTokens, CompletionTokens: a.tokenCount(), TotalTokens: a.promptTokens + a.tokenCount()}
 }
 
-// chunk returns the data of the event with a token's index.
-func (a answer) chunk(index int) []byte {
-	c := choice{Delta: &text{Content: a.words[index]}}
+// tokenChunk returns the event data for the token at an index.
+func (a answer) tokenChunk(index int) []byte {
+	c := choice{Delta: &chatMessage{Content: a.tokenTexts[index]}}
 	if index == 0 {
 		c.Delta.Role = "assistant"
 	}
-	if index == len(a.words)-1 {
-		c.FinishReason = &a.finish
+	if index == len(a.tokenTexts)-1 {
+		c.FinishReason = &a.finishReason
 	}
-	return encode(a.completion(chunkObject, c))
+	return marshal(a.completion(chunkObject, c))
 }
 
 func (a answer) usageChunk() []byte {
 	c := a.completion(chunkObject)
 	c.Choices = []choice{}
 	c.Usage = a.usage()
-	return encode(c)
+	return marshal(c)
 }
 
-// whole returns the body of an answer that is not streamed.
-func (a answer) whole() []byte {
-	message := text{Role: "assistant", Content: strings.Join(a.words, "")}
-	c := a.completion(wholeObject, choice{Message: &message, FinishReason: &a.finish})
+// body returns the response body of an answer that is not streamed.
+func (a answer) body() []byte {
+	message := chatMessage{Role: "assistant", Content: strings.Join(a.tokenTexts, "")}
+	c := a.completion(completionObject, choice{Message: &message, FinishReason: &a.finishReason})
 	c.Usage = a.usage()
-	return encode(c)
+	return marshal(c)
 }
 
-// event returns a server-sent event.
-func event(id int, data []byte) []byte { return fmt.Appendf(nil, "id: %d\ndata: %s\n\n", id, data) }
+// serverSentEvent formats a server-sent event.
+func serverSentEvent(id int, data []byte) []byte {
+	return fmt.Appendf(nil, "id: %d\ndata: %s\n\n", id, data)
+}
 
-func encode(c completion) []byte {
+func marshal(c completion) []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // unreachable: the type holds nothing that JSON lacks.
+		panic(err) // Unreachable: every field can be encoded as JSON.
 	}
 	return data
 }
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// submit queues a stream and starts the batch when it stood still. It returns
-// false when the engine takes no new work.
+// submit queues a stream and starts the batch if it is idle. It returns false
+// if the engine is draining.
 func (e *Engine) submit(s *stream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -11,89 +11,89 @@
 		return false
 	}
 	if s.requestID != "" {
-		e.runs[s.requestID]++
+		e.runCounts[s.requestID]++
 	}
 	if s.id != "" {
 		e.streams[s.id] = s
 	}
-	e.queued = append(e.queued, s)
-	e.admit()
-	e.schedule()
-	e.report()
+	e.queue = append(e.queue, s)
+	e.fillBatch()
+	e.scheduleStep()
+	e.updateLoad()
 	return true
 }
 
-// admit moves queued streams into the batch while it has room.
-func (e *Engine) admit() {
-	for len(e.queued) > 0 && len(e.running) < e.options.MaxBatch {
-		s := e.queued[0]
-		e.queued = e.queued[1:]
-		s.prefill = s.prompt.tokens - e.cache.hit(s.prompt.blocks)*blockTokens
-		e.running = append(e.running, s)
+// fillBatch moves queued streams into the batch until it is full.
+func (e *Engine) fillBatch() {
+	for len(e.queue) > 0 && len(e.batch) < e.options.MaxBatch {
+		s := e.queue[0]
+		e.queue = e.queue[1:]
+		s.prefillLeft = s.prompt.tokens - e.cache.cachedBlocks(s.prompt.blockHashes)*blockTokens
+		e.batch = append(e.batch, s)
 	}
 }
 
-// schedule plans the next step of the batch unless it is planned already.
-func (e *Engine) schedule() {
-	if e.stepping || len(e.running) == 0 {
+// scheduleStep schedules the next step of the batch unless one is scheduled.
+func (e *Engine) scheduleStep() {
+	if e.stepScheduled || len(e.batch) == 0 {
 		return
 	}
-	e.stepping = true
-	step := e.options.StepBase + time.Duration(len(e.running))*e.options.StepSlope
+	e.stepScheduled = true
+	step := e.options.StepBase + time.Duration(len(e.batch))*e.options.StepSlope
 	e.options.Clock.After(step, e.step)
 }
 
-// step gives each request of the batch one chunk of its prefill or one token.
+// step processes one prefill chunk or produces one token for each request of the batch.
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stepping = false
-	remaining := e.running[:0]
-	for _, s := range e.running {
-		e.advance(now, s)
-		if s.state == alive {
+	e.stepScheduled = false
+	remaining := e.batch[:0]
+	for _, s := range e.batch {
+		e.advanceStream(now, s)
+		if s.state == active {
 			remaining = append(remaining, s)
 		}
 	}
-	clear(e.running[len(remaining):])
-	e.running = remaining
-	e.admit()
-	e.schedule()
-	e.report()
+	clear(e.batch[len(remaining):])
+	e.batch = remaining
+	e.fillBatch()
+	e.scheduleStep()
+	e.updateLoad()
 }
 
-func (e *Engine) advance(now time.Time, s *stream) {
-	if s.state != alive {
+func (e *Engine) advanceStream(now time.Time, s *stream) {
+	if s.state != active {
 		return
 	}
-	if s.prefill > 0 {
-		s.prefill -= e.options.PrefillChunk
-		if s.prefill <= 0 {
-			e.cache.store(now, s.prompt.blocks)
+	if s.prefillLeft > 0 {
+		s.prefillLeft -= e.options.PrefillChunk
+		if s.prefillLeft <= 0 {
+			e.cache.add(now, s.prompt.blockHashes)
 		}
 		return
 	}
-	s.emit()
+	s.emitToken()
 }
 
-// remove takes a stream out of the engine, whatever it is doing.
+// remove ends a stream and removes it from the engine, whatever its state.
 func (e *Engine) remove(s *stream, state streamState) {
 	if e.streams[s.id] == s {
 		delete(e.streams, s.id)
 	}
 	s.end(state)
-	e.running = without(e.running, s)
-	e.queued = without(e.queued, s)
-	e.admit()
-	e.report()
+	e.batch = without(e.batch, s)
+	e.queue = without(e.queue, s)
+	e.fillBatch()
+	e.updateLoad()
 }
 
-func without(streams []*stream, gone *stream) []*stream {
-	kept := make([]*stream, 0, len(streams))
+func without(streams []*stream, removed *stream) []*stream {
+	remaining := make([]*stream, 0, len(streams))
 	for _, s := range streams {
-		if s != gone {
-			kept = append(kept, s)
+		if s != removed {
+			remaining = append(remaining, s)
 		}
 	}
-	return kept
+	return remaining
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine is a stand-in for a model engine: chat completions over HTTP
-// with continuous batching, a limited prefix cache, late load reports and
+// with continuous batching, a bounded prefix cache, delayed load reports and
 // cache events, and streams that can be resumed and cancelled. Its answers
-// depend on the request alone, so that a test can compare every byte.
+// depend only on the request, so that a test can compare them byte by byte.
 package engine
 
 import (
@@ -17,32 +17,33 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Options says how an engine behaves. Its zero value works.
+// Options configures an engine. The zero value is valid.
 type Options struct {
-	// Clock is the machine's clock when it is nil.
+	// Clock defaults to the system clock.
 	Clock timer.Service
 	// TimeScale multiplies every duration below; zero means 1.
 	TimeScale float64
-	// StepBase and StepSlope give the time of one step of the batch: base +
-	// slope × requests in the batch. Zero means 20 ms and 0.5 ms.
+	// StepBase and StepSlope determine the duration of a batch step: StepBase +
+	// StepSlope × requests in the batch. Zero means 20 ms and 0.5 ms.
 	StepBase  time.Duration
 	StepSlope time.Duration
-	// MaxBatch is the number of requests that run at once; zero means 32. More
-	// are admitted and queue inside the engine.
+	// MaxBatch is the maximum number of requests that run at once; zero means 32.
+	// Requests beyond it are queued inside the engine.
 	MaxBatch int
-	// PrefillChunk is the prompt tokens that a request takes in one step; zero means 512.
+	// PrefillChunk is the number of prompt tokens processed per request and step;
+	// zero means 512.
 	PrefillChunk int
 	// CacheBlocks is the size of the prefix cache; zero means 4096 blocks.
 	CacheBlocks int
-	// ReportLag is the age of a load report; zero means 1 s.
+	// ReportLag is the delay after which a load report becomes visible; zero means 1 s.
 	ReportLag time.Duration
-	// EventLag is the age of a cache event when it appears; zero means 2 s.
+	// EventLag is the delay after which a cache event becomes visible; zero means 2 s.
 	EventLag time.Duration
-	// EventGap loses each EventGap-th cache event; zero loses none.
+	// EventGap drops every EventGap-th cache event; zero drops none.
 	EventGap int
-	// Retention is how long a stream is kept without a reader; zero means 10 s.
+	// Retention is how long a stream without a reader is kept; zero means 10 s.
 	Retention time.Duration
-	// CheckFencing makes the engine refuse an order with an old fencing number.
+	// CheckFencing makes the engine refuse orders with an old fencing number.
 	CheckFencing bool
 }
 
@@ -65,9 +66,9 @@
 	if o.TimeScale == 0 {
 		o.TimeScale = 1
 	}
-	o.MaxBatch = orElse(o.MaxBatch, defaultMaxBatch)
-	o.PrefillChunk = orElse(o.PrefillChunk, defaultPrefillChunk)
-	o.CacheBlocks = orElse(o.CacheBlocks, defaultCacheBlocks)
+	o.MaxBatch = valueOr(o.MaxBatch, defaultMaxBatch)
+	o.PrefillChunk = valueOr(o.PrefillChunk, defaultPrefillChunk)
+	o.CacheBlocks = valueOr(o.CacheBlocks, defaultCacheBlocks)
 	o.StepBase = o.scaled(o.StepBase, defaultStepBase)
 	o.StepSlope = o.scaled(o.StepSlope, defaultStepSlope)
 	o.ReportLag = o.scaled(o.ReportLag, defaultReportLag)
@@ -76,19 +77,19 @@
 	return o
 }
 
-func (o Options) scaled(value, standard time.Duration) time.Duration {
-	return time.Duration(float64(orElse(value, standard)) * o.TimeScale)
+func (o Options) scaled(value, fallback time.Duration) time.Duration {
+	return time.Duration(float64(valueOr(value, fallback)) * o.TimeScale)
 }
 
-func orElse[T comparable](value, standard T) T {
+func valueOr[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return standard
+		return fallback
 	}
 	return value
 }
 
-// The operations that a fault can name.
+// The operations into which faults can be injected.
 const (
 	OperationChat   = "chat"
 	OperationResume = "resume"
@@ -100,50 +101,50 @@
 
 // Engine is an http.Handler. Create it with New. It is safe for concurrent use.
 type Engine struct {
-	// Faults are the faults in force: down, slow, request-lost, reply-lost,
-	// refuse-full, refuse-draining and break-after-events.
+	// Faults are the active faults. Supported kinds: down, slow, request-lost,
+	// reply-lost, refuse-full, refuse-draining and break-after-events.
 	Faults fault.List
 
 	options Options
 	routes  *echo.Echo
 
-	mu       sync.Mutex
-	stepping bool
-	crashed  bool
-	draining bool
-	running  []*stream
-	queued   []*stream
-	streams  map[string]*stream
-	cache    *cache
-	load     lag.Value[Load]
-	runs     map[string]int
-	orders   []Order
-	fencing  uint64
+	mu            sync.Mutex
+	stepScheduled bool
+	crashed       bool
+	draining      bool
+	batch         []*stream
+	queue         []*stream
+	streams       map[string]*stream
+	cache         *cache
+	load          lag.Value[Load]
+	runCounts     map[string]int
+	orders        []Order
+	maxFencing    uint64
 }
 
 // New returns an idle engine.
 func New(options Options) *Engine {
-	e := &Engine{options: options.withDefaults(), streams: map[string]*stream{}, runs: map[string]int{}}
+	e := &Engine{options: options.withDefaults(), streams: map[string]*stream{}, runCounts: map[string]int{}}
 	e.cache = newCache(e.options)
 	e.load.By = e.options.ReportLag
-	e.report()
+	e.updateLoad()
 	e.routes = e.newRoutes()
 	return e
 }
 
-// ServeHTTP answers a request of a router or an order of a test.
+// ServeHTTP serves routers and the control requests of tests.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.routes.ServeHTTP(w, r) }
 
-// Drain makes the engine refuse new requests and finish those that it has.
+// Drain makes the engine refuse new requests and finish the queued and running ones.
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
-	e.report()
+	e.updateLoad()
 }
 
-// Crash breaks every connection and loses every stream, and breaks new
-// connections until Restore.
+// Crash aborts all connections and drops all streams. New connections are
+// aborted until Restore.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -151,36 +152,37 @@
 	for _, s := range e.streams {
 		s.end(lost)
 	}
-	for _, s := range slices.Concat(e.running, e.queued) {
+	for _, s := range slices.Concat(e.batch, e.queue) {
 		s.end(lost)
 	}
-	e.streams, e.running, e.queued = map[string]*stream{}, nil, nil
+	e.streams, e.batch, e.queue = map[string]*stream{}, nil, nil
 	e.cache = newCache(e.options)
-	e.report()
+	e.updateLoad()
 }
 
-// Restore ends a crash, as a restart with nothing remembered.
+// Restore ends a crash. The engine comes back without streams and with an empty
+// cache, as after a restart.
 func (e *Engine) Restore() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crashed = false
 	e.draining = false
-	e.report()
+	e.updateLoad()
 }
 
-// Runs returns how many times each request was taken to be run, by request id.
+// Runs returns the number of times that each request was accepted, by request id.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	runs := make(map[string]int, len(e.runs))
-	for id, n := range e.runs {
+	runs := make(map[string]int, len(e.runCounts))
+	for id, n := range e.runCounts {
 		runs[id] = n
 	}
 	return runs
 }
 
-// Events returns how many events of a stream the engine has produced so far.
-func (e *Engine) Events(id string) int {
+// EventCount returns the number of events produced for a stream so far.
+func (e *Engine) EventCount(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s, ok := e.streams[id]; ok {
@@ -189,7 +191,7 @@
 	return 0
 }
 
-// Load is an engine's report of its load.
+// Load is a load report.
 type Load struct {
 	Running   int     `json:"running"`
 	Queued    int     `json:"queued"`
@@ -198,39 +200,39 @@
 	Draining  bool    `json:"draining"`
 }
 
-// report takes the figures that readers see after the lag.
-func (e *Engine) report() {
+// updateLoad records a new load report, which readers see after the lag.
+func (e *Engine) updateLoad() {
 	e.load.Set(e.options.Clock.Now(), Load{
-		Running:   len(e.running),
-		Queued:    len(e.queued),
-		CacheUsed: e.cache.used(),
+		Running:   len(e.batch),
+		Queued:    len(e.queue),
+		CacheUsed: e.cache.utilisation(),
 		Draining:  e.draining,
 	})
 }
 
-// Order is an order to the engine, such as to load a model.
+// Order is a command to the engine, such as to load a model.
 type Order struct {
 	Kind    string `json:"kind"`
 	Fencing uint64 `json:"fencing"`
 	Target  string `json:"target,omitempty"`
 }
 
-// take applies an order and reports whether its fencing number was accepted.
-func (e *Engine) take(order Order) bool {
+// acceptOrder records an order and reports whether its fencing number was accepted.
+func (e *Engine) acceptOrder(order Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.CheckFencing && order.Fencing < e.fencing {
+	if e.options.CheckFencing && order.Fencing < e.maxFencing {
 		return false
 	}
-	e.fencing = max(e.fencing, order.Fencing)
+	e.maxFencing = max(e.maxFencing, order.Fencing)
 	e.orders = append(e.orders, order)
 	return true
 }
 
-// Running returns how many requests the batch holds now, without the lag of
-// the load report.
+// Running returns the current number of requests in the batch, without the lag
+// of load reports.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.running)
+	return len(e.batch)
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -17,10 +17,10 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-// fast is an engine whose time passes a hundred times faster.
-var fast = engine.Options{TimeScale: 0.01, Retention: 1000 * time.Second}
+// fastOptions makes an engine run a hundred times faster.
+var fastOptions = engine.Options{TimeScale: 0.01, Retention: 1000 * time.Second}
 
 func serve(t *testing.T, options engine.Options) (*engine.Engine, string) {
 	t.Helper()
@@ -35,13 +35,14 @@
 		content, tokens, tokens, stream)
 }
 
-// reply is the part of a response that the tests look at.
+// reply is the part of a response that the tests check.
 type reply struct {
 	StatusCode int
 	Header     http.Header
 }
 
-// call returns the reply and the body. It fails when the body was not whole.
+// call sends a request and returns the reply and the body. It returns an error
+// if the body was truncated.
 func call(t *testing.T, method, url, body string, header ...string) (reply, string, error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -62,8 +63,8 @@
 
 func TestEqualRequestsGetEqualAnswers(t *testing.T) {
 	t.Parallel()
-	_, first := serve(t, fast)
-	_, second := serve(t, fast)
+	_, first := serve(t, fastOptions)
+	_, second := serve(t, fastOptions)
 	for _, stream := range []bool{false, true} {
 		_, one, err := call(t, http.MethodPost, first+"/v1/chat/completions", chatBody("duct 7", 9, stream))
 		require.NoError(t, err)
@@ -79,7 +80,7 @@
 
 func TestStreamEndsWithUsageAndDone(t *testing.T) {
 	t.Parallel()
-	_, url := serve(t, fast)
+	_, url := serve(t, fastOptions)
 	_, body, err := call(t, http.MethodPost, url+"/v1/chat/completions", chatBody("q", 3, true))
 	require.NoError(t, err)
 	events := strings.Split(strings.TrimSuffix(body, "\n\n"), "\n\n")
@@ -88,11 +89,11 @@
 	require.Equal(t, "id: 5\ndata: [DONE]", events[4])
 }
 
-// A connection breaks in the middle of a stream. The rest is to be had from
-// the engine, and the two parts together are the whole answer.
+// A connection breaks in the middle of a stream. The remaining events can be
+// fetched from the engine, and both parts together form the whole answer.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	t.Parallel()
-	e, url := serve(t, fast)
+	e, url := serve(t, fastOptions)
 	_, whole, err := call(t, http.MethodPost, url+"/v1/chat/completions", chatBody("q", 20, true))
 	require.NoError(t, err)
 	e.Faults.Set(fault.Fault{Kind: fault.BreakAfterEvents, Operation: engine.OperationChat, Events: 4, Times: 1})
@@ -116,7 +117,7 @@
 			"nutmeglock-request-id", "r1")
 		result <- err
 	}()
-	require.Eventually(t, func() bool { return e.Runs()["r1"] == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Runs()["r1"] == 1 }, waitTimeout, time.Millisecond)
 	response, _, err := call(t, http.MethodDelete, url+"/v1/streams/s1", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNoContent, response.StatusCode)
@@ -126,9 +127,9 @@
 	require.Equal(t, http.StatusNotFound, response.StatusCode)
 }
 
-func TestDrainingEngineRefusesUnrun(t *testing.T) {
+func TestDrainingEngineRefusesRequests(t *testing.T) {
 	t.Parallel()
-	e, url := serve(t, fast)
+	e, url := serve(t, fastOptions)
 	e.Drain()
 	response, _, err := call(t, http.MethodPost, url+"/v1/chat/completions", chatBody("q", 3, true), "nutmeglock-request-id", "r1")
 	require.NoError(t, err)
@@ -146,7 +147,7 @@
 		_, _, err := call(t, http.MethodPost, url+"/v1/chat/completions", chatBody("q", 20, false), "nutmeglock-request-id", "r1")
 		result <- err
 	}()
-	require.Eventually(t, func() bool { return e.Runs()["r1"] == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Runs()["r1"] == 1 }, waitTimeout, time.Millisecond)
 	e.Crash()
 	require.Error(t, <-result)
 	_, _, err := call(t, http.MethodGet, url+"/load", "")
@@ -176,8 +177,8 @@
 	}
 }
 
-// tokensAfter returns how many events each of n requests has after a time.
-func tokensAfter(t *testing.T, n int, d time.Duration) int {
+// eventsAfterTime returns the total number of events of n requests after d.
+func eventsAfterTime(t *testing.T, n int, d time.Duration) int {
 	t.Helper()
 	clock := timer.NewFake(time.Unix(1, 0))
 	e, url := serve(t, engine.Options{Clock: clock, MaxBatch: 8})
@@ -188,11 +189,11 @@
 				"nutmeglock-stream-id", id, "nutmeglock-request-id", id)
 		}()
 	}
-	require.Eventually(t, func() bool { return len(e.Runs()) == n }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(e.Runs()) == n }, waitTimeout, time.Millisecond)
 	clock.Advance(d)
 	total := 0
 	for i := range n {
-		total += e.Events(fmt.Sprint("s", i))
+		total += e.EventCount(fmt.Sprint("s", i))
 	}
 	e.Crash()
 	return total
@@ -200,12 +201,12 @@
 
 func TestTokenRateFallsAsTheBatchGrows(t *testing.T) {
 	t.Parallel()
-	alone := tokensAfter(t, 1, 10*time.Second)
-	together := tokensAfter(t, 8, 10*time.Second)
-	crowded := tokensAfter(t, 16, 10*time.Second)
-	require.Greater(t, together, alone*4)
-	require.Less(t, together, alone*8)
-	require.InDelta(t, together, crowded, 64)
+	single := eventsAfterTime(t, 1, 10*time.Second)
+	fullBatch := eventsAfterTime(t, 8, 10*time.Second)
+	overfull := eventsAfterTime(t, 16, 10*time.Second)
+	require.Greater(t, fullBatch, single*4)
+	require.Less(t, fullBatch, single*8)
+	require.InDelta(t, fullBatch, overfull, 64)
 }
 
 func TestLoadReportAndCacheEventsAreLate(t *testing.T) {
@@ -216,7 +217,7 @@
 		_, _, _ = call(t, http.MethodPost, url+"/v1/chat/completions", chatBody(strings.Repeat("x", 300), 500, true),
 			"nutmeglock-request-id", "r1")
 	}()
-	require.Eventually(t, func() bool { return e.Runs()["r1"] == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return e.Runs()["r1"] == 1 }, waitTimeout, time.Millisecond)
 	get := func(path string) string {
 		_, body, err := call(t, http.MethodGet, url+path, "")
 		require.NoError(t, err)
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -11,7 +11,7 @@
 	"nutmeglock.example/nutmeglock/standin/lag"
 )
 
-// The headers between a router and an engine.
+// The headers exchanged between a router and an engine.
 const (
 	headerStreamID  = "nutmeglock-stream-id"
 	headerRequestID = "nutmeglock-request-id"
@@ -20,24 +20,24 @@
 
 func (e *Engine) newRoutes() *echo.Echo {
 	routes := echo.New()
-	routes.Use(e.breakWhenCrashed)
-	routes.POST("/v1/chat/completions", e.chat, e.play(OperationChat))
-	routes.GET("/v1/streams/:id", e.resume, e.play(OperationResume))
-	routes.DELETE("/v1/streams/:id", e.cancel, e.play(OperationCancel))
-	routes.GET("/load", e.answerLoad, e.play(OperationLoad))
-	routes.GET("/cache-events", e.answerEvents, e.play(OperationEvents))
-	routes.POST("/orders", e.answerOrder, e.play(OperationOrder))
+	routes.Use(e.abortWhenCrashed)
+	routes.POST("/v1/chat/completions", e.handleChat, e.injectFault(OperationChat))
+	routes.GET("/v1/streams/:id", e.handleResume, e.injectFault(OperationResume))
+	routes.DELETE("/v1/streams/:id", e.handleCancel, e.injectFault(OperationCancel))
+	routes.GET("/load", e.handleLoad, e.injectFault(OperationLoad))
+	routes.GET("/cache-events", e.handleCacheEvents, e.injectFault(OperationEvents))
+	routes.POST("/orders", e.handleOrder, e.injectFault(OperationOrder))
 	e.addTestRoutes(routes)
 	return routes
 }
 
-// addTestRoutes adds what only tests call.
+// addTestRoutes adds the routes that only tests use.
 func (e *Engine) addTestRoutes(routes *echo.Echo) {
 	routes.GET("/runs", func(c echo.Context) error {
 		return c.JSON(http.StatusOK, map[string]map[string]int{"runs": e.Runs()})
 	})
-	routes.GET("/orders", e.answerOrders)
-	routes.PUT("/faults", e.setFaults)
+	routes.GET("/orders", e.handleOrderList)
+	routes.PUT("/faults", e.handleFaults)
 	routes.POST("/drain", func(c echo.Context) error {
 		e.Drain()
 		return c.NoContent(http.StatusNoContent)
@@ -52,7 +52,7 @@
 	})
 }
 
-func (e *Engine) breakWhenCrashed(next echo.HandlerFunc) echo.HandlerFunc {
+func (e *Engine) abortWhenCrashed(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		e.mu.Lock()
 		crashed := e.crashed
@@ -68,20 +68,20 @@
 	Error string `json:"error"`
 }
 
-// play plays the fault in force around an operation.
-func (e *Engine) play(operation string) echo.MiddlewareFunc {
+// injectFault returns middleware that applies the active fault to an operation.
+func (e *Engine) injectFault(operation string) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			f, ok := e.Faults.Take(operation, c.Request().Header.Get(headerRequestID))
 			if !ok {
 				return next(c)
 			}
-			return e.playFault(c, next, f)
+			return e.applyFault(c, next, f)
 		}
 	}
 }
 
-func (e *Engine) playFault(c echo.Context, next echo.HandlerFunc, f fault.Fault) error {
+func (e *Engine) applyFault(c echo.Context, next echo.HandlerFunc, f fault.Fault) error {
 	switch f.Kind {
 	case fault.RequestLost:
 		panic(http.ErrAbortHandler)
@@ -96,23 +96,24 @@
 			return err
 		}
 	case fault.ReplyLost:
-		c.Set(breakAfter, 0)
+		c.Set(breakAfterKey, 0)
 	case fault.BreakAfterEvents:
-		c.Set(breakAfter, f.Events)
+		c.Set(breakAfterKey, f.Events)
 	default:
 	}
 	return next(c)
 }
 
-// breakAfter is the context key of the number of events before the connection breaks.
-const breakAfter = "break-after"
+// breakAfterKey is the context key of the number of events after which the
+// connection is aborted.
+const breakAfterKey = "break-after"
 
-func refuse(c echo.Context, why string) error {
-	c.Response().Header().Set(headerRefused, why)
-	return c.JSON(http.StatusServiceUnavailable, errorBody{why})
+func refuse(c echo.Context, reason string) error {
+	c.Response().Header().Set(headerRefused, reason)
+	return c.JSON(http.StatusServiceUnavailable, errorBody{reason})
 }
 
-func (e *Engine) chat(c echo.Context) error {
+func (e *Engine) handleChat(c echo.Context) error {
 	var request chatRequest
 	if err := json.NewDecoder(c.Request().Body).Decode(&request); err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody{err.Error()})
@@ -123,31 +124,31 @@
 		return refuse(c, "draining")
 	}
 	if request.Stream {
-		return e.relay(c, s, 0)
+		return e.sendEvents(c, s, 0)
 	}
-	return e.answerWhole(c, s)
+	return e.sendCompletion(c, s)
 }
 
-func (e *Engine) resume(c echo.Context) error {
+func (e *Engine) handleResume(c echo.Context) error {
 	after, err := strconv.Atoi(c.QueryParam("after"))
 	if err != nil || after < 0 {
 		return c.JSON(http.StatusBadRequest, errorBody{"after must be the number of an event"})
 	}
-	s := e.find(c.Param("id"))
+	s := e.findStream(c.Param("id"))
 	if s == nil {
 		return c.JSON(http.StatusNotFound, errorBody{"no such stream"})
 	}
-	return e.relay(c, s, after)
+	return e.sendEvents(c, s, after)
 }
 
-func (e *Engine) find(id string) *stream {
+func (e *Engine) findStream(id string) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.streams[id]
 }
 
-func (e *Engine) cancel(c echo.Context) error {
-	s := e.find(c.Param("id"))
+func (e *Engine) handleCancel(c echo.Context) error {
+	s := e.findStream(c.Param("id"))
 	if s == nil {
 		return c.JSON(http.StatusNotFound, errorBody{"no such stream"})
 	}
@@ -157,10 +158,11 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// relay sends the events after a number until the stream ends or the reader goes.
-func (e *Engine) relay(c echo.Context, s *stream, after int) error {
-	e.enter(s)
-	defer e.leave(s)
+// sendEvents sends the events after a number until the stream ends or the
+// reader disconnects.
+func (e *Engine) sendEvents(c echo.Context, s *stream, after int) error {
+	e.addReader(s)
+	defer e.removeReader(s)
 	response := c.Response()
 	response.Header().Set(echo.HeaderContentType, "text/event-stream")
 	if s.id != "" {
@@ -168,15 +170,15 @@
 	}
 	response.WriteHeader(http.StatusOK)
 	response.Flush()
-	limit, limited := c.Get(breakAfter).(int)
+	limit, limited := c.Get(breakAfterKey).(int)
 	for {
-		events, state, changed := e.look(s, after)
+		events, state, changed := e.eventsAfter(s, after)
 		for _, data := range events {
 			if limited && after >= limit {
 				panic(http.ErrAbortHandler)
 			}
 			if _, err := response.Write(data); err != nil {
-				return nil // the reader has gone, which is no fault of the engine
+				return nil // The reader has disconnected, which is not an error of the engine.
 			}
 			response.Flush()
 			after++
@@ -184,7 +186,7 @@
 		if state == complete {
 			return nil
 		}
-		if state != alive {
+		if state != active {
 			panic(http.ErrAbortHandler)
 		}
 		select {
@@ -195,17 +197,17 @@
 	}
 }
 
-// answerWhole sends the answer once it is complete.
-func (e *Engine) answerWhole(c echo.Context, s *stream) error {
-	e.enter(s)
-	defer e.leave(s)
+// sendCompletion sends the whole answer once it is complete.
+func (e *Engine) sendCompletion(c echo.Context, s *stream) error {
+	e.addReader(s)
+	defer e.removeReader(s)
 	for {
-		_, state, changed := e.look(s, 0)
-		_, broken := c.Get(breakAfter).(int)
+		_, state, changed := e.eventsAfter(s, 0)
+		_, broken := c.Get(breakAfterKey).(int)
 		if state == complete && !broken {
-			return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, s.answer.whole())
+			return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, s.answer.body())
 		}
-		if state != alive {
+		if state != active {
 			panic(http.ErrAbortHandler)
 		}
 		select {
@@ -216,7 +218,7 @@
 	}
 }
 
-func (e *Engine) answerLoad(c echo.Context) error {
+func (e *Engine) handleLoad(c echo.Context) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.options.Clock.Now()
@@ -225,40 +227,40 @@
 	return c.JSON(http.StatusOK, load)
 }
 
-type eventsReply struct {
+type cacheEventsReply struct {
 	Events []CacheEvent `json:"events"`
 }
 
-func (e *Engine) answerEvents(c echo.Context) error {
-	after, err := strconv.ParseUint(orElse(c.QueryParam("after"), "0"), 10, 64)
+func (e *Engine) handleCacheEvents(c echo.Context) error {
+	after, err := strconv.ParseUint(valueOr(c.QueryParam("after"), "0"), 10, 64)
 	if err != nil {
 		return c.JSON(http.StatusBadRequest, errorBody{"after must be the number of an event"})
 	}
 	e.mu.Lock()
-	events := e.cache.after(e.options.Clock.Now(), after)
+	events := e.cache.eventsAfter(e.options.Clock.Now(), after)
 	e.mu.Unlock()
-	return c.JSON(http.StatusOK, eventsReply{Events: events})
+	return c.JSON(http.StatusOK, cacheEventsReply{Events: events})
 }
 
-func (e *Engine) answerOrder(c echo.Context) error {
+func (e *Engine) handleOrder(c echo.Context) error {
 	var order Order
 	if err := c.Bind(&order); err != nil {
 		return err
 	}
-	if !e.take(order) {
+	if !e.acceptOrder(order) {
 		return c.JSON(http.StatusConflict, errorBody{"old fencing number"})
 	}
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (e *Engine) answerOrders(c echo.Context) error {
+func (e *Engine) handleOrderList(c echo.Context) error {
 	e.mu.Lock()
 	orders := append([]Order{}, e.orders...)
 	e.mu.Unlock()
 	return c.JSON(http.StatusOK, map[string][]Order{"orders": orders})
 }
 
-func (e *Engine) setFaults(c echo.Context) error {
+func (e *Engine) handleFaults(c echo.Context) error {
 	var request fault.Orders
 	if err := c.Bind(&request); err != nil {
 		return err
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -6,33 +6,33 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// streamState is what became of a stream.
+// streamState is the state of a stream.
 type streamState int
 
 const (
-	// alive streams still produce tokens.
-	alive streamState = iota
+	// active streams still produce tokens.
+	active streamState = iota
 	// complete streams hold their whole answer.
 	complete
-	// cancelled streams were ended by a router, or by their readers' absence.
+	// cancelled streams were ended by a router, or because no reader was connected.
 	cancelled
-	// lost streams went down with the engine.
+	// lost streams ended when the engine crashed.
 	lost
 )
 
-// stream is one request on its way through the engine. The engine's lock guards it.
+// stream is the state of one request. It is guarded by the engine's lock.
 type stream struct {
-	id        string
-	requestID string
-	prompt    prompt
-	answer    answer
-	prefill   int
-	events    [][]byte
-	state     streamState
-	readers   int
-	// idle ends the stream when no reader has come back.
-	idle timer.Subscription
-	// changed is closed and replaced each time that a reader has something new.
+	id          string
+	requestID   string
+	prompt      prompt
+	answer      answer
+	prefillLeft int
+	events      [][]byte
+	state       streamState
+	readers     int
+	// expiry removes the stream if no reader reconnects in time.
+	expiry timer.Subscription
+	// changed is closed and replaced whenever there is a new event or state.
 	changed chan struct{}
 }
 
@@ -44,20 +44,20 @@
 	}
 }
 
-// emit adds the next token, and the end of the stream after the last one.
-func (s *stream) emit() {
-	s.add(s.answer.chunk(len(s.events)))
-	if len(s.events) < s.answer.tokens() {
+// emitToken adds the event of the next token, and ends the stream after the last one.
+func (s *stream) emitToken() {
+	s.addEvent(s.answer.tokenChunk(len(s.events)))
+	if len(s.events) < s.answer.tokenCount() {
 		s.notify()
 		return
 	}
-	s.add(s.answer.usageChunk())
-	s.add([]byte("[DONE]"))
+	s.addEvent(s.answer.usageChunk())
+	s.addEvent([]byte("[DONE]"))
 	s.end(complete)
 }
 
-func (s *stream) add(data []byte) {
-	s.events = append(s.events, event(len(s.events)+1, data))
+func (s *stream) addEvent(data []byte) {
+	s.events = append(s.events, serverSentEvent(len(s.events)+1, data))
 }
 
 func (s *stream) notify() {
@@ -65,8 +65,8 @@
 	s.changed = make(chan struct{})
 }
 
-// end gives a stream that is alive its last state. One that is complete can
-// still be lost or cancelled, so that it is not resumed.
+// end sets the final state of a stream. A complete stream can still become lost
+// or cancelled, so that it can't be resumed.
 func (s *stream) end(state streamState) {
 	if s.state == cancelled || s.state == lost {
 		return
@@ -75,20 +75,20 @@
 	s.notify()
 }
 
-// enter counts a reader in.
-func (e *Engine) enter(s *stream) {
+// addReader counts a reader and stops the expiry.
+func (e *Engine) addReader(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers++
-	if s.idle != nil {
-		s.idle.Cancel()
-		s.idle = nil
+	if s.expiry != nil {
+		s.expiry.Cancel()
+		s.expiry = nil
 	}
 }
 
-// leave counts a reader out. The last one leaves the stream to itself for the
-// retention, or ends it when it has no id to resume it by.
-func (e *Engine) leave(s *stream) {
+// removeReader removes a reader from the count. After the last one, the stream
+// expires after the retention, or at once if it has no id to resume it with.
+func (e *Engine) removeReader(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers--
@@ -99,7 +99,7 @@
 		e.remove(s, cancelled)
 		return
 	}
-	s.idle = e.options.Clock.After(e.options.Retention, func(time.Time) { e.expire(s) })
+	s.expiry = e.options.Clock.After(e.options.Retention, func(time.Time) { e.expire(s) })
 }
 
 func (e *Engine) expire(s *stream) {
@@ -110,8 +110,9 @@
 	}
 }
 
-// look returns the events after a number, the state, and what is closed at the next change.
-func (e *Engine) look(s *stream, after int) ([][]byte, streamState, <-chan struct{}) {
+// eventsAfter returns the events after a number, the state, and a channel that
+// is closed at the next change.
+func (e *Engine) eventsAfter(s *stream, after int) ([][]byte, streamState, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return s.events[min(after, len(s.events)):], s.state, s.changed
