--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,6 +1,5 @@
-// Package fault holds the faults that a test orders from a stand-in: by the
-// kind of operation, by the beginning of the key that it touches, and for how
-// many operations.
+// Package fault defines the faults that a test can inject into a stand-in. A
+// fault can be restricted to an operation, a key prefix and a number of operations.
 package fault
 
 import (
@@ -12,58 +11,59 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Kind is what goes wrong.
+// Kind is the kind of a fault.
 type Kind string
 
-// The kinds of fault. Each stand-in documents which of them it plays.
+// The kinds of fault. Each stand-in documents which of them it supports.
 const (
-	// Down refuses the operation at once, without effect.
+	// Down fails the operation at once, without effect.
 	Down Kind = "down"
-	// Slow delays the operation, which still takes effect when its caller has gone.
+	// Slow delays the operation, which takes effect even if its caller gives up.
 	Slow Kind = "slow"
-	// RequestLost drops the operation without effect and without a reply.
+	// RequestLost drops the operation without effect or reply.
 	RequestLost Kind = "request-lost"
-	// ReplyLost lets the operation take effect and loses the reply.
+	// ReplyLost applies the operation and drops the reply.
 	ReplyLost Kind = "reply-lost"
-	// Late loses the reply at once and lets the operation take effect after the delay.
+	// Late drops the reply at once and applies the operation after the delay.
 	Late Kind = "late"
-	// Stale answers a read with an older state.
+	// Stale makes a read return an older state.
 	Stale Kind = "stale"
-	// RefuseFull refuses the operation unrun because there is no room.
+	// RefuseFull refuses the operation, without running it, for lack of capacity.
 	RefuseFull Kind = "refuse-full"
-	// RefuseDraining refuses the operation unrun because the stand-in is leaving.
+	// RefuseDraining refuses the operation, without running it, as if draining.
 	RefuseDraining Kind = "refuse-draining"
-	// BreakAfterEvents breaks a stream's connection after a number of events.
+	// BreakAfterEvents aborts a stream's connection after a number of events.
 	BreakAfterEvents Kind = "break-after-events"
 )
 
-// Fault is one order. The zero value of Operation and Prefix matches all.
+// Fault describes a fault to inject. An empty Operation or Prefix matches all.
 type Fault struct {
 	Kind      Kind   `json:"kind"`
 	Operation string `json:"operation,omitempty"`
 	Prefix    string `json:"prefix,omitempty"`
-	// Times is for how many operations the fault holds; zero means until it is cleared.
+	// Times is the number of operations that the fault applies to; zero means
+	// all until it is cleared.
 	Times int `json:"times,omitempty"`
 	// DelayMs is the delay of Slow and Late, and the age of a Stale read, in milliseconds.
 	DelayMs int `json:"delay-ms,omitempty"`
-	// Commits is how many commits a Stale read is behind.
+	// Commits is the number of commits that a Stale read is behind.
 	Commits int `json:"commits,omitempty"`
-	// Commit is the number of the commit whose state a Stale read sees, counted
-	// from one. It goes before Commits and DelayMs.
+	// Commit is the number, from one, of the commit whose state a Stale read
+	// returns. It takes precedence over Commits and DelayMs.
 	Commit int `json:"commit,omitempty"`
-	// Events is the number of events before BreakAfterEvents breaks the connection.
+	// Events is the number of events after which BreakAfterEvents aborts the connection.
 	Events int `json:"events,omitempty"`
 }
 
 // Delay returns DelayMs as a duration.
 func (f Fault) Delay() time.Duration { return time.Duration(f.DelayMs) * time.Millisecond }
 
-// Wait returns after the fault's delay. It fails with the context's error when ctx ends before.
+// Wait waits for the fault's delay. It returns the context's error if ctx ends first.
 func (f Fault) Wait(ctx context.Context, clock timer.Service) error {
 	return Wait(ctx, clock, f.Delay())
 }
 
-// Wait returns after delay by clock. It fails with the context's error when ctx ends before.
+// Wait waits for delay on clock. It returns the context's error if ctx ends first.
 func Wait(ctx context.Context, clock timer.Service, delay time.Duration) error {
 	if delay <= 0 {
 		return ctx.Err()
@@ -86,41 +86,42 @@
 	return strings.HasPrefix(key, f.Prefix)
 }
 
-// List is the faults in force. Its zero value is empty and ready to use.
+// List holds the active faults. The zero value is an empty list. It is safe for
+// concurrent use.
 type List struct {
 	mu     sync.Mutex
 	faults []Fault
 }
 
-// Set replaces the faults in force. Without arguments it clears them.
+// Set replaces the active faults. Without arguments it clears them.
 func (l *List) Set(faults ...Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = append([]Fault(nil), faults...)
 }
 
-// Add puts a fault behind those in force.
+// Add appends a fault to the active ones.
 func (l *List) Add(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = append(l.faults, f)
 }
 
-// All returns the faults in force, with the number of times that is left of each.
+// All returns the active faults. Times is the number of operations left for each.
 func (l *List) All() []Fault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Fault{}, l.faults...)
 }
 
-// Take returns the first fault that holds for an operation on any of keys, and
-// uses up one of its times. It returns false when there is none.
+// Take returns the first fault that matches an operation on any of keys, and
+// decrements its Times. It returns false if none matches.
 func (l *List) Take(operation string, keys ...string) (Fault, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, f := range l.faults {
 		if matchesAny(f, operation, keys) {
-			l.use(i)
+			l.consume(i)
 			return f, true
 		}
 	}
@@ -139,7 +140,7 @@
 	return false
 }
 
-func (l *List) use(i int) {
+func (l *List) consume(i int) {
 	switch l.faults[i].Times {
 	case 0:
 	case 1:
@@ -150,7 +151,7 @@
 }
 
 // Orders is the JSON body of PUT /faults at each stand-in. It replaces the
-// faults in force.
+// active faults.
 type Orders struct {
 	Faults []Fault `json:"faults"`
 }
