--- a/standin/lag/lag_test.go
+++ b/standin/lag/lag_test.go
@@ -10,8 +10,8 @@
 	"nutmeglock.example/nutmeglock/standin/lag"
 )
 
-// A reader sees the newest value that is as old as the lag, whatever was set
-// and read before, and the first value until there is one.
+// A reader sees the newest value set at least the delay ago, and until there is
+// one the first value, regardless of earlier calls.
 func TestReaderSeesTheNewestValueOfTheLag(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
