--- a/trace/reader.go
+++ b/trace/reader.go
@@ -9,10 +9,10 @@
 	"io"
 )
 
-// maxLine bounds one line. A record has some 300 bytes.
-const maxLine = 64 << 10
+// maxLineBytes is the maximum length of a line. A record has about 300 bytes.
+const maxLineBytes = 64 << 10
 
-// LineError says which line of a trace can't be read, and why.
+// LineError reports a line of a trace that can't be read.
 type LineError struct {
 	// Line counts from 1.
 	Line  int
@@ -25,39 +25,40 @@
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Cause }
 
-// errNoHeader is the cause when a trace is empty.
-var errNoHeader = errors.New("the trace is empty; its first line has to be a header")
+// errEmptyTrace is the cause of the *LineError for an empty trace.
+var errEmptyTrace = errors.New("the trace is empty; its first line has to be a header")
 
-// Reader reads a trace. It stops at the first line that is wrong: a trace with
-// a hole in it that nobody noticed would replay as a lighter load.
+// Reader reads a trace. It fails at the first invalid line, because a trace
+// with records silently skipped would replay as a lighter load.
 type Reader struct {
-	lines  *bufio.Scanner
-	line   int
-	header Header
-	lost   int
+	scanner    *bufio.Scanner
+	lineNumber int
+	header     Header
+	dropped    int
 }
 
-// lostLine stands where the recorder lost records.
-type lostLine struct {
-	Lost int `json:"lost"`
+// dropLine replaces records that the recorder dropped.
+type dropLine struct {
+	Count int `json:"lost"`
 }
 
-// NewReader reads the header. It fails with a *LineError.
+// NewReader reads the header and returns a Reader for the records. It fails with
+// a *LineError.
 func NewReader(r io.Reader) (*Reader, error) {
-	reader := &Reader{lines: bufio.NewScanner(r)}
-	reader.lines.Buffer(make([]byte, 0, maxLine), maxLine)
-	line, err := reader.next()
+	reader := &Reader{scanner: bufio.NewScanner(r)}
+	reader.scanner.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
+	line, err := reader.nextLine()
 	if errors.Is(err, io.EOF) {
-		return nil, &LineError{1, errNoHeader}
+		return nil, &LineError{1, errEmptyTrace}
 	}
 	if err != nil {
 		return nil, err
 	}
 	if err := decode(line, &reader.header); err != nil {
-		return nil, &LineError{reader.line, err}
+		return nil, &LineError{reader.lineNumber, err}
 	}
-	if err := reader.header.check(); err != nil {
-		return nil, &LineError{reader.line, err}
+	if err := reader.header.validate(); err != nil {
+		return nil, &LineError{reader.lineNumber, err}
 	}
 	return reader, nil
 }
@@ -65,54 +66,54 @@
 // Header returns the header.
 func (r *Reader) Header() Header { return r.header }
 
-// Lost returns how many records the recorder had to drop, as far as read.
-func (r *Reader) Lost() int { return r.lost }
+// Dropped returns the number of dropped records reported by the lines read so far.
+func (r *Reader) Dropped() int { return r.dropped }
 
 // Next returns the next record, io.EOF at the end, or a *LineError.
 func (r *Reader) Next() (Record, error) {
 	for {
-		line, err := r.next()
+		line, err := r.nextLine()
 		if err != nil {
 			return Record{}, err
 		}
 		if bytes.HasPrefix(line, []byte(`{"lost":`)) {
-			var lost lostLine
-			if err := decode(line, &lost); err != nil {
-				return Record{}, &LineError{r.line, err}
+			var drops dropLine
+			if err := decode(line, &drops); err != nil {
+				return Record{}, &LineError{r.lineNumber, err}
 			}
-			r.lost += max(lost.Lost, 0)
+			r.dropped += max(drops.Count, 0)
 			continue
 		}
 		var record Record
 		if err := decode(line, &record); err != nil {
-			return Record{}, &LineError{r.line, err}
+			return Record{}, &LineError{r.lineNumber, err}
 		}
 		if err := record.Check(); err != nil {
-			return Record{}, &LineError{r.line, err}
+			return Record{}, &LineError{r.lineNumber, err}
 		}
 		return record, nil
 	}
 }
 
-// next returns the next line that is not empty.
-func (r *Reader) next() ([]byte, error) {
-	for r.lines.Scan() {
-		r.line++
-		if line := bytes.TrimSpace(r.lines.Bytes()); len(line) > 0 {
+// nextLine returns the next non-empty line, io.EOF at the end, or a *LineError.
+func (r *Reader) nextLine() ([]byte, error) {
+	for r.scanner.Scan() {
+		r.lineNumber++
+		if line := bytes.TrimSpace(r.scanner.Bytes()); len(line) > 0 {
 			return line, nil
 		}
 	}
-	if err := r.lines.Err(); err != nil {
-		return nil, &LineError{r.line + 1, err}
+	if err := r.scanner.Err(); err != nil {
+		return nil, &LineError{r.lineNumber + 1, err}
 	}
 	return nil, io.EOF
 }
 
-// decode reads one JSON value and refuses fields that the format does not have.
-func decode(line []byte, into any) error {
+// decode decodes one JSON value and rejects unknown fields and trailing data.
+func decode(line []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -10,108 +10,109 @@
 	"github.com/rotisserie/eris"
 )
 
-// bufferSize is how many records wait to be written: at 150 requests a second
-// the disk or pipe may stall for half a minute.
-const bufferSize = 4096
+// queueCapacity is the maximum number of records waiting to be written. At 150
+// requests per second the disk or pipe can stall for about half a minute.
+const queueCapacity = 4096
 
-// Recorder writes a trace beside the traffic. Record never blocks: while the
-// writer can't follow, records are dropped and counted, because a request must
-// not wait for its trace.
+// Recorder writes a trace while requests are served. Record never blocks, since
+// a request must not wait for its trace: if the writer can't keep up, records
+// are dropped and counted.
 type Recorder struct {
-	records chan Record
-	lost    atomic.Int64
-	total   atomic.Int64
-	failed  atomic.Bool
-	// unsure counts records since the last flush, which a writer that fails may
-	// not have written.
-	unsure  int
-	writer  *bufio.Writer
-	encoder *json.Encoder
+	queue chan Record
+	// unreportedDrops counts the dropped records not yet written to the trace.
+	unreportedDrops atomic.Int64
+	totalDrops      atomic.Int64
+	writerFailed    atomic.Bool
+	// unflushed counts the records encoded since the last flush, which are lost if
+	// the writer fails.
+	unflushed int
+	writer    *bufio.Writer
+	encoder   *json.Encoder
 }
 
-// NewRecorder returns a Recorder that writes to w while it is run.
+// NewRecorder returns a Recorder whose Run writes to w.
 func NewRecorder(w io.Writer) *Recorder {
 	buffered := bufio.NewWriter(w)
 	return &Recorder{
-		records: make(chan Record, bufferSize), writer: buffered, encoder: json.NewEncoder(buffered),
+		queue: make(chan Record, queueCapacity), writer: buffered, encoder: json.NewEncoder(buffered),
 	}
 }
 
-// Record hands a record to the writer, or drops and counts it. It may be
-// called from any goroutine.
+// Record queues a record for writing, or drops and counts it. It is safe for
+// concurrent use.
 func (r *Recorder) Record(record Record) {
 	select {
-	case r.records <- record:
-		// A writer that failed meanwhile left the queue before it saw this.
-		if r.failed.Load() {
-			r.discard()
+	case r.queue <- record:
+		// If the writer has failed, nothing will read this record from the queue.
+		if r.writerFailed.Load() {
+			r.dropQueued()
 		}
 	default:
-		r.drop()
+		r.countDrop()
 	}
 }
 
-func (r *Recorder) drop() {
-	r.lost.Add(1)
-	r.total.Add(1)
+func (r *Recorder) countDrop() {
+	r.unreportedDrops.Add(1)
+	r.totalDrops.Add(1)
 }
 
-// discard drops the records that wait, because nobody will write them.
-func (r *Recorder) discard() {
+// dropQueued drops the queued records after the writer has failed.
+func (r *Recorder) dropQueued() {
 	for {
 		select {
-		case <-r.records:
-			r.drop()
+		case <-r.queue:
+			r.countDrop()
 		default:
 			return
 		}
 	}
 }
 
-// Dropped returns how many records were dropped so far.
-func (r *Recorder) Dropped() int64 { return r.total.Load() }
+// Dropped returns the number of records dropped so far.
+func (r *Recorder) Dropped() int64 { return r.totalDrops.Load() }
 
-// Run writes the header and then records until ctx ends, and what waits then.
-// It returns the first error of the writer; from then on every record is
-// dropped and counted.
+// Run writes the header and then records until ctx ends, followed by those still
+// queued. It returns the first error of the writer; from then on every record
+// is dropped and counted.
 func (r *Recorder) Run(ctx context.Context, header Header) error {
-	err := r.run(ctx, header)
+	err := r.writeRecords(ctx, header)
 	if err != nil {
-		r.failed.Store(true)
-		r.lost.Add(int64(r.unsure))
-		r.total.Add(int64(r.unsure))
-		r.discard()
+		r.writerFailed.Store(true)
+		r.unreportedDrops.Add(int64(r.unflushed))
+		r.totalDrops.Add(int64(r.unflushed))
+		r.dropQueued()
 	}
 	return err
 }
 
-func (r *Recorder) run(ctx context.Context, header Header) error {
+func (r *Recorder) writeRecords(ctx context.Context, header Header) error {
 	header.Format, header.Version = Format, Version
-	if err := r.write(header); err != nil {
+	if err := r.encode(header); err != nil {
 		return err
 	}
 	for {
 		select {
-		case record := <-r.records:
+		case record := <-r.queue:
 			if err := r.writeRecord(record); err != nil {
 				return err
 			}
 		case <-ctx.Done():
-			return r.finish()
+			return r.writeQueued()
 		}
 	}
 }
 
-// finish writes the records that wait.
-func (r *Recorder) finish() error {
+// writeQueued writes the queued records and flushes.
+func (r *Recorder) writeQueued() error {
 	for {
 		select {
-		case record := <-r.records:
+		case record := <-r.queue:
 			if err := r.writeRecord(record); err != nil {
 				return err
 			}
 		default:
-			if err := r.writeLost(); err != nil {
+			if err := r.writeDropCount(); err != nil {
 				return err
 			}
 			return r.flush()
@@ -119,17 +120,18 @@
 	}
 }
 
-// writeRecord writes a record, and before it how many were lost. It flushes
-// when no other waits, so that a trace can be read while it is recorded.
+// writeRecord writes the number of records dropped since the last one, if any,
+// and then a record. It flushes if the queue is empty, so that a trace can be
+// read while it is recorded.
 func (r *Recorder) writeRecord(record Record) error {
-	if err := r.writeLost(); err != nil {
+	if err := r.writeDropCount(); err != nil {
 		return err
 	}
-	r.unsure++
-	if err := r.write(record); err != nil {
+	r.unflushed++
+	if err := r.encode(record); err != nil {
 		return err
 	}
-	if len(r.records) > 0 {
+	if len(r.queue) > 0 {
 		return nil
 	}
 	return r.flush()
@@ -139,19 +141,19 @@
 	if err := r.writer.Flush(); err != nil {
 		return eris.Wrap(err, "can't write the trace")
 	}
-	r.unsure = 0
+	r.unflushed = 0
 	return nil
 }
 
-func (r *Recorder) writeLost() error {
-	lost := r.lost.Swap(0)
-	if lost == 0 {
+func (r *Recorder) writeDropCount() error {
+	count := r.unreportedDrops.Swap(0)
+	if count == 0 {
 		return nil
 	}
-	return r.write(lostLine{Lost: int(lost)})
+	return r.encode(dropLine{Count: int(count)})
 }
 
-func (r *Recorder) write(value any) error {
+func (r *Recorder) encode(value any) error {
 	return eris.Wrap(r.encoder.Encode(value), "can't write the trace")
 }
 
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,10 +1,10 @@
-// Package trace records what callers asked of a router and what they got, and
-// reads it back.
+// Package trace records the requests that a router receives and their outcomes,
+// and reads such traces.
 //
-// A trace is JSON lines with names in kebab case: a header, then one record
-// for each request in the order in which they ended, and where records were
-// lost a line that says how many. It holds no bodies, keys or answers, so it
-// can be kept and shown.
+// A trace consists of JSON lines with field names in kebab case: a header, then
+// one record per request in the order in which the requests ended. Where records
+// were dropped, a line gives their number. A trace contains no bodies, keys or
+// answers, so that it can be kept and shared.
 package trace
 
 import (
@@ -15,7 +15,7 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// Format and Version name the format in a trace's header.
+// Format and Version identify the file format in the header of a trace.
 const (
 	Format  = "nutmeglock-trace"
 	Version = 1
@@ -25,11 +25,11 @@
 type Header struct {
 	Format  string `json:"format"`
 	Version int    `json:"version"`
-	// About says where the trace comes from.
+	// About describes the origin of the trace.
 	About string `json:"about,omitempty"`
-	// Synthetic is true when the trace was generated and not recorded.
+	// Synthetic is true if the trace was generated, not recorded.
 	Synthetic bool `json:"synthetic,omitempty"`
-	// Begun is the time that records count from.
+	// Begun is the time to which the times of records are relative.
 	Begun time.Time `json:"begun"`
 	// Fleet is the size of the fleet, for replay.
 	Fleet Fleet `json:"fleet"`
@@ -39,57 +39,56 @@
 type Fleet struct {
 	Name    string `json:"name,omitempty"`
 	Routers int    `json:"routers"`
-	// Models and Plain are how many upstreams served each kind of service.
+	// Models and Plain are the numbers of upstreams that served each kind of service.
 	Models int `json:"models"`
 	Plain  int `json:"plain"`
-	// DelayMicroseconds is one way between data centres.
+	// DelayMicroseconds is the one-way delay between data centres.
 	DelayMicroseconds int `json:"delay-us"`
 }
 
-// Answered is the outcome of a request that was answered whole. Any other
-// outcome is the reason of a refusal.
+// Answered is the outcome of a request that was answered completely. Any other
+// outcome is the reason for a refusal.
 const Answered = "answered"
 
-// Record is one request.
+// Record describes one request.
 type Record struct {
-	// At is when the request arrived, in milliseconds since the trace began.
+	// At is the arrival of the request, in milliseconds since Header.Begun.
 	At      int64           `json:"at-ms"`
 	Account fleet.AccountID `json:"account"`
 	Service fleet.ServiceID `json:"service"`
 	Kind    fleet.Kind      `json:"kind"`
-	// Router is the number of the router that the caller reached, from 0.
+	// Router is the index, from 0, of the router that received the request.
 	Router int `json:"router"`
-	// Input and Output are tokens of a model's request; Prefix names the
-	// beginning of its prompt, of PrefixTokens.
+	// Input and Output are the tokens of a request to a model. Prefix identifies
+	// the prefix of its prompt, which has PrefixTokens tokens.
 	Input        int    `json:"input-tokens,omitempty"`
 	Output       int    `json:"output-tokens,omitempty"`
 	Prefix       uint64 `json:"prefix,omitempty"`
 	PrefixTokens int    `json:"prefix-tokens,omitempty"`
-	// Run is how long a plain call ran at its upstream.
+	// Run is the time in milliseconds that a plain call ran at its upstream.
 	Run           int64 `json:"run-ms,omitempty"`
 	NonIdempotent bool  `json:"non-idempotent,omitempty"`
-	// Deadline is how long the caller was willing to wait.
+	// Deadline is the time in milliseconds that the caller was willing to wait.
 	Deadline int64 `json:"deadline-ms"`
-	// Outcome is answered, or the reason of the refusal; empty in a synthetic
-	// trace, which was never run.
+	// Outcome is Answered or the reason for the refusal. It is empty in a
+	// synthetic trace, which was never run.
 	Outcome string `json:"outcome,omitempty"`
-	// Queue, FirstToken and Total are times since the arrival.
+	// Queue, FirstToken and Total are times in milliseconds since the arrival.
 	Queue      int64 `json:"queue-ms,omitempty"`
 	FirstToken int64 `json:"first-token-ms,omitempty"`
 	Total      int64 `json:"total-ms,omitempty"`
 }
 
-// FieldError says which field of a record holds what it may not.
+// FieldError reports an invalid field of a header or record.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-// Error returns the field and what is wrong with it.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s %s", e.Field, e.Reason) }
 
-// Check returns a *FieldError for the first field that holds what it may not,
-// and nil when there is none.
+// Check returns a *FieldError for the first invalid field, or nil.
 func (r Record) Check() error {
 	switch {
 	case r.Account == "":
@@ -99,16 +98,16 @@
 	case r.Kind != fleet.Model && r.Kind != fleet.Plain:
 		return &FieldError{"kind", fmt.Sprintf("is %q; it has to be model or plain", r.Kind)}
 	case r.Kind == fleet.Model && r.Output < 1 && r.Outcome == Answered:
-		return &FieldError{"output-tokens", "is missing of an answered request"}
+		return &FieldError{"output-tokens", "is missing from an answered request"}
 	case r.Deadline < 1:
 		return &FieldError{"deadline-ms", "has to be at least 1"}
-	case !isOutcome(r.Outcome):
+	case !isValidOutcome(r.Outcome):
 		return &FieldError{"outcome", fmt.Sprintf("is %q, which is neither answered nor the reason of a refusal", r.Outcome)}
 	}
-	return r.checkNumbers()
+	return r.validateNumbers()
 }
 
-func (r Record) checkNumbers() error {
+func (r Record) validateNumbers() error {
 	numbers := []struct {
 		field string
 		value int64
@@ -131,7 +130,7 @@
 	return nil
 }
 
-func isOutcome(outcome string) bool {
+func isValidOutcome(outcome string) bool {
 	if outcome == "" || outcome == Answered {
 		return true
 	}
@@ -143,8 +142,8 @@
 	return false
 }
 
-// check returns an error for a header that this package can't read.
-func (h Header) check() error {
+// validate returns a *FieldError if the header is invalid or of an unsupported version.
+func (h Header) validate() error {
 	switch {
 	case h.Format != Format:
 		return &FieldError{"format", fmt.Sprintf("is %q; it has to be %q", h.Format, Format)}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -84,8 +84,8 @@
 	require.Zero(t, recorder.Dropped())
 }
 
-// The place that the trace goes to stalls. Were Record to wait for it, every
-// request of the router would stall with it.
+// The writer of the trace stalls. If Record waited for it, every request of the
+// router would stall, too.
 func TestRecordDoesNotWaitForTheWriter(t *testing.T) {
 	t.Parallel()
 	var buffer bytes.Buffer
@@ -107,15 +107,15 @@
 		count++
 	}
 	require.Equal(t, 4096, count)
-	require.Equal(t, 5000-4096, reader.Lost())
+	require.Equal(t, 5000-4096, reader.Dropped())
 }
 
 type brokenWriter struct{}
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// The place that the trace goes to is gone. Records that were taken and never
-// written would look as if there had been no requests.
+// The writer of the trace fails. Records that were queued but never written have
+// to be counted as dropped, or the trace would look as if there had been no requests.
 func TestRecorderReportsAWriterThatFails(t *testing.T) {
 	t.Parallel()
 	recorder := trace.NewRecorder(brokenWriter{})
