--- a/fairness/gap.go
+++ b/fairness/gap.go
@@ -1,31 +1,30 @@
-// Package fairness measures how far the service of client accounts drifts apart.
+// Package fairness measures the difference in service between client accounts.
 package fairness
 
-// Gap follows the service of accounts and finds the largest difference between
-// two of them over any interval in which both had work waiting. It is used by
-// one goroutine.
+// Gap measures the largest difference in service received by two accounts over
+// any interval in which both had work waiting. It is not safe for concurrent use.
 type Gap struct {
-	accounts int
-	pairs    []pair
-	widest   float64
-	a, b     int
+	accounts      int
+	pairs         []pairRange
+	widest        float64
+	first, second int
 }
 
-// pair is what was seen of two accounts since both have had work waiting. The
-// difference over an interval is that of its ends, so the largest one over any
-// interval is the range of the difference.
-type pair struct {
-	together    bool
-	least, most float64
+// pairRange is the range of the difference in service of two accounts since both
+// have had work waiting. The gap over an interval is the change of that difference
+// from its start to its end, so the largest gap over any interval is the range.
+type pairRange struct {
+	bothBacklogged   bool
+	minimum, maximum float64
 }
 
-// New returns a Gap between so many accounts, numbered from 0.
+// New returns a Gap for a number of accounts, which are numbered from 0.
 func New(accounts int) *Gap {
-	return &Gap{accounts: accounts, pairs: make([]pair, accounts*accounts)}
+	return &Gap{accounts: accounts, pairs: make([]pairRange, accounts*accounts)}
 }
 
-// Sample takes each account's service so far, per weight, and whether it has
-// work waiting.
+// Sample records each account's cumulative service divided by its weight, and
+// whether it has work waiting.
 func (g *Gap) Sample(services []float64, backlogged []bool) {
 	for i := range g.accounts {
 		for j := i + 1; j < g.accounts; j++ {
@@ -34,24 +33,24 @@
 	}
 }
 
-func (g *Gap) samplePair(i, j int, difference float64, together bool) {
+func (g *Gap) samplePair(i, j int, difference float64, bothBacklogged bool) {
 	p := &g.pairs[i*g.accounts+j]
-	if !together {
-		p.together = false
+	if !bothBacklogged {
+		p.bothBacklogged = false
 		return
 	}
-	if !p.together {
-		*p = pair{true, difference, difference}
+	if !p.bothBacklogged {
+		*p = pairRange{true, difference, difference}
 	}
-	p.least = min(p.least, difference)
-	p.most = max(p.most, difference)
-	if width := p.most - p.least; width > g.widest {
-		g.widest, g.a, g.b = width, i, j
+	p.minimum = min(p.minimum, difference)
+	p.maximum = max(p.maximum, difference)
+	if width := p.maximum - p.minimum; width > g.widest {
+		g.widest, g.first, g.second = width, i, j
 	}
 }
 
-// Widest returns the largest difference that was seen.
+// Widest returns the largest difference so far.
 func (g *Gap) Widest() float64 { return g.widest }
 
-// Accounts returns the two accounts that it was seen between.
-func (g *Gap) Accounts() (a, b int) { return g.a, g.b }
+// WidestPair returns the two accounts between which it occurred.
+func (g *Gap) WidestPair() (first, second int) { return g.first, g.second }
--- a/fairness/gap_test.go
+++ b/fairness/gap_test.go
@@ -13,12 +13,12 @@
 	gap := fairness.New(2)
 	both := []bool{true, true}
 	gap.Sample([]float64{100, 0}, both)
-	require.Zero(t, gap.Widest(), "what was received before both waited does not count")
+	require.Zero(t, gap.Widest(), "service received before both had work waiting does not count")
 	gap.Sample([]float64{110, 30}, both)
 	gap.Sample([]float64{150, 40}, both)
 	require.InDelta(t, 30, gap.Widest(), 0)
 
 	gap.Sample([]float64{900, 40}, []bool{true, false})
 	gap.Sample([]float64{905, 40}, both)
-	require.InDelta(t, 30, gap.Widest(), 0, "an account without work waiting is owed nothing")
+	require.InDelta(t, 30, gap.Widest(), 0, "an account without waiting work is not owed service")
 }
