--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity holds the benchmarks behind docs/CAPACITY.md: what each
-// role of a router costs by the number of accounts, upstreams and routers.
-// The rows are written by
+// Package capacity holds the benchmarks behind docs/CAPACITY.md: the cost of
+// each router role by the number of accounts, upstreams and routers. The figures
+// there are produced by
 //
 //	go test -run '^$' -bench . -benchtime 200ms ./capacity
 package capacity
