--- a/store/memory/bucket.go
+++ b/store/memory/bucket.go
@@ -6,9 +6,9 @@
 // worth. The zero value is unlimited.
 type tokenBucket struct {
 	// rate is the number of operations per second.
-	rate   float64
-	tokens float64
-	last   time.Time
+	rate      float64
+	tokens    float64
+	updatedAt time.Time
 }
 
 // take consumes one token and reports whether one was available.
@@ -16,12 +16,12 @@
 	if b.rate <= 0 {
 		return true
 	}
-	if b.last.IsZero() {
+	if b.updatedAt.IsZero() {
 		b.tokens = b.rate
 	} else {
-		b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.last).Seconds())
+		b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.updatedAt).Seconds())
 	}
-	b.last = now
+	b.updatedAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -47,8 +47,8 @@
 	table           table
 	objects         map[string][]byte
 	vms             lag.Value[[]store.VM]
-	reads           tokenBucket
-	writes          tokenBucket
+	readLimit       tokenBucket
+	writeLimit      tokenBucket
 	pendingWrites   int
 	operationCounts map[string]int
 	// historyStart is the commit after which changes are still available.
@@ -74,8 +74,8 @@
 func (p *Platform) SetLimits(reads, writes float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.reads = tokenBucket{rate: reads}
-	p.writes = tokenBucket{rate: writes}
+	p.readLimit = tokenBucket{rate: reads}
+	p.writeLimit = tokenBucket{rate: writes}
 }
 
 // SetVMs replaces the list of VMs. Readers see it after the lag, but the first
@@ -195,8 +195,8 @@
 // Read returns a consistent snapshot of the keys, an older one under a stale fault.
 func (p *Platform) Read(ctx context.Context, keys ...store.Key) ([]store.Row, error) {
 	var rows []store.Row
-	err := p.read(ctx, OperationRead, keyStrings(keys), func(at uint64) error {
-		rows = p.table.read(at, keys)
+	err := p.read(ctx, OperationRead, keyStrings(keys), func(commit uint64) error {
+		rows = p.table.read(commit, keys)
 		return nil
 	})
 	return rows, err
@@ -205,8 +205,8 @@
 // Scan returns the rows under a prefix in key order.
 func (p *Platform) Scan(ctx context.Context, prefix, after store.Key, limit int) ([]store.Row, error) {
 	var rows []store.Row
-	err := p.read(ctx, OperationScan, []string{string(prefix)}, func(at uint64) error {
-		rows = p.table.scan(at, prefix, after, limit)
+	err := p.read(ctx, OperationScan, []string{string(prefix)}, func(commit uint64) error {
+		rows = p.table.scan(commit, prefix, after, limit)
 		return nil
 	})
 	return rows, err
@@ -262,7 +262,7 @@
 }
 
 // read runs fn under the lock, passing the commit whose state to return.
-func (p *Platform) read(ctx context.Context, operation string, keys []string, fn func(at uint64) error) error {
+func (p *Platform) read(ctx context.Context, operation string, keys []string, fn func(commit uint64) error) error {
 	p.countOperation(operation)
 	f, faulty := p.Faults.Take(operation, keys...)
 	if faulty && f.Kind != fault.Stale {
@@ -276,7 +276,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if !p.reads.take(now) {
+	if !p.readLimit.take(now) {
 		return &store.UnavailableError{Operation: operation, Cause: ErrLimited}
 	}
 	if faulty && f.Kind == fault.Stale {
@@ -357,7 +357,7 @@
 func (p *Platform) applyWrite(operation string, apply func() error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.writes.take(p.clock.Now()) {
+	if !p.writeLimit.take(p.clock.Now()) {
 		return &store.UnavailableError{Operation: operation, Cause: ErrLimited}
 	}
 	return apply()
--- a/store/memory/stale_test.go
+++ b/store/memory/stale_test.go
@@ -22,28 +22,28 @@
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		p := memory.New(timer.NewFake(time.Unix(1, 0)))
-		copies := []map[store.Key]store.Row{{}}
+		snapshots := []map[store.Key]store.Row{{}}
 		for range rapid.IntRange(0, 20).Draw(r, "commits") {
-			copies = append(copies, commit(r, p, maps.Clone(copies[len(copies)-1]), len(copies)))
+			snapshots = append(snapshots, commit(r, p, maps.Clone(snapshots[len(snapshots)-1]), len(snapshots)))
 		}
-		behind := rapid.IntRange(0, len(copies)).Draw(r, "behind")
-		if behind > 0 {
-			p.Faults.Set(fault.Fault{Kind: fault.Stale, Commits: behind})
+		commitsBehind := rapid.IntRange(0, len(snapshots)).Draw(r, "behind")
+		if commitsBehind > 0 {
+			p.Faults.Set(fault.Fault{Kind: fault.Stale, Commits: commitsBehind})
 		}
-		expected := copies[max(0, len(copies)-1-behind)]
+		expected := snapshots[max(0, len(snapshots)-1-commitsBehind)]
 
 		after := key(rapid.IntRange(-1, 5).Draw(r, "after"))
 		limit := rapid.IntRange(0, 6).Draw(r, "limit")
 		rows, err := p.Scan(t.Context(), "k/", after, limit)
 
 		require.NoError(r, err)
-		wanted := []store.Row{}
+		expectedRows := []store.Row{}
 		for _, k := range slices.Sorted(maps.Keys(expected)) {
-			if k > after && len(wanted) < limit {
-				wanted = append(wanted, expected[k])
+			if k > after && len(expectedRows) < limit {
+				expectedRows = append(expectedRows, expected[k])
 			}
 		}
-		require.Equal(r, wanted, rows)
+		require.Equal(r, expectedRows, rows)
 		for i := range 5 {
 			rows, err := p.Read(t.Context(), key(i))
 			require.NoError(r, err)
--- a/store/memory/table.go
+++ b/store/memory/table.go
@@ -26,23 +26,23 @@
 }
 
 type rowValue struct {
-	commit  uint64
-	at      time.Time
-	data    []byte
-	removed bool
+	commit    uint64
+	writtenAt time.Time
+	data      []byte
+	removed   bool
 }
 
 type commitTime struct {
-	commit uint64
-	at     time.Time
+	commit      uint64
+	committedAt time.Time
 }
 
 // row returns a row as of the given commit.
-func (t *table) row(at uint64, key store.Key) store.Row {
+func (t *table) row(commit uint64, key store.Key) store.Row {
 	values := t.history[key]
 	for i := len(values) - 1; i >= 0; i-- {
 		v := values[i]
-		if v.commit > at {
+		if v.commit > commit {
 			continue
 		}
 		if v.removed {
@@ -53,22 +53,22 @@
 	return store.Row{Key: key}
 }
 
-func (t *table) read(at uint64, keys []store.Key) []store.Row {
+func (t *table) read(commit uint64, keys []store.Key) []store.Row {
 	rows := make([]store.Row, len(keys))
 	for i, key := range keys {
-		rows[i] = t.row(at, key)
+		rows[i] = t.row(commit, key)
 	}
 	return rows
 }
 
-func (t *table) scan(at uint64, prefix, after store.Key, limit int) []store.Row {
+func (t *table) scan(commit uint64, prefix, after store.Key, limit int) []store.Row {
 	rows := []store.Row{}
 	start, _ := slices.BinarySearch(t.keys, max(prefix, after))
 	for _, key := range t.keys[start:] {
 		if len(rows) >= limit || !keyHasPrefix(key, prefix) {
 			break
 		}
-		if row := t.row(at, key); key > after && row.Version != 0 {
+		if row := t.row(commit, key); key > after && row.Version != 0 {
 			rows = append(rows, row)
 		}
 	}
@@ -103,7 +103,7 @@
 		}
 	}
 	t.lastCommit++
-	t.commitTimes = append(t.commitTimes, commitTime{commit: t.lastCommit, at: now})
+	t.commitTimes = append(t.commitTimes, commitTime{commit: t.lastCommit, committedAt: now})
 	for _, write := range txn.Writes {
 		t.write(now, write)
 	}
@@ -123,13 +123,13 @@
 	}
 	values := dropExpired(t.history[write.Key], now)
 	t.history[write.Key] = append(values, rowValue{
-		commit: t.lastCommit, at: now, data: slices.Clone(write.Value), removed: write.Delete,
+		commit: t.lastCommit, writtenAt: now, data: slices.Clone(write.Value), removed: write.Delete,
 	})
 }
 
 // dropExpired drops the values that were replaced more than retention ago.
 func dropExpired(values []rowValue, now time.Time) []rowValue {
-	for len(values) > 1 && now.Sub(values[1].at) > retention {
+	for len(values) > 1 && now.Sub(values[1].writtenAt) > retention {
 		values = values[1:]
 	}
 	return values
@@ -140,13 +140,13 @@
 	t.keys = slices.DeleteFunc(t.keys, func(key store.Key) bool {
 		values := t.history[key]
 		last := values[len(values)-1]
-		if !last.removed || now.Sub(last.at) <= retention {
+		if !last.removed || now.Sub(last.writtenAt) <= retention {
 			return false
 		}
 		delete(t.history, key)
 		return true
 	})
-	for len(t.commitTimes) > 1 && now.Sub(t.commitTimes[1].at) > retention {
+	for len(t.commitTimes) > 1 && now.Sub(t.commitTimes[1].committedAt) > retention {
 		t.commitTimes = t.commitTimes[1:]
 	}
 }
@@ -162,7 +162,7 @@
 	}
 	seen := uint64(0)
 	for _, c := range t.commitTimes {
-		if now.Sub(c.at) >= f.Delay() {
+		if now.Sub(c.committedAt) >= f.Delay() {
 			seen = c.commit
 		}
 	}
