--- a/store/memory/bucket.go
+++ b/store/memory/bucket.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// bucket is a token bucket that holds one second's worth of operations. Its
-// zero value has no bound.
-type bucket struct {
-	rate   float64
-	tokens float64
-	last   time.Time
+// tokenBucket limits the rate of operations and allows a burst of one second's
+// worth. The zero value is unlimited.
+type tokenBucket struct {
+	// rate is the number of operations per second.
+	rate      float64
+	tokens    float64
+	updatedAt time.Time
 }
 
-// take uses one operation up and reports whether there was one.
-func (b *bucket) take(now time.Time) bool {
+// take consumes one token and reports whether one was available.
+func (b *tokenBucket) take(now time.Time) bool {
 	if b.rate <= 0 {
 		return true
 	}
-	if b.last.IsZero() {
+	if b.updatedAt.IsZero() {
 		b.tokens = b.rate
 	} else {
-		b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.last).Seconds())
+		b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.updatedAt).Seconds())
 	}
-	b.last = now
+	b.updatedAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/store/memory/stale_test.go
+++ b/store/memory/stale_test.go
@@ -16,34 +16,34 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Reads and scans, stale by any number of commits, agree with copies of the
-// whole table that were kept after each commit.
+// Compares reads and scans that are stale by any number of commits with a copy
+// of the whole table taken after each commit.
 func TestStaleReadsAgreeWithKeptCopies(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		p := memory.New(timer.NewFake(time.Unix(1, 0)))
-		copies := []map[store.Key]store.Row{{}}
+		snapshots := []map[store.Key]store.Row{{}}
 		for range rapid.IntRange(0, 20).Draw(r, "commits") {
-			copies = append(copies, commit(r, p, maps.Clone(copies[len(copies)-1]), len(copies)))
+			snapshots = append(snapshots, commit(r, p, maps.Clone(snapshots[len(snapshots)-1]), len(snapshots)))
 		}
-		behind := rapid.IntRange(0, len(copies)).Draw(r, "behind")
-		if behind > 0 {
-			p.Faults.Set(fault.Fault{Kind: fault.Stale, Commits: behind})
+		commitsBehind := rapid.IntRange(0, len(snapshots)).Draw(r, "behind")
+		if commitsBehind > 0 {
+			p.Faults.Set(fault.Fault{Kind: fault.Stale, Commits: commitsBehind})
 		}
-		expected := copies[max(0, len(copies)-1-behind)]
+		expected := snapshots[max(0, len(snapshots)-1-commitsBehind)]
 
 		after := key(rapid.IntRange(-1, 5).Draw(r, "after"))
 		limit := rapid.IntRange(0, 6).Draw(r, "limit")
 		rows, err := p.Scan(t.Context(), "k/", after, limit)
 
 		require.NoError(r, err)
-		wanted := []store.Row{}
+		expectedRows := []store.Row{}
 		for _, k := range slices.Sorted(maps.Keys(expected)) {
-			if k > after && len(wanted) < limit {
-				wanted = append(wanted, expected[k])
+			if k > after && len(expectedRows) < limit {
+				expectedRows = append(expectedRows, expected[k])
 			}
 		}
-		require.Equal(r, wanted, rows)
+		require.Equal(r, expectedRows, rows)
 		for i := range 5 {
 			rows, err := p.Read(t.Context(), key(i))
 			require.NoError(r, err)
@@ -55,7 +55,7 @@
 
 func key(i int) store.Key { return store.Key(fmt.Sprintf("k/%d", i)) }
 
-// commit makes one transaction of some writes and applies it to state, too.
+// commit commits a random transaction and returns state with its writes applied.
 func commit(r *rapid.T, p *memory.Platform, state map[store.Key]store.Row, number int) map[store.Key]store.Row {
 	txn := store.Txn{Writes: []store.Write{{Key: "other", Value: []byte("x")}}}
 	for i := range 5 {
