--- a/router/answer.go
+++ b/router/answer.go
@@ -16,23 +16,24 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// handleError gives the caller a refusal for whatever a handler returned, and
-// counts it. It is the only place that does either.
+// handleError turns a handler's error into a refusal, counts and logs it, and
+// sends it to the caller. Nothing else sends or counts refusals.
 func (r *Router) handleError(err error, c echo.Context) {
 	refused := asRefusal(err)
 	r.Metrics.Refusals.WithLabelValues(string(refused.Reason)).Inc()
-	r.log(c, refused)
-	r.report(c, refused.Reason)
+	r.logRefusal(c, refused)
+	r.reportRefusal(c, refused.Reason)
 	if !c.Response().Committed {
 		writeRefusal(c, refused)
 		return
 	}
-	// An answer that broke off would look whole if its connection were closed
-	// in order: a caller would take half a finding for all of it. Aborting the
-	// handler cuts the connection, so that every HTTP client reports an error.
+	// A truncated response would look complete if its connection were closed
+	// cleanly. Aborting the handler breaks the connection, so that every HTTP
+	// client reports an error.
 	panic(http.ErrAbortHandler)
 }
 
+// asRefusal returns the refusal for an error of a handler or of echo.
 func asRefusal(err error) *refusal.Error {
 	var refused *refusal.Error
 	if errors.As(err, &refused) {
@@ -42,20 +43,20 @@
 	if errors.As(err, &broken) {
 		return &refusal.Error{
 			Reason: refusal.UpstreamFailed, Outcome: broken.Outcome,
-			Detail: "the answer broke off", Cause: err,
+			Detail: "the response was cut off", Cause: err,
 		}
 	}
 	var web *echo.HTTPError
 	if errors.As(err, &web) && web.Code < http.StatusInternalServerError {
 		return &refusal.Error{
 			Reason: refusal.BadRequest, Outcome: refusal.NotRun,
-			Detail: "there is no such path or method here", Cause: err,
+			Detail: "no such path or method", Cause: err,
 		}
 	}
-	// The outcome is unknown, because nobody can say how far the request had come.
+	// The outcome is unknown: the request may have reached an upstream.
 	return &refusal.Error{
 		Reason: refusal.Internal, Outcome: refusal.Unknown,
-		Detail: "the router failed", Cause: err,
+		Detail: "internal router error", Cause: err,
 	}
 }
 
@@ -72,18 +73,19 @@
 		text = []byte(`{"error":{"outcome":"outcome-unknown","reason":"internal"}}`)
 	}
 	if refused.RetryAfter > 0 {
-		c.Response().Header().Set(echo.HeaderRetryAfter, wholeSeconds(refused.RetryAfter))
+		c.Response().Header().Set(echo.HeaderRetryAfter, ceilSeconds(refused.RetryAfter))
 	}
-	// A caller that is gone can't be told.
+	// The error is ignored: the caller has disconnected.
 	_ = c.Blob(refused.Reason.Status(), echo.MIMEApplicationJSON, text)
 }
 
-// wholeSeconds rounds up, so that nobody comes back too early.
-func wholeSeconds(d time.Duration) string {
+// ceilSeconds formats d in whole seconds for Retry-After, rounded up so that
+// callers do not retry too early.
+func ceilSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-func (r *Router) log(c echo.Context, refused *refusal.Error) {
+func (r *Router) logRefusal(c echo.Context, refused *refusal.Error) {
 	level := slog.LevelInfo
 	if refused.Reason == refusal.Internal {
 		level = slog.LevelError
@@ -94,7 +96,7 @@
 		slog.String("outcome", string(refused.Outcome)),
 		slog.String("detail", refused.Detail),
 	}
-	if id, ok := c.Get(accountKey).(string); ok {
+	if id, ok := c.Get(contextAccount).(string); ok {
 		attrs = append(attrs, slog.String("account", id))
 	}
 	if refused.Cause != nil {
--- a/router/body.go
+++ b/router/body.go
@@ -11,19 +11,18 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// readBody returns the whole request body. It has to be whole before the
-// request may wait: a caller that sends slowly would hold a slot at an
-// upstream that others wait for, and one that breaks off in the middle would
-// leave half a request there.
+// readBody reads the whole request body before the request is queued. A slow
+// sender would otherwise occupy an upstream slot, and a broken connection would
+// leave a partial request at the upstream.
 func (r *Router) readBody(w http.ResponseWriter, req *http.Request) ([]byte, *refusal.Error) {
 	control := http.NewResponseController(w)
-	// A writer without deadlines is one of a test; it has no slow callers.
+	// Only response writers of tests do not support deadlines.
 	_ = control.SetReadDeadline(time.Now().Add(r.Limits.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, r.Limits.BodyBytes))
 	if err != nil {
-		// The deadline stays: net/http reads the rest of a body before it sends
-		// the answer. Without a deadline it would wait for the slow caller, who
-		// would wait for the refusal.
+		// The deadline stays set: net/http reads the rest of the body before it
+		// sends the response. Without a deadline it would wait for a slow caller
+		// that itself waits for the refusal.
 		w.Header().Set("Connection", "close")
 		return nil, r.bodyRefusal(err)
 	}
@@ -31,6 +30,7 @@
 	return body, nil
 }
 
+// bodyRefusal returns the refusal for an error of reading the body.
 func (r *Router) bodyRefusal(err error) *refusal.Error {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -41,7 +41,7 @@
 	default:
 		return &refusal.Error{
 			Reason: refusal.BadRequest, Outcome: refusal.NotRun,
-			Detail: "the body broke off", Cause: err,
+			Detail: "the body was cut off", Cause: err,
 		}
 	}
 }
--- a/router/caller.go
+++ b/router/caller.go
@@ -17,34 +17,34 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Headers between callers and routers.
+// HTTP headers between callers and routers.
 const (
-	HeaderRequestID     = "nutmeglock-request-id"
-	HeaderTimeout       = "nutmeglock-timeout-ms"
-	HeaderNonIdempotent = "nutmeglock-non-idempotent"
-	HeaderIdempotency   = "Idempotency-Key"
+	HeaderRequestID      = "nutmeglock-request-id"
+	HeaderTimeout        = "nutmeglock-timeout-ms"
+	HeaderNonIdempotent  = "nutmeglock-non-idempotent"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	requestIDBytes   = 16
-	requestIDKey     = "request-id"
-	maxKeyLength     = 128
-	bearer           = "Bearer "
-	firstPrintable   = ' '
-	lastPrintable    = '~'
-	decimal          = 10
-	timeoutBits      = 32
-	minDeadlineAhead = time.Millisecond
+	requestIDBytes         = 16
+	contextRequestID       = "request-id"
+	maxIdempotencyKeyBytes = 128
+	bearerPrefix           = "Bearer "
+	firstPrintable         = ' '
+	lastPrintable          = '~'
+	decimal                = 10
+	timeoutBits            = 32
+	minTimeout             = time.Millisecond
 )
 
-// identify gives each request an id of its own, which also names it at the
-// upstream. A caller can't choose it: two requests of one id could be taken
-// for one there.
-func (r *Router) identify(next echo.HandlerFunc) echo.HandlerFunc {
+// assignRequestID gives each request a unique id, which is also sent to the
+// upstream. Callers can't choose it, because the upstream could mistake two
+// requests with the same id for one.
+func (r *Router) assignRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := newRequestID()
-		c.Set(requestIDKey, id)
-		c.Set(arrivedKey, r.Timer.Now())
+		c.Set(contextRequestID, id)
+		c.Set(contextArrival, r.Timer.Now())
 		c.Response().Header().Set(HeaderRequestID, string(id))
 		return next(c)
 	}
@@ -52,20 +52,20 @@
 
 func newRequestID() fleet.RequestID {
 	var raw [requestIDBytes]byte
-	_, _ = rand.Read(raw[:]) // crypto/rand.Read never fails; it ends the process instead.
+	_, _ = rand.Read(raw[:]) // crypto/rand.Read ends the process rather than fail.
 	return fleet.RequestID(hex.EncodeToString(raw[:]))
 }
 
 func requestID(c echo.Context) fleet.RequestID {
-	id, _ := c.Get(requestIDKey).(fleet.RequestID)
+	id, _ := c.Get(contextRequestID).(fleet.RequestID)
 	return id
 }
 
-// account returns the client account whose key the request presents.
-func (r *Router) account(req *http.Request) (*schema.Account, *refusal.Error) {
-	key, found := strings.CutPrefix(req.Header.Get(echo.HeaderAuthorization), bearer)
+// authenticate returns the client account of the request's bearer key.
+func (r *Router) authenticate(req *http.Request) (*schema.Account, *refusal.Error) {
+	key, found := strings.CutPrefix(req.Header.Get(echo.HeaderAuthorization), bearerPrefix)
 	if !found || key == "" {
-		return nil, refusal.New(refusal.UnknownAccount, "the Authorization header holds no bearer key", 0)
+		return nil, refusal.New(refusal.UnknownAccount, "the Authorization header has no bearer key", 0)
 	}
 	account := r.Notes.Current().AccountByKey(key)
 	if account == nil {
@@ -74,13 +74,14 @@
 	return account, nil
 }
 
-// service returns a service that the account may call.
-func (r *Router) service(c echo.Context, account *schema.Account, id fleet.ServiceID, kind fleet.Kind) (*schema.Service, *refusal.Error) {
+// authorisedService returns the service with the id if it is of the kind and
+// the account may call it.
+func (r *Router) authorisedService(c echo.Context, account *schema.Account, id fleet.ServiceID, kind fleet.Kind) (*schema.Service, *refusal.Error) {
 	service := r.Notes.Current().Service(id)
 	if service == nil || fleet.Kind(service.GetKind()) != kind {
-		return nil, refusal.New(refusal.UnknownService, fmt.Sprintf("there is no %s %q", describe(kind), id), 0)
+		return nil, refusal.New(refusal.UnknownService, fmt.Sprintf("there is no %s %q", kindName(kind), id), 0)
 	}
-	c.Set(serviceKey, service.GetId())
+	c.Set(contextService, service.GetId())
 	allowed := account.GetServices()
 	if len(allowed) > 0 && !slices.Contains(allowed, service.GetId()) {
 		return nil, refusal.New(refusal.ServiceNotAllowed, fmt.Sprintf("this client account may not call %q", id), 0)
@@ -88,16 +89,17 @@
 	return service, nil
 }
 
-// describe returns what a refusal calls a service of the kind.
-func describe(kind fleet.Kind) string {
+// kindName returns the name of the kind for refusals.
+func kindName(kind fleet.Kind) string {
 	if kind == fleet.Model {
 		return "model"
 	}
 	return "plain service"
 }
 
-// deadline returns when the caller gives up.
-func (r *Router) deadline(req *http.Request) (time.Time, *refusal.Error) {
+// parseDeadline returns the deadline from the caller's timeout header, or the
+// default deadline.
+func (r *Router) parseDeadline(req *http.Request) (time.Time, *refusal.Error) {
 	now := r.Timer.Now()
 	text := req.Header.Get(HeaderTimeout)
 	if text == "" {
@@ -105,24 +107,24 @@
 	}
 	ms, err := strconv.ParseUint(text, decimal, timeoutBits)
 	wait := time.Duration(ms) * time.Millisecond
-	if err != nil || wait < minDeadlineAhead || wait > r.Limits.MaxDeadline {
-		detail := fmt.Sprintf("%s is %q; allowed is a whole number of milliseconds from 1 to %d",
+	if err != nil || wait < minTimeout || wait > r.Limits.MaxDeadline {
+		detail := fmt.Sprintf("%s is %q; it must be a whole number of milliseconds from 1 to %d",
 			HeaderTimeout, text, r.Limits.MaxDeadline.Milliseconds())
 		return time.Time{}, refusal.New(refusal.BadRequest, detail, 0)
 	}
 	return now.Add(wait), nil
 }
 
-// idempotencyKey returns the caller's key, empty when it gave none.
+// idempotencyKey returns the request's idempotency key, or "" if it has none.
 func idempotencyKey(req *http.Request) (string, *refusal.Error) {
-	key := req.Header.Get(HeaderIdempotency)
-	if len(key) > maxKeyLength {
-		detail := fmt.Sprintf("%s has %d characters; allowed are at most %d", HeaderIdempotency, len(key), maxKeyLength)
+	key := req.Header.Get(HeaderIdempotencyKey)
+	if len(key) > maxIdempotencyKeyBytes {
+		detail := fmt.Sprintf("%s has %d characters; at most %d are allowed", HeaderIdempotencyKey, len(key), maxIdempotencyKeyBytes)
 		return "", refusal.New(refusal.BadRequest, detail, 0)
 	}
 	for _, char := range key {
 		if char < firstPrintable || char > lastPrintable {
-			return "", refusal.New(refusal.BadRequest, HeaderIdempotency+" holds a character that is not printable ASCII", 0)
+			return "", refusal.New(refusal.BadRequest, HeaderIdempotencyKey+" contains a character that is not printable ASCII", 0)
 		}
 	}
 	return key, nil
--- a/router/chat.go
+++ b/router/chat.go
@@ -11,8 +11,8 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// chatRequest is the part of a chat-completions request that the router
-// looks at. The body goes to the upstream unchanged.
+// chatRequest holds the fields of a chat-completions request that the router
+// reads. The body is forwarded unchanged.
 type chatRequest struct {
 	Model               string          `json:"model"`
 	MaxTokens           int             `json:"max_tokens"`
@@ -20,43 +20,45 @@
 	Messages            json.RawMessage `json:"messages"`
 }
 
-// chat serves one chat completion, whole or as a stream.
-func (r *Router) chat(c echo.Context) error {
-	in, refused := r.accept(c)
+// handleChat serves a chat completion, streamed or not.
+func (r *Router) handleChat(c echo.Context) error {
+	in, refused := r.readRequest(c)
 	if refused != nil {
 		return refused
 	}
 	var chat chatRequest
 	if err := json.Unmarshal(in.body, &chat); err != nil {
-		return refusal.New(refusal.BadRequest, "the body is no chat-completions JSON: "+err.Error(), 0)
+		return refusal.New(refusal.BadRequest, "the body is not a valid chat-completions request: "+err.Error(), 0)
 	}
-	if refused := chat.check(); refused != nil {
+	if refused := chat.validate(); refused != nil {
 		return refused
 	}
-	service, refused := r.service(c, in.account, fleet.ServiceID(chat.Model), fleet.Model)
+	service, refused := r.authorisedService(c, in.account, fleet.ServiceID(chat.Model), fleet.Model)
 	if refused != nil {
 		return refused
 	}
-	request := in.request(c, service)
+	request := in.callRequest(c, service)
 	request.Idempotent = c.Request().Header.Get(HeaderNonIdempotent) != "true"
-	request.Prefix = prefixBlocks(chat.Messages)
-	request.Estimate = r.Estimator.Model(in.account, service, len(in.body), chat.maxTokens())
-	return r.run(c, request)
+	request.Prefix = prefixHashes(chat.Messages)
+	request.Estimate = r.Estimator.Model(in.account, service, len(in.body), chat.maxOutputTokens())
+	return r.passToRunner(c, request)
 }
 
-func (q chatRequest) check() *refusal.Error {
+// validate returns a refusal if a required field is missing or out of range.
+func (q chatRequest) validate() *refusal.Error {
 	switch {
 	case q.Model == "":
-		return refusal.New(refusal.BadRequest, "the body names no model", 0)
+		return refusal.New(refusal.BadRequest, "the body has no model", 0)
 	case len(q.Messages) == 0 || q.Messages[0] != '[':
-		return refusal.New(refusal.BadRequest, "the body has no list of messages", 0)
-	case q.maxTokens() < 0:
-		return refusal.New(refusal.BadRequest, fmt.Sprintf("max_tokens is %d; allowed is 0 and more", q.maxTokens()), 0)
+		return refusal.New(refusal.BadRequest, "the body has no messages array", 0)
+	case q.maxOutputTokens() < 0:
+		return refusal.New(refusal.BadRequest, fmt.Sprintf("max_tokens is %d; it must not be negative", q.maxOutputTokens()), 0)
 	}
 	return nil
 }
 
-func (q chatRequest) maxTokens() int {
+// maxOutputTokens prefers max_completion_tokens, which replaces max_tokens.
+func (q chatRequest) maxOutputTokens() int {
 	if q.MaxCompletionTokens != 0 {
 		return q.MaxCompletionTokens
 	}
@@ -64,22 +66,23 @@
 }
 
 const (
-	// prefixBlockBytes is about 256 tokens, several blocks of a usual KV cache.
+	// prefixBlockBytes is the size of a hashed block: about 256 tokens, or
+	// several blocks of a typical KV cache.
 	prefixBlockBytes = 1024
-	// maxPrefixBlocks bounds the work for a long prompt; the first 16 KiB tell
-	// prompts of different applications apart.
+	// maxPrefixBlocks limits hashing of long prompts; the first 16 KiB are
+	// enough to distinguish the prompts of different applications.
 	maxPrefixBlocks = 16
 )
 
-// prefixBlocks returns a hash for each whole block at the beginning of the
-// messages, each over all that comes before it.
-func prefixBlocks(messages []byte) []uint64 {
-	count := min(len(messages)/prefixBlockBytes, maxPrefixBlocks)
-	blocks := make([]uint64, 0, count)
+// prefixHashes returns one hash for each complete block at the start of the
+// messages. Each hash covers its block and all blocks before it.
+func prefixHashes(messages []byte) []uint64 {
+	blockCount := min(len(messages)/prefixBlockBytes, maxPrefixBlocks)
+	hashes := make([]uint64, 0, blockCount)
 	digest := xxhash.New()
-	for i := range count {
-		_, _ = digest.Write(messages[i*prefixBlockBytes : (i+1)*prefixBlockBytes]) // A Digest never fails.
-		blocks = append(blocks, digest.Sum64())
+	for i := range blockCount {
+		_, _ = digest.Write(messages[i*prefixBlockBytes : (i+1)*prefixBlockBytes]) // Digest.Write never returns an error.
+		hashes = append(hashes, digest.Sum64())
 	}
-	return blocks
+	return hashes
 }
--- a/router/count.go
+++ b/router/count.go
@@ -7,27 +7,28 @@
 	"github.com/labstack/echo/v4"
 )
 
-// serviceKey holds the id of the service that a request was checked against.
-const serviceKey = "service"
+// contextService is the echo context key of the requested service's id.
+const contextService = "service"
 
-// count counts every answer by service and status class. A name that no
-// release note holds is not counted by itself, or callers could fill the
-// router's memory with made-up ones.
-func (r *Router) count(next echo.HandlerFunc) echo.HandlerFunc {
+// countRequests counts responses by service and status class. Unknown services
+// share the empty label; otherwise callers could exhaust the router's memory
+// with invented names.
+func (r *Router) countRequests(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		err := next(c)
-		service, _ := c.Get(serviceKey).(string)
-		r.Metrics.Requests.WithLabelValues(service, class(status(c, err))).Inc()
+		service, _ := c.Get(contextService).(string)
+		r.Metrics.Requests.WithLabelValues(service, statusClass(responseStatus(c, err))).Inc()
 		return err
 	}
 }
 
-func status(c echo.Context, err error) int {
+// responseStatus returns the HTTP status that the caller gets.
+func responseStatus(c echo.Context, err error) int {
 	if err == nil || c.Response().Committed {
 		return c.Response().Status
 	}
 	return asRefusal(err).Reason.Status()
 }
 
-// class returns a status as 2xx, 4xx and so on.
-func class(status int) string { return fmt.Sprintf("%dxx", status/http.StatusContinue) }
+// statusClass returns the class of an HTTP status, such as 2xx or 4xx.
+func statusClass(status int) string { return fmt.Sprintf("%dxx", status/http.StatusContinue) }
--- a/router/estimator.go
+++ b/router/estimator.go
@@ -5,9 +5,9 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Estimator guesses what a request will cost before it runs.
+// Estimator predicts the cost of a request before it runs.
 type Estimator interface {
-	// Model returns the expected cost of a chat completion with a body of
-	// bodyBytes and a caller's bound of maxTokens output tokens, zero for none.
+	// Model returns the expected cost of a chat completion whose body has
+	// bodyBytes and whose output is limited to maxTokens; zero means no limit.
 	Model(account *schema.Account, service *schema.Service, bodyBytes, maxTokens int) fleet.Tokens
 }
--- a/router/intake.go
+++ b/router/intake.go
@@ -16,41 +16,43 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-const accountKey = "account"
+// contextAccount is the echo context key of the client account's id.
+const contextAccount = "account"
 
-// intake is what every kind of request has in common once it was read.
-type intake struct {
-	account  *schema.Account
-	key      string
-	deadline time.Time
-	body     []byte
+// parsedRequest holds the parts that chat completions and plain calls share.
+type parsedRequest struct {
+	account        *schema.Account
+	idempotencyKey string
+	deadline       time.Time
+	body           []byte
 }
 
-// accept reads a request whole and checks what does not depend on its kind.
-func (r *Router) accept(c echo.Context) (intake, *refusal.Error) {
+// readRequest authenticates the caller and reads the deadline, the idempotency
+// key and the whole body.
+func (r *Router) readRequest(c echo.Context) (parsedRequest, *refusal.Error) {
 	req := c.Request()
-	account, refused := r.account(req)
+	account, refused := r.authenticate(req)
 	if refused != nil {
-		return intake{}, refused
+		return parsedRequest{}, refused
 	}
-	c.Set(accountKey, account.GetId())
-	deadline, refused := r.deadline(req)
+	c.Set(contextAccount, account.GetId())
+	deadline, refused := r.parseDeadline(req)
 	if refused != nil {
-		return intake{}, refused
+		return parsedRequest{}, refused
 	}
 	key, refused := idempotencyKey(req)
 	if refused != nil {
-		return intake{}, refused
+		return parsedRequest{}, refused
 	}
 	body, refused := r.readBody(c.Response(), req)
 	if refused != nil {
-		return intake{}, refused
+		return parsedRequest{}, refused
 	}
-	return intake{account: account, key: key, deadline: deadline, body: body}, nil
+	return parsedRequest{account: account, idempotencyKey: key, deadline: deadline, body: body}, nil
 }
 
-// request returns the call that an intake asks of a service.
-func (in intake) request(c echo.Context, service *schema.Service) call.Request {
+// callRequest returns the request to run at the service.
+func (in parsedRequest) callRequest(c echo.Context, service *schema.Service) call.Request {
 	req := c.Request()
 	return call.Request{
 		ID:       requestID(c),
@@ -58,18 +60,18 @@
 		Service:  service,
 		Method:   req.Method,
 		Path:     req.URL.RequestURI(),
-		Header:   forwarded(req.Header),
+		Header:   forwardedHeader(req.Header),
 		Body:     in.body,
-		Key:      in.key,
+		Key:      in.idempotencyKey,
 		Deadline: in.deadline,
 	}
 }
 
-// forwarded returns the headers that an upstream gets. The account key stays
-// here: an upstream that leaks its log would leak it too.
-func forwarded(header http.Header) http.Header {
+// forwardedHeader returns the header to send to the upstream. It omits the
+// account key, which could otherwise leak through an upstream's log.
+func forwardedHeader(header http.Header) http.Header {
 	out := header.Clone()
-	for _, name := range hopByHop {
+	for _, name := range notForwarded {
 		out.Del(name)
 	}
 	for _, name := range strings.Split(header.Get(echo.HeaderConnection), ",") {
@@ -78,39 +80,39 @@
 	return out
 }
 
-// hopByHop holds the headers of RFC 9110, section 7.6.1, that belong to one
-// connection only, and those that are between the caller and the router.
-var hopByHop = []string{
+// notForwarded lists the hop-by-hop headers of RFC 9110, section 7.6.1, and the
+// headers meant only for the router.
+var notForwarded = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Proxy-Authorization", "Authorization", "Content-Length", "Accept-Encoding",
 	HeaderTimeout, HeaderNonIdempotent,
 }
 
-// run hands an accepted request on and returns what became of it.
-func (r *Router) run(c echo.Context, request call.Request) error {
-	c.Set(handedOnKey, true)
+// passToRunner runs a validated request. From here on the Runner reports its end.
+func (r *Router) passToRunner(c echo.Context, request call.Request) error {
+	c.Set(contextPassedToRunner, true)
 	return r.Runner.Run(c.Request().Context(), c.Response(), request)
 }
 
-// plain passes a call on to a plain service.
-func (r *Router) plain(c echo.Context) error {
-	in, refused := r.accept(c)
+// handlePlainCall serves a call to a plain service.
+func (r *Router) handlePlainCall(c echo.Context) error {
+	in, refused := r.readRequest(c)
 	if refused != nil {
 		return refused
 	}
-	service, refused := r.service(c, in.account, fleet.ServiceID(c.Param("service")), fleet.Plain)
+	service, refused := r.authorisedService(c, in.account, fleet.ServiceID(c.Param("service")), fleet.Plain)
 	if refused != nil {
 		return refused
 	}
-	request := in.request(c, service)
+	request := in.callRequest(c, service)
 	request.Path = plainPath(c)
-	request.Idempotent = idempotent(c.Request(), service)
+	request.Idempotent = isIdempotent(c.Request(), service)
 	request.Estimate = estimate.Call(service.GetCallCost())
-	return r.run(c, request)
+	return r.passToRunner(c, request)
 }
 
-// plainPath returns the path and query below the service's name, in the
-// caller's own spelling.
+// plainPath returns the path and query below the service's name, with the
+// caller's escaping unchanged.
 func plainPath(c echo.Context) string {
 	prefix := fmt.Sprintf("/v1/services/%s", c.Param("service"))
 	path := strings.TrimPrefix(c.Request().URL.RequestURI(), prefix)
@@ -120,18 +122,18 @@
 	return path
 }
 
-// idempotent reports whether a second run of the call does no harm. A service
-// that lists methods is taken at its word; else the definition of HTTP holds
-// (RFC 9110, section 9.2.2). The caller's mark goes before both.
-func idempotent(req *http.Request, service *schema.Service) bool {
+// isIdempotent reports whether the call may safely run twice. The caller's
+// non-idempotent header takes precedence, then the service's list of methods,
+// then the HTTP definition (RFC 9110, section 9.2.2).
+func isIdempotent(req *http.Request, service *schema.Service) bool {
 	if req.Header.Get(HeaderNonIdempotent) == "true" {
 		return false
 	}
 	methods := service.GetNonIdempotentMethods()
 	if len(methods) == 0 {
-		methods = nonIdempotentByDefault
+		methods = defaultNonIdempotentMethods
 	}
 	return !slices.Contains(methods, req.Method)
 }
 
-var nonIdempotentByDefault = []string{http.MethodPost, http.MethodPatch}
+var defaultNonIdempotentMethods = []string{http.MethodPost, http.MethodPatch}
--- a/router/report.go
+++ b/router/report.go
@@ -12,25 +12,27 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
+// Echo context keys.
 const (
-	arrivedKey = "arrived"
-	// handedOnKey marks a request whose end the Runner reports.
-	handedOnKey = "handed-on"
+	// contextArrival holds the time at which the request arrived.
+	contextArrival = "arrived"
+	// contextPassedToRunner marks a request whose end the Runner reports.
+	contextPassedToRunner = "handed-on"
 )
 
-// report tells the observers of a request that was refused here. One whose
-// client account or service is not known is left out: nobody could be named.
-func (r *Router) report(c echo.Context, reason refusal.Reason) {
+// reportRefusal reports a request that the router refused before it ran. It
+// omits requests of unknown client accounts or for unknown services.
+func (r *Router) reportRefusal(c echo.Context, reason refusal.Reason) {
 	view := r.Notes.Current()
-	if view == nil || c.Get(handedOnKey) != nil {
+	if view == nil || c.Get(contextPassedToRunner) != nil {
 		return
 	}
-	account, refused := r.account(c.Request())
-	service := knownService(c, view)
+	account, refused := r.authenticate(c.Request())
+	service := requestedService(c, view)
 	if refused != nil || service == nil {
 		return
 	}
-	arrived, _ := c.Get(arrivedKey).(time.Time)
+	arrived, _ := c.Get(contextArrival).(time.Time)
 	report := call.Report{
 		Account: fleet.AccountID(account.GetId()), Service: fleet.ServiceID(service.GetId()),
 		Model:   fleet.Kind(service.GetKind()) == fleet.Model,
@@ -38,17 +40,18 @@
 		Refused: reason,
 	}
 	report.NonIdempotent = c.Request().Header.Get(HeaderNonIdempotent) == "true" ||
-		!report.Model && !idempotent(c.Request(), service)
-	if deadline, refused := r.deadline(c.Request()); refused == nil {
+		!report.Model && !isIdempotent(c.Request(), service)
+	if deadline, refused := r.parseDeadline(c.Request()); refused == nil {
 		report.Deadline = deadline.Sub(r.Timer.Now())
 	}
 	r.Observers.Ended(report)
 }
 
-// knownService returns the service that a request was checked against, or the
-// plain one that its path names. A chat's is known only once its body was read.
-func knownService(c echo.Context, view *note.View) *schema.Service {
-	if id, ok := c.Get(serviceKey).(string); ok {
+// requestedService returns the service found earlier in the request, or the
+// plain service named in the path. A chat completion's service is in its body,
+// so it is nil until the body has been read.
+func requestedService(c echo.Context, view *note.View) *schema.Service {
+	if id, ok := c.Get(contextService).(string); ok {
 		return view.Service(fleet.ServiceID(id))
 	}
 	service := view.Service(fleet.ServiceID(c.Param("service")))
--- a/router/resume.go
+++ b/router/resume.go
@@ -11,21 +11,21 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// HeaderLastEvent is what a browser's event source sends when it connects again.
-const HeaderLastEvent = "Last-Event-ID"
+// HeaderLastEventID is the header that a browser's EventSource sends when it reconnects.
+const HeaderLastEventID = "Last-Event-ID"
 
-// resume takes up a stream whose connection, or whose router, was lost.
-func (r *Router) resume(c echo.Context) error {
-	account, refused := r.account(c.Request())
+// handleResume resumes a stream after the loss of its connection or router.
+func (r *Router) handleResume(c echo.Context) error {
+	account, refused := r.authenticate(c.Request())
 	if refused != nil {
 		return refused
 	}
-	c.Set(accountKey, account.GetId())
-	deadline, refused := r.deadline(c.Request())
+	c.Set(contextAccount, account.GetId())
+	deadline, refused := r.parseDeadline(c.Request())
 	if refused != nil {
 		return refused
 	}
-	after, refused := lastEvent(c)
+	after, refused := lastEventID(c)
 	if refused != nil {
 		return refused
 	}
@@ -34,21 +34,21 @@
 	})
 }
 
-// lastEvent returns the id of the last event that the caller has, zero for none.
-func lastEvent(c echo.Context) (stream.EventID, *refusal.Error) {
+// lastEventID returns the id of the last event that the caller received, or zero.
+func lastEventID(c echo.Context) (stream.EventID, *refusal.Error) {
 	text := c.QueryParam("after")
 	if text == "" {
-		text = c.Request().Header.Get(HeaderLastEvent)
+		text = c.Request().Header.Get(HeaderLastEventID)
 	}
 	if text == "" {
 		return 0, nil
 	}
-	after, err := strconv.ParseUint(text, decimal, eventBits)
+	after, err := strconv.ParseUint(text, decimal, eventIDBits)
 	if err != nil {
-		detail := fmt.Sprintf("the last event is %q; allowed is a whole number", text)
+		detail := fmt.Sprintf("the last event id is %q; it must be a whole number", text)
 		return 0, refusal.New(refusal.BadRequest, detail, 0)
 	}
 	return stream.EventID(after), nil
 }
 
-const eventBits = 63
+const eventIDBits = 63
--- a/router/router.go
+++ b/router/router.go
@@ -1,5 +1,5 @@
-// Package router is the callers' side of a router: it tells who calls, checks
-// what is asked, and gives each caller either an upstream's whole answer or a
+// Package router serves the HTTP API for callers. It authenticates and
+// validates requests, and returns either the upstream's complete response or a
 // typed refusal that says whether the request was run.
 package router
 
@@ -18,30 +18,31 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Limits bound what one caller may send. The zero value allows nothing.
+// Limits bounds the requests of a caller. The zero value allows nothing.
 type Limits struct {
-	// BodyBytes and HeaderBytes bound a request; names and values count.
+	// BodyBytes and HeaderBytes limit the sizes of the body and of the header,
+	// which counts names and values.
 	BodyBytes   int64
 	HeaderBytes int
-	// BodyTimeout is how long a caller may take to send its body.
+	// BodyTimeout limits the time to read a body.
 	BodyTimeout time.Duration
-	// DefaultDeadline holds for a caller that names none, and MaxDeadline
-	// bounds what it may name.
+	// DefaultDeadline applies to requests without a timeout header, and
+	// MaxDeadline limits the values of that header.
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
 }
 
-// Runner runs accepted requests.
+// Runner runs validated requests.
 type Runner interface {
-	// Run writes the answer to w. It returns nil when the answer is out whole,
-	// *refusal.Error when nothing was written, and *call.BrokenError when the
-	// answer broke off. ctx ends when the caller is gone.
+	// Run writes the response to w. It returns nil after a complete response,
+	// *refusal.Error if nothing was written, and *call.BrokenError if the
+	// response was cut off. ctx is cancelled when the caller disconnects.
 	Run(ctx context.Context, w http.ResponseWriter, request call.Request) error
-	// Resume writes the rest of a stream to w. It fails as Run does.
+	// Resume writes the rest of a stream to w. It returns the same errors as Run.
 	Resume(ctx context.Context, w http.ResponseWriter, resumption call.Resumption) error
 }
 
-// Options are the parts that a Router is made of. All but the observers are required.
+// Options holds the dependencies of a Router. All except Observers are required.
 type Options struct {
 	Notes     note.Source
 	Runner    Runner
@@ -53,22 +54,22 @@
 	Log       *slog.Logger
 }
 
-// Router serves callers over HTTP.
+// Router serves the HTTP API for callers.
 type Router struct {
 	Options
 	handler http.Handler
-	held    held
+	active  activeRequests
 }
 
-// New returns a Router that is ready to serve as soon as its note source
-// holds a version.
+// New returns a Router. It refuses requests as not-ready until its note source
+// has a version.
 func New(options Options) *Router {
 	r := &Router{Options: options}
 	r.handler = r.routes()
 	return r
 }
 
-// ServeHTTP serves one caller's request.
+// ServeHTTP implements http.Handler.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) { r.handler.ServeHTTP(w, req) }
 
 func (r *Router) routes() http.Handler {
@@ -76,24 +77,25 @@
 	e.HideBanner = true
 	e.HidePort = true
 	e.HTTPErrorHandler = r.handleError
-	e.Use(r.identify, r.count, r.admit)
-	e.POST("/v1/chat/completions", r.chat)
-	e.GET("/v1/streams/:token", r.resume)
-	e.Any("/v1/services/:service", r.plain)
-	e.Any("/v1/services/:service/*", r.plain)
+	e.Use(r.assignRequestID, r.countRequests, r.precheck)
+	e.POST("/v1/chat/completions", r.handleChat)
+	e.GET("/v1/streams/:token", r.handleResume)
+	e.Any("/v1/services/:service", r.handlePlainCall)
+	e.Any("/v1/services/:service/*", r.handlePlainCall)
 	return e
 }
 
-// admit refuses what can be refused before anyone looks at the request itself.
-func (r *Router) admit(next echo.HandlerFunc) echo.HandlerFunc {
+// precheck refuses requests while the router is stopping or has no release
+// note, and requests with too large a header.
+func (r *Router) precheck(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		if !r.held.enter() {
+		if !r.active.begin() {
 			c.Response().Header().Set(echo.HeaderConnection, "close")
-			return refusal.New(refusal.Stopping, "this router is shutting down; come back through the balancer", stoppingRetry)
+			return refusal.New(refusal.Stopping, "this router is shutting down; retry through the load balancer", stoppingRetryAfter)
 		}
-		defer r.held.leave()
+		defer r.active.end()
 		if r.Notes.Current() == nil {
-			return refusal.New(refusal.NotReady, "this router holds no release note yet", notReadyRetry)
+			return refusal.New(refusal.NotReady, "this router has no release note yet", notReadyRetryAfter)
 		}
 		if size := headerSize(c.Request().Header); size > r.Limits.HeaderBytes {
 			return refusal.New(refusal.HeaderTooLarge, "the request header is longer than this router allows", 0)
@@ -103,13 +105,15 @@
 }
 
 const (
-	// stoppingRetry is short: the balancer leads the caller to another router.
-	stoppingRetry = time.Second
-	// notReadyRetry is about the time that a router needs to learn the release
-	// note in force from the table or a peer.
-	notReadyRetry = 2 * time.Second
+	// stoppingRetryAfter is short, because the load balancer routes the retry to
+	// another router.
+	stoppingRetryAfter = time.Second
+	// notReadyRetryAfter is about the time a router needs to read the current
+	// release note from the table or a peer.
+	notReadyRetryAfter = 2 * time.Second
 )
 
+// headerSize returns the size of the header in HTTP/1.1 encoding, in bytes.
 func headerSize(header http.Header) int {
 	size := 0
 	for name, values := range header {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -29,16 +29,16 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-type source struct{ view *note.View }
+type noteSource struct{ view *note.View }
 
-func (s source) Current() *note.View { return s.view }
+func (s noteSource) Current() *note.View { return s.view }
 
-type runner struct {
+type fakeRunner struct {
 	last call.Request
 	run  func(w http.ResponseWriter) error
 }
 
-func (r *runner) Run(_ context.Context, w http.ResponseWriter, request call.Request) error {
+func (r *fakeRunner) Run(_ context.Context, w http.ResponseWriter, request call.Request) error {
 	r.last = request
 	if r.run != nil {
 		return r.run(w)
@@ -47,16 +47,16 @@
 	return err
 }
 
-func (*runner) Resume(_ context.Context, w http.ResponseWriter, _ call.Resumption) error {
+func (*fakeRunner) Resume(_ context.Context, w http.ResponseWriter, _ call.Resumption) error {
 	_, err := io.WriteString(w, "ran")
 	return err
 }
 
-type flat struct{}
+type fixedEstimator struct{}
 
-func (flat) Model(*schema.Account, *schema.Service, int, int) fleet.Tokens { return 320 }
+func (fixedEstimator) Model(*schema.Account, *schema.Service, int, int) fleet.Tokens { return 320 }
 
-var state = &schema.FleetState{
+var fleetState = &schema.FleetState{
 	Version: 1,
 	Accounts: []*schema.Account{
 		{Id: "mwanga", KeySha256: []string{note.HashKey("mwanga-key")}},
@@ -65,17 +65,17 @@
 	Services: []*schema.Service{{Id: "findings", Kind: "model"}, {Id: "orders", Kind: "plain"}},
 }
 
-func newRouter(view *note.View) (*router.Router, *runner) {
-	run := &runner{}
+func newRouter(view *note.View) (*router.Router, *fakeRunner) {
+	runner := &fakeRunner{}
 	return router.New(router.Options{
-		Notes: source{view}, Runner: run, Estimator: flat{}, Timer: timer.System{},
+		Notes: noteSource{view}, Runner: runner, Estimator: fixedEstimator{}, Timer: timer.System{},
 		Metrics: metric.New(prometheus.NewRegistry()),
 		Log:     slog.New(slog.DiscardHandler),
 		Limits: router.Limits{
 			BodyBytes: 256, HeaderBytes: 200, BodyTimeout: time.Second,
 			DefaultDeadline: time.Second, MaxDeadline: time.Minute,
 		},
-	}), run
+	}), runner
 }
 
 func TestRefusals(t *testing.T) {
@@ -87,16 +87,17 @@
 		raw, expected, _ := strings.Cut(rest, "\n--> ")
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, _ := newRouter(note.NewView(state))
+			r, _ := newRouter(note.NewView(fleetState))
 			recorder := httptest.NewRecorder()
-			r.ServeHTTP(recorder, parse(t, raw))
-			require.Equal(t, strings.TrimSpace(expected), describe(t, recorder))
+			r.ServeHTTP(recorder, parseRequest(t, raw))
+			require.Equal(t, strings.TrimSpace(expected), summarise(t, recorder))
 			require.NotEmpty(t, recorder.Header().Get(router.HeaderRequestID))
 		})
 	}
 }
 
-func parse(t *testing.T, raw string) *http.Request {
+// parseRequest parses a request line, headers and body in the format of the test cases.
+func parseRequest(t *testing.T, raw string) *http.Request {
 	t.Helper()
 	head, body, _ := strings.Cut(raw, "\n\n")
 	line, headers, _ := strings.Cut(head, "\n")
@@ -107,7 +108,9 @@
 	return req
 }
 
-func describe(t *testing.T, recorder *httptest.ResponseRecorder) string {
+// summarise returns the status, reason and outcome of a refusal, or "ran" for
+// the response of fakeRunner.
+func summarise(t *testing.T, recorder *httptest.ResponseRecorder) string {
 	t.Helper()
 	if recorder.Body.String() == "ran" {
 		return "ran"
@@ -120,56 +123,55 @@
 	return fmt.Sprintf("%d %s %s", recorder.Code, body.Error.Reason, body.Error.Outcome)
 }
 
-// A plain service may tell apart paths that differ only in their escapes. A
-// router that decoded and encoded them again would call another path than the
-// one the caller named.
+// A plain service may distinguish paths that differ only in their escaping. A
+// router that decodes and re-encodes paths would call the wrong one.
 func TestPlainCallKeepsItsPath(t *testing.T) {
 	t.Parallel()
-	r, run := newRouter(note.NewView(state))
-	req := parse(t, "PUT /v1/services/orders/a%2Fb/new?x=%20\nAuthorization: Bearer mwanga-key\nTe: trailers\n\n{}")
+	r, runner := newRouter(note.NewView(fleetState))
+	req := parseRequest(t, "PUT /v1/services/orders/a%2Fb/new?x=%20\nAuthorization: Bearer mwanga-key\nTe: trailers\n\n{}")
 	r.ServeHTTP(httptest.NewRecorder(), req)
-	require.Equal(t, "/a%2Fb/new?x=%20", run.last.Path)
-	require.Empty(t, run.last.Header.Get("Authorization"))
-	require.Empty(t, run.last.Header.Get("Te"))
-	require.True(t, run.last.Idempotent)
+	require.Equal(t, "/a%2Fb/new?x=%20", runner.last.Path)
+	require.Empty(t, runner.last.Header.Get("Authorization"))
+	require.Empty(t, runner.last.Header.Get("Te"))
+	require.True(t, runner.last.Idempotent)
 }
 
-// A router that was just replaced holds no release note yet. If it served
-// anybody it would have to guess who may call what, so it says that the
-// request was not run and when to come back.
+// A router that has just started has no release note, so it can't check which
+// services an account may call. It must refuse requests as not run, with a time
+// to retry.
 func TestRouterWithoutNoteServesNobody(t *testing.T) {
 	t.Parallel()
 	r, _ := newRouter(nil)
 	recorder := httptest.NewRecorder()
-	r.ServeHTTP(recorder, parse(t, "POST /v1/chat/completions\nAuthorization: Bearer mwanga-key\n\n{}"))
-	require.Equal(t, "503 not-ready not-run", describe(t, recorder))
+	r.ServeHTTP(recorder, parseRequest(t, "POST /v1/chat/completions\nAuthorization: Bearer mwanga-key\n\n{}"))
+	require.Equal(t, "503 not-ready not-run", summarise(t, recorder))
 	require.Equal(t, "2", recorder.Header().Get("Retry-After"))
 }
 
-// A router in its graceful shutdown must not take work that it could no longer
-// finish. The caller hears at once that nothing was run.
+// A router in its graceful shutdown must not accept requests that it can no
+// longer finish. It must refuse them at once as not run.
 func TestStoppingRouterRefusesNewRequests(t *testing.T) {
 	t.Parallel()
-	r, _ := newRouter(note.NewView(state))
+	r, _ := newRouter(note.NewView(fleetState))
 	require.NoError(t, r.Stop(t.Context()))
 	recorder := httptest.NewRecorder()
-	r.ServeHTTP(recorder, parse(t, "POST /v1/chat/completions\nAuthorization: Bearer mwanga-key\n\n{}"))
-	require.Equal(t, "503 stopping not-run", describe(t, recorder))
+	r.ServeHTTP(recorder, parseRequest(t, "POST /v1/chat/completions\nAuthorization: Bearer mwanga-key\n\n{}"))
+	require.Equal(t, "503 stopping not-run", summarise(t, recorder))
 	require.Equal(t, "close", recorder.Header().Get("Connection"))
 }
 
-// The upstream breaks off after half of an answer went out. If the connection
-// ended in order, the caller would take the half for the whole.
+// The upstream's response ends after a part of it was forwarded. If the router
+// closed the connection cleanly, the caller would take that part for the whole.
 func TestBrokenAnswerIsSeenByTheCaller(t *testing.T) {
 	t.Parallel()
-	r, run := newRouter(note.NewView(state))
-	run.run = func(w http.ResponseWriter) error {
+	r, runner := newRouter(note.NewView(fleetState))
+	runner.run = func(w http.ResponseWriter) error {
 		_, _ = io.WriteString(w, "half")
 		return &call.BrokenError{Outcome: refusal.Run, Cause: io.ErrUnexpectedEOF}
 	}
 	server := httptest.NewServer(r)
 	t.Cleanup(server.Close)
-	req := parse(t, "POST /v1/chat/completions\nAuthorization: Bearer mwanga-key\n\n"+`{"model":"findings","messages":[]}`)
+	req := parseRequest(t, "POST /v1/chat/completions\nAuthorization: Bearer mwanga-key\n\n"+`{"model":"findings","messages":[]}`)
 	req.URL.Scheme, req.URL.Host, req.RequestURI = "http", server.Listener.Addr().String(), ""
 	answer, err := http.DefaultClient.Do(req)
 	if err == nil {
@@ -180,11 +182,11 @@
 	require.InDelta(t, 1, testutil.ToFloat64(r.Metrics.Refusals.WithLabelValues("upstream-failed")), 0)
 }
 
-// A caller on a bad line sends the beginning of its request and then nothing.
-// It must not hold anything for longer than the bound, and hears why.
+// A caller sends the beginning of its body and then stalls. The router must not
+// wait longer than BodyTimeout, and must send a refusal.
 func TestSlowBodyIsRefused(t *testing.T) {
 	t.Parallel()
-	r, _ := newRouter(note.NewView(state))
+	r, _ := newRouter(note.NewView(fleetState))
 	r.Limits.BodyTimeout = 10 * time.Millisecond
 	server := httptest.NewServer(r)
 	t.Cleanup(server.Close)
--- a/router/stop.go
+++ b/router/stop.go
@@ -5,58 +5,61 @@
 	"sync"
 )
 
-// held counts the requests that a router has in hand. Its zero value has none.
-type held struct {
+// activeRequests counts the requests that are being served. The zero value is
+// ready to use.
+type activeRequests struct {
 	mu       sync.Mutex
 	count    int
 	stopping bool
-	// idle is closed once none is in hand; it is there while somebody waits.
+	// idle is closed when count reaches zero. It is nil until drain is called.
 	idle chan struct{}
 }
 
-// enter takes one more request in hand, or reports false when stopping.
-func (h *held) enter() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.stopping {
+// begin adds a request. It returns false while the router is stopping.
+func (a *activeRequests) begin() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.stopping {
 		return false
 	}
-	h.count++
+	a.count++
 	return true
 }
 
-func (h *held) leave() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.count--
-	if h.count == 0 && h.idle != nil {
-		close(h.idle)
+// end removes a request that begin has added.
+func (a *activeRequests) end() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.count--
+	if a.count == 0 && a.idle != nil {
+		close(a.idle)
 	}
 }
 
-// stop returns a channel that is closed once no request is in hand.
-func (h *held) stop() <-chan struct{} {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.stopping = true
-	if h.idle == nil {
-		h.idle = make(chan struct{})
-		if h.count == 0 {
-			close(h.idle)
+// drain makes begin refuse requests, and returns a channel that is closed when
+// none is active.
+func (a *activeRequests) drain() <-chan struct{} {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.stopping = true
+	if a.idle == nil {
+		a.idle = make(chan struct{})
+		if a.count == 0 {
+			close(a.idle)
 		}
 	}
-	return h.idle
+	return a.idle
 }
 
-// Stop makes the router refuse new requests as not run, and returns once those
-// that it holds have ended, or with the error of ctx when that ends before.
+// Stop makes the router refuse new requests as not run. It returns when all
+// active requests have ended, or ctx.Err() if ctx ends first.
 //
-// The address has to stay open meanwhile: were it closed at once, a caller that
-// the balancer still sends here would see a connection refused, and could not
-// know when to come back.
+// The listener must stay open meanwhile. Otherwise callers that the load
+// balancer still routes here would get a refused connection in place of a
+// refusal that says when to retry.
 func (r *Router) Stop(ctx context.Context) error {
 	select {
-	case <-r.held.stop():
+	case <-r.active.drain():
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
