--- a/daemon/administration.go
+++ b/daemon/administration.go
@@ -7,7 +7,7 @@
 	"nutmeglock.example/nutmeglock/operator"
 )
 
-// administrationExtension serves operators, metrics and health checks.
+// administrationExtension serves the administration API, metrics and health checks.
 type administrationExtension struct{}
 
 func (administrationExtension) Priority() Priority { return PriorityAdministration }
@@ -20,6 +20,6 @@
 		Metrics:  promhttp.HandlerFor(p.Registry, promhttp.HandlerOpts{}),
 		Registry: p.Registry,
 	})
-	p.Actor("administration", serve(newServer(p, handler), p.Listeners.Admin))
+	p.AddActor("administration", serverActor(newServer(p, handler), p.Listeners.Admin))
 	return nil
 }
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// headerTimeout bounds the time that a connection takes to send a header.
-	// Without it, connections that send nothing would use up the router.
-	headerTimeout = 10 * time.Second
-	// idleTimeout is above the usual 60 s of a balancer, so that it is the
-	// balancer that closes an idle connection and never sends on a closed one.
+	// readHeaderTimeout limits the time to read a request header. Without it,
+	// connections that send nothing would exhaust the router.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout exceeds the usual 60 s of load balancers, so that the balancer
+	// closes idle connections first and never sends on a closed one.
 	idleTimeout = 90 * time.Second
-	// headerSlack lets a header that is too long be refused by the router, with
-	// a reason, and not by net/http.
-	headerSlack = 4
+	// headerLimitFactor sets the limit of net/http above the router's own, so
+	// that the router refuses most oversized headers itself, with a reason.
+	headerLimitFactor = 4
 )
 
-// callersExtension serves callers.
+// callersExtension serves the HTTP API for callers.
 type callersExtension struct{}
 
 func (callersExtension) Priority() Priority { return PriorityCallers }
 
 func (callersExtension) Extend(p *Parts) error {
-	callers := router.New(router.Options{
+	handler := router.New(router.Options{
 		Notes: p.Notes, Runner: p.Runner, Observers: p.Runner.Observers,
-		Estimator: estimator{p.Estimates}, Timer: p.Timer, Metrics: p.Metrics, Log: p.Log,
+		Estimator: estimator{p.Estimator}, Timer: p.Timer, Metrics: p.Metrics, Log: p.Log,
 		Limits: router.Limits{
 			BodyBytes:       settings.MaxBody(p.Settings),
 			HeaderBytes:     settings.MaxHeader(p.Settings),
@@ -41,15 +41,15 @@
 			MaxDeadline:     settings.MaxDeadline(p.Settings),
 		},
 	})
-	p.Callers = callers
-	server := newServer(p, callers)
-	p.Actor("callers", serve(server, p.Listeners.Callers))
-	p.OnStop(0, "tell the balancer", func(ctx context.Context) {
+	p.CallerHandler = handler
+	server := newServer(p, handler)
+	p.AddActor("callers", serverActor(server, p.Listeners.Callers))
+	p.OnStop(0, "notify the load balancer", func(ctx context.Context) {
 		p.Stopping.Store(true)
 		p.sleep(ctx, settings.StopNotice(p.Settings))
 	})
 	p.OnStop(PriorityCallers, "finish requests", func(ctx context.Context) {
-		shutDown(ctx, p, callers, server)
+		finishRequests(ctx, p, handler, server)
 	})
 	return nil
 }
@@ -57,20 +57,20 @@
 func newServer(p *Parts, handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerSlack * settings.MaxHeader(p.Settings),
+		MaxHeaderBytes:    headerLimitFactor * settings.MaxHeader(p.Settings),
 		ErrorLog:          slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug),
 	}
 }
 
-// serve returns an actor. Shutdown makes Serve return at once, while requests
-// are still in flight; the actor goes on until its context ends, so that it
-// does not end the router under them.
-func serve(server *http.Server, listener net.Listener) func(ctx context.Context) error {
+// serverActor returns an actor that runs the server until ctx ends. Shutdown
+// makes Serve return while requests are still in flight; the actor then waits
+// for ctx, because its return would end the router.
+func serverActor(server *http.Server, listener net.Listener) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
-		end := context.AfterFunc(ctx, func() { _ = server.Close() })
-		defer end()
+		unregister := context.AfterFunc(ctx, func() { _ = server.Close() })
+		defer unregister()
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
@@ -79,27 +79,28 @@
 	}
 }
 
-// shutDown waits until no request is in flight, at most as long as the
-// settings allow.
-func shutDown(ctx context.Context, p *Parts, callers *router.Router, server *http.Server) {
+// finishRequests waits for the requests in flight, at most for the stop grace
+// of the settings.
+func finishRequests(ctx context.Context, p *Parts, handler *router.Router, server *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, settings.StopGrace(p.Settings))
 	defer cancel()
-	err := callers.Stop(ctx)
+	err := handler.Stop(ctx)
 	if err == nil {
 		err = server.Shutdown(ctx)
 	}
 	if err != nil {
-		p.Log.Error("the graceful shutdown took too long; requests in flight are cut off", "error", err)
+		p.Log.Error("graceful shutdown timed out; requests in flight are aborted", "error", err)
 	}
 	p.Runner.Wait()
 }
 
+// sleep waits for d by the router's timer or until ctx ends.
 func (p *Parts) sleep(ctx context.Context, d time.Duration) {
-	over := make(chan struct{})
-	subscription := p.Timer.After(d, func(time.Time) { close(over) })
+	elapsed := make(chan struct{})
+	subscription := p.Timer.After(d, func(time.Time) { close(elapsed) })
 	defer subscription.Cancel()
 	select {
-	case <-over:
+	case <-elapsed:
 	case <-ctx.Done():
 	}
 }
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -12,14 +12,15 @@
 	"nutmeglock.example/nutmeglock/retry"
 )
 
-// callsExtension runs accepted requests: attempts, retries, claims, resumption.
+// callsExtension runs validated requests, with attempts, retries, claims and
+// stream resumption.
 type callsExtension struct{}
 
 func (callsExtension) Priority() Priority { return PriorityCalls }
 
-// groupDelay is how long the first claim of a group waits for others. It is
-// small beside a round trip to the table, and below what a caller notices.
-const groupDelay = 5 * time.Millisecond
+// claimBatchDelay is how long the first claim of a batch waits for others. It is
+// short compared to a round trip to the table, and callers don't notice it.
+const claimBatchDelay = 5 * time.Millisecond
 
 func (callsExtension) Extend(p *Parts) error {
 	tokens, err := resume.New(p.Settings.GetFleetKey())
@@ -28,17 +29,17 @@
 	}
 	collected := &claim.Collected{
 		Table: p.Platform, Self: p.Self, Peers: p.Peers,
-		Group: &claim.Group{Table: p.Platform, Delay: groupDelay},
+		Group: &claim.Group{Table: p.Platform, Delay: claimBatchDelay},
 	}
 	p.Peers.OnBatch(collected.Receive)
 	store := &claim.Store{Table: collected, Objects: p.Platform, Router: p.Self, Timer: p.Timer}
-	p.Estimates = &estimate.Estimator{}
+	p.Estimator = &estimate.Estimator{}
 	p.Runner = &call.Runner{
-		Source: p.Source, Retry: &retry.Budget{}, Client: &attempt.Client{},
+		Source: p.SlotSource, Retry: &retry.Budget{}, Client: &attempt.Client{},
 		Claims: store, Tokens: tokens, Timer: p.Timer, Metrics: p.Metrics,
-		Observers: call.Observers{estimator{p.Estimates}},
+		Observers: call.Observers{estimator{p.Estimator}},
 	}
-	p.Actor("claims", func(ctx context.Context) error {
+	p.AddActor("claims", func(ctx context.Context) error {
 		stop := (&claim.Sweeper{Store: store}).Start(p.Timer)
 		defer stop()
 		<-ctx.Done()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of a router together and runs them until a
-// graceful shutdown has ended.
+// Package daemon assembles a router from its parts and runs it until its
+// graceful shutdown is complete.
 package daemon
 
 import (
@@ -20,35 +20,35 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Options are what a Daemon is made of.
+// Options configures a Daemon.
 type Options struct {
-	// Settings are those of a checked document.
+	// Settings must have been validated, as settings.Read does.
 	Settings *schema.RouterSettings
-	// Timer is the machine's clock when nil.
+	// Timer defaults to the system clock.
 	Timer timer.Service
-	// Log discards when nil.
+	// Log defaults to a logger that discards everything.
 	Log *slog.Logger
-	// Platform is reached over HTTP at the settings' address when nil.
+	// Platform defaults to an HTTP client for the URL in the settings.
 	Platform Platform
-	// Extensions are added to the built-in ones.
+	// Extensions are added to the built-in extensions.
 	Extensions []Extension
 }
 
-// Platform is all of what the platform gives.
+// Platform provides the table service, the object store and the VM list.
 type Platform interface {
 	store.Table
 	store.Objects
 	store.VMs
 }
 
-// Daemon is one router with all its parts.
+// Daemon runs one router.
 type Daemon struct {
 	parts *Parts
 }
 
-// New returns a Daemon whose addresses are open, so that callers may connect
-// and wait, but that serves nobody until it is run. It fails when an address
-// can't be opened or an extension refuses.
+// New returns a Daemon that already listens: connections are accepted by the
+// kernel, but requests are served only once Run is called. It fails if an
+// address can't be opened or an extension returns an error.
 func New(ctx context.Context, options Options) (*Daemon, error) {
 	if options.Timer == nil {
 		options.Timer = timer.System{}
@@ -70,22 +70,23 @@
 	if err := parts.listen(ctx); err != nil {
 		return nil, err
 	}
-	if err := parts.extend(append(builtIn(), options.Extensions...)); err != nil {
+	if err := parts.applyExtensions(append(builtInExtensions(), options.Extensions...)); err != nil {
 		parts.closeListeners()
 		return nil, err
 	}
 	return &Daemon{parts: parts}, nil
 }
 
-// Addresses are where a Daemon listens: for callers, for other routers, and for
-// operators, metrics and health checks.
+// Addresses holds the addresses that a Daemon listens on. Peers is for other
+// routers; Admin is for operators, metrics and health checks.
 type Addresses struct {
 	Callers net.Addr
 	Peers   net.Addr
 	Admin   net.Addr
 }
 
-// Addresses returns where the daemon listens, with the ports that the machine chose.
+// Addresses returns the addresses in use, with the actual port where the
+// settings have port 0.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
 		Callers: d.parts.Listeners.Callers.Addr(),
@@ -94,29 +95,29 @@
 	}
 }
 
-// EndedError is the error of a router of which a part ended by itself.
-type EndedError struct {
+// PartEndedError is returned by Run when a part of the router ended unexpectedly.
+type PartEndedError struct {
 	Part string
-	// Cause is nil when the part gave none.
+	// Cause is the error of the part. It is nil if the part returned none.
 	Cause error
 }
 
-// Error names the part and the cause.
-func (e *EndedError) Error() string {
-	return fmt.Sprintf("part %s ended by itself: %v", e.Part, e.Cause)
+// Error implements error.
+func (e *PartEndedError) Error() string {
+	return fmt.Sprintf("part %s ended unexpectedly: %v", e.Part, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *EndedError) Unwrap() error { return e.Cause }
+func (e *PartEndedError) Unwrap() error { return e.Cause }
 
 // Run serves until ctx ends, then shuts down gracefully and returns nil. It
-// returns an *EndedError when a part ended by itself; requests in flight are
-// then cut off, because half a router can't finish them.
+// returns a *PartEndedError if a part ended unexpectedly; requests in flight
+// are then aborted, because they can't finish without that part.
 func (d *Daemon) Run(ctx context.Context) error {
 	var group run.Group
-	group.Add(d.untilStopped(ctx))
+	group.Add(d.shutdownActor(ctx))
 	for _, actor := range d.parts.actors {
-		group.Add(d.act(actor))
+		group.Add(d.groupActor(actor))
 	}
 	err := group.Run()
 	if eris.Is(err, errStopped) {
@@ -125,19 +126,19 @@
 	return err
 }
 
-// errStopped ends the group of actors once the shutdown is over.
+// errStopped ends the group of actors after a completed shutdown.
 var errStopped = eris.New("the router has stopped")
 
-// untilStopped is the actor that waits for the end of ctx and then stops one
-// part after the other, while the other actors go on: requests in flight need
-// all of them. It takes none of the steps when another part ended by itself:
-// nothing is left that they could wait for.
-func (d *Daemon) untilStopped(ctx context.Context) (execute func() error, interrupt func(error)) {
+// shutdownActor returns an actor that waits for the end of ctx and then runs the
+// stop steps. The other actors keep running meanwhile, because requests in
+// flight need them. If another actor ends first, it skips the steps: they would
+// wait for requests that can no longer finish.
+func (d *Daemon) shutdownActor(ctx context.Context) (execute func() error, interrupt func(error)) {
 	interrupted := make(chan struct{})
 	execute = func() error {
 		select {
 		case <-ctx.Done():
-			d.stop(context.WithoutCancel(ctx))
+			d.runStopSteps(context.WithoutCancel(ctx))
 		case <-interrupted:
 		}
 		return errStopped
@@ -145,20 +146,22 @@
 	return execute, func(error) { close(interrupted) }
 }
 
-func (d *Daemon) stop(ctx context.Context) {
-	slices.SortStableFunc(d.parts.stops, func(a, b stop) int { return int(a.priority) - int(b.priority) })
-	for _, s := range d.parts.stops {
-		d.parts.Log.Info("stopping", "part", s.name)
-		s.fn(ctx)
+func (d *Daemon) runStopSteps(ctx context.Context) {
+	slices.SortStableFunc(d.parts.stopSteps, func(a, b stopStep) int { return int(a.priority) - int(b.priority) })
+	for _, step := range d.parts.stopSteps {
+		d.parts.Log.Info("stopping", "part", step.name)
+		step.run(ctx)
 	}
 }
 
-func (d *Daemon) act(a actor) (execute func() error, interrupt func(error)) {
+// groupActor adapts an actor to run.Group. An actor that ends before it is
+// interrupted returns a PartEndedError.
+func (d *Daemon) groupActor(a actor) (execute func() error, interrupt func(error)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	execute = func() error {
 		err := a.run(ctx)
 		if ctx.Err() == nil {
-			return &EndedError{Part: a.name, Cause: err}
+			return &PartEndedError{Part: a.name, Cause: err}
 		}
 		return ctx.Err()
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -14,27 +14,26 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// part is an extension with one actor.
-type part func(ctx context.Context) error
+// actorExtension adds one actor.
+type actorExtension func(ctx context.Context) error
 
-func (part) Priority() daemon.Priority { return daemon.PriorityCalls }
+func (actorExtension) Priority() daemon.Priority { return daemon.PriorityCalls }
 
-func (p part) Extend(parts *daemon.Parts) error {
-	parts.Actor("test", p)
+func (a actorExtension) Extend(parts *daemon.Parts) error {
+	parts.AddActor("test", a)
 	return nil
 }
 
-// A part of a router ends by itself, because of a fault in the program. The
-// router would go on to take requests that nobody serves, so it ends as well,
-// and tells why; whoever started it would take an end without an error for a
-// stop that was asked for.
+// A bug makes one part of a router end. The router must end as well, or it would
+// accept requests that it can't serve. It must return an error, even if the part
+// returned none, because nil means a requested stop.
 func TestPartThatEndsByItselfEndsTheRouterWithAnError(t *testing.T) {
 	t.Parallel()
 	broken := errors.New("broken")
 	for _, cause := range []error{broken, nil} {
-		d := newDaemon(t, 10*time.Minute, part(func(context.Context) error { return cause }))
+		d := newDaemon(t, 10*time.Minute, actorExtension(func(context.Context) error { return cause }))
 		err := d.Run(t.Context())
-		var ended *daemon.EndedError
+		var ended *daemon.PartEndedError
 		require.ErrorAs(t, err, &ended)
 		require.Equal(t, "test", ended.Part)
 		require.Equal(t, cause, ended.Cause)
@@ -44,7 +43,7 @@
 func TestStopThatIsAskedForIsNoError(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
-	d := newDaemon(t, time.Millisecond, part(func(ctx context.Context) error {
+	d := newDaemon(t, time.Millisecond, actorExtension(func(ctx context.Context) error {
 		cancel()
 		<-ctx.Done()
 		return errors.New("ended because it was told to")
--- a/daemon/estimator.go
+++ b/daemon/estimator.go
@@ -7,13 +7,12 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// estimator teaches package estimate from requests that ended, and gives the
-// router what it has learnt.
+// estimator adapts estimate.Estimator to call.Observer and router.Estimator.
 type estimator struct{ *estimate.Estimator }
 
-// Ended learns the output of a model's answer that came whole. An engine's
-// refusal of a bad request has no output. Taken for a short answer, a few of
-// them would let the next requests start too cheaply.
+// Ended records the output tokens of a complete response. It ignores responses
+// without output, such as an engine's refusal of a bad request: counted as short
+// outputs, they would make the next estimates too low.
 func (e estimator) Ended(report call.Report) {
 	if report.Refused == "" && report.Output > 0 {
 		e.Estimator.Ended(estimate.Key{Account: report.Account, Service: report.Service}, report.Output)
--- a/daemon/extensions.go
+++ b/daemon/extensions.go
@@ -8,7 +8,7 @@
 	"nutmeglock.example/nutmeglock/settings"
 )
 
-func builtIn() []Extension {
+func builtInExtensions() []Extension {
 	return []Extension{
 		platformExtension{},
 		peersExtension{},
@@ -56,6 +56,6 @@
 		Metrics:     p.Metrics,
 		Logger:      p.Log,
 	})
-	p.Actor("peers", p.Peers.Run)
+	p.AddActor("peers", p.Peers.Run)
 	return nil
 }
--- a/daemon/notes.go
+++ b/daemon/notes.go
@@ -7,7 +7,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// notesExtension keeps the release notes in force.
+// notesExtension keeps the current release note up to date.
 type notesExtension struct{}
 
 func (notesExtension) Priority() Priority { return PriorityNotes }
@@ -31,15 +31,15 @@
 			p.Notes.Heard(from, version)
 		}
 	})
-	// A router that was cut off has missed announcements, and one that was just
-	// started has heard none. Each learns on its first connection what the
-	// other holds, so that it does not wait for the next read of the table,
-	// which may be down.
+	// A router that was disconnected or has just started may have missed
+	// announcements. Both sides of a new connection therefore announce their
+	// versions. Otherwise they would learn of a newer one only at the next read
+	// of the table, which may be down.
 	p.Peers.OnChange(func(change peer.Change) {
 		if version := p.Notes.Version(); change.Connected && version > 0 {
 			p.Peers.Send(change.Router, &schema.Batch{NoteVersion: uint64(version)})
 		}
 	})
-	p.Actor("notes", p.Notes.Run)
+	p.AddActor("notes", p.Notes.Run)
 	return nil
 }
--- a/daemon/parts.go
+++ b/daemon/parts.go
@@ -23,10 +23,11 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Priority orders extensions: a lower one is extended, and stopped, first.
+// Priority orders extensions. Those with lower values are set up first, and
+// stopped first.
 type Priority int
 
-// The priorities of the built-in extensions. They leave room between them.
+// Priorities of the built-in extensions, with gaps for others in between.
 const (
 	PriorityPlatform       Priority = 100
 	PriorityPeers          Priority = 200
@@ -38,17 +39,17 @@
 	PriorityAdministration Priority = 700
 )
 
-// Extension adds a feature to a router. The built-in features are extensions
-// too and use nothing else.
+// Extension adds a feature to a router. The built-in features are implemented
+// as extensions too.
 type Extension interface {
-	// Priority places the extension among the others.
+	// Priority determines when Extend is called.
 	Priority() Priority
-	// Extend sets or replaces parts, and registers actors and stops.
+	// Extend sets or replaces parts, and adds actors and stop steps.
 	Extend(parts *Parts) error
 }
 
-// Parts is what extensions share. Those of a lower priority have set theirs
-// when an extension is called.
+// Parts holds the components that extensions share. When Extend is called, the
+// extensions with a lower priority have already set theirs.
 type Parts struct {
 	Settings    *schema.RouterSettings
 	Timer       timer.Service
@@ -63,54 +64,58 @@
 	Peers     *peer.Peers
 	Notes     *note.Holder
 	NoteStore *note.Store
-	// Source hands out slots. Another way to share capacity replaces it.
-	Source    dispatch.Source
-	Estimates *estimate.Estimator
-	// Runner runs requests. Observers that see the refusals of Callers too are
-	// added to it before that is extended.
+	// SlotSource assigns slots at upstreams to requests. An extension can
+	// replace it to share capacity by another policy.
+	SlotSource dispatch.Source
+	Estimator  *estimate.Estimator
+	// Runner runs requests. An extension that adds observers to it needs a
+	// priority below PriorityCallers for them to get the refusals of
+	// CallerHandler too.
 	Runner *call.Runner
-	// State is what the administration API tells of this router.
+	// State provides the router's state to the administration API.
 	State operator.State
-	// Callers serves callers.
-	Callers http.Handler
-	// Stopping is true from the beginning of the graceful shutdown.
+	// CallerHandler serves the HTTP API for callers.
+	CallerHandler http.Handler
+	// Stopping is set when the graceful shutdown begins.
 	Stopping atomic.Bool
 
-	actors []actor
-	stops  []stop
+	actors    []actor
+	stopSteps []stopStep
 }
 
-// Listeners are the open addresses of a router.
+// Listeners holds the open listeners of a router.
 type Listeners struct {
 	Callers net.Listener
 	Peers   net.Listener
 	Admin   net.Listener
 }
 
+// actor is a part that runs until ctx ends.
 type actor struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
-type stop struct {
+// stopStep is a step of the graceful shutdown.
+type stopStep struct {
 	priority Priority
 	name     string
-	fn       func(ctx context.Context)
+	run      func(ctx context.Context)
 }
 
-// Actor adds a part that runs until ctx ends. When one ends earlier, the
-// router ends: half a router would take requests that it can't serve.
-func (p *Parts) Actor(name string, run func(ctx context.Context) error) {
+// AddActor adds a part that runs until ctx ends. If it ends earlier, the whole
+// router ends, because it would otherwise accept requests that it can't serve.
+func (p *Parts) AddActor(name string, run func(ctx context.Context) error) {
 	p.actors = append(p.actors, actor{name, run})
 }
 
-// OnStop adds a step of the graceful shutdown. Steps are taken one after the
-// other, of a lower priority first, while all actors still run.
+// OnStop adds a step of the graceful shutdown. Steps run one after the other, in
+// ascending order of priority, while all actors still run.
 func (p *Parts) OnStop(priority Priority, name string, fn func(ctx context.Context)) {
-	p.stops = append(p.stops, stop{priority, name, fn})
+	p.stopSteps = append(p.stopSteps, stopStep{priority, name, fn})
 }
 
-func (p *Parts) extend(extensions []Extension) error {
+func (p *Parts) applyExtensions(extensions []Extension) error {
 	slices.SortStableFunc(extensions, func(a, b Extension) int { return int(a.Priority()) - int(b.Priority()) })
 	for _, extension := range extensions {
 		if err := extension.Extend(p); err != nil {
@@ -123,7 +128,7 @@
 func (p *Parts) listen(ctx context.Context) error {
 	for _, l := range []struct {
 		address string
-		to      *net.Listener
+		target  *net.Listener
 	}{
 		{p.Settings.GetCallerAddress(), &p.Listeners.Callers},
 		{p.Settings.GetPeerAddress(), &p.Listeners.Peers},
@@ -134,7 +139,7 @@
 			p.closeListeners()
 			return eris.Wrapf(err, "listening on %s", l.address)
 		}
-		*l.to = listener
+		*l.target = listener
 	}
 	return nil
 }
--- a/daemon/sharing.go
+++ b/daemon/sharing.go
@@ -14,41 +14,41 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// The ways to share capacity, as the settings name them. Those besides fair
-// are baselines to measure against.
+// Values of the sharing setting other than the default, fair. They are baselines
+// for measurements.
 const (
 	sharingFirstCome = "fcfs"
 	sharingStatic    = "static-share"
 )
 
-// pollTimeout bounds one poll of an upstream's load report.
+// pollTimeout limits one request for an upstream's load report.
 const pollTimeout = 2 * time.Second
 
-// idlePoll outlives the pause between two polls of an upstream, so that a poll
-// opens no connection of its own.
-const idlePoll = time.Minute
+// pollIdleTimeout exceeds the interval between two polls of an upstream, so that
+// polls reuse the connection.
+const pollIdleTimeout = time.Minute
 
-// newPollClient returns the client that asks upstreams for their load. Unlike
-// the default one it ignores the environment's proxy, which would answer in
-// the place of an upstream that is gone.
+// newPollClient returns the HTTP client for load reports of upstreams. Unlike
+// the default client it ignores proxies from the environment, because a proxy
+// would answer for an upstream that is down.
 func newPollClient() *http.Client {
 	return &http.Client{
 		Timeout:   pollTimeout,
-		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idlePoll},
+		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: pollIdleTimeout},
 	}
 }
 
-// sharingExtension decides which waiting request starts next, and where.
+// sharingExtension decides which waiting request runs next, and at which upstream.
 type sharingExtension struct{}
 
 func (sharingExtension) Priority() Priority { return PrioritySharing }
 
 func (sharingExtension) Extend(p *Parts) error {
 	s := newScheduler(p)
-	p.Source = s
-	p.State = &state{parts: p, scheduler: s}
-	p.Actor("scheduler", s.Run)
-	p.OnStop(PrioritySharing, "leave the dispatchers", func(context.Context) { s.Leave() })
+	p.SlotSource = s
+	p.State = &stateReporter{parts: p, scheduler: s}
+	p.AddActor("scheduler", s.Run)
+	p.OnStop(PrioritySharing, "hand over dispatching", func(context.Context) { s.Leave() })
 	return nil
 }
 
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -9,10 +9,10 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// stateTimeout bounds the wait for the control goroutine.
+// stateTimeout limits the wait for the scheduler's control goroutine.
 const stateTimeout = time.Second
 
-// The states of routers and upstreams in the administration API.
+// States of routers and upstreams in the administration API.
 const (
 	stateReady       = "ready"
 	stateStarting    = "starting"
@@ -22,48 +22,48 @@
 	stateLeaving     = "leaving"
 )
 
-// state implements operator.State.
-type state struct {
+// stateReporter implements operator.State.
+type stateReporter struct {
 	parts     *Parts
 	scheduler *scheduler.Scheduler
 }
 
-func (s *state) Ready() string {
+func (s *stateReporter) Ready() string {
 	switch {
 	case s.parts.Stopping.Load():
 		return "the router is shutting down"
 	case !s.parts.Notes.Ready():
-		return "the router holds no release note yet"
+		return "the router has no release note yet"
 	}
 	return ""
 }
 
-func (s *state) snapshot() scheduler.State {
+func (s *stateReporter) snapshot() scheduler.State {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
-	// A scheduler that has ended knows nothing, which is what is shown.
+	// After the scheduler has ended, State fails and the snapshot is empty.
 	snapshot, _ := s.scheduler.State(ctx)
 	return snapshot
 }
 
-func (s *state) Router() *schema.RouterState { return s.self(s.snapshot()) }
+func (s *stateReporter) Router() *schema.RouterState { return s.selfState(s.snapshot()) }
 
-func (s *state) self(snapshot scheduler.State) *schema.RouterState {
-	r := &schema.RouterState{
+func (s *stateReporter) selfState(snapshot scheduler.State) *schema.RouterState {
+	state := &schema.RouterState{
 		Id: string(s.parts.Self), DataCenter: s.parts.Settings.GetDataCenter(),
-		Address: s.parts.Listeners.Peers.Addr().String(), State: s.ownState(),
+		Address: s.parts.Listeners.Peers.Addr().String(), State: s.selfStateName(),
 		NoteVersion: uint64(s.parts.Notes.Version()), Self: true, StartedUnixMs: int64(s.parts.Incarnation),
 	}
 	for _, queue := range snapshot.Queues {
-		r.Waiting += uint32(queue.Waiting)
+		state.Waiting += uint32(queue.Waiting)
 	}
 	for _, upstream := range snapshot.Upstreams {
-		r.InFlight += uint32(upstream.Here)
+		state.InFlight += uint32(upstream.Here)
 	}
-	return r
+	return state
 }
 
-func (s *state) ownState() string {
+func (s *stateReporter) selfStateName() string {
 	switch {
 	case s.parts.Stopping.Load():
 		return stateStopping
@@ -73,9 +73,9 @@
 	return stateReady
 }
 
-func (s *state) Routers() []*schema.RouterState {
+func (s *stateReporter) Routers() []*schema.RouterState {
 	snapshot := s.snapshot()
-	self := s.self(snapshot)
+	self := s.selfState(snapshot)
 	routers := []*schema.RouterState{self}
 	for _, r := range snapshot.Routers {
 		if r.ID == s.parts.Self {
@@ -83,7 +83,7 @@
 			continue
 		}
 		routers = append(routers, &schema.RouterState{
-			Id: string(r.ID), State: routerState(r), StartedUnixMs: int64(r.Incarnation),
+			Id: string(r.ID), State: peerStateName(r), StartedUnixMs: int64(r.Incarnation),
 			DataCenter: string(r.DataCenter), Address: r.Address,
 			NoteVersion: uint64(s.parts.Notes.PeerVersion(r.ID)), Dispatches: r.Dispatches,
 		})
@@ -91,7 +91,7 @@
 	return routers
 }
 
-func routerState(r scheduler.RouterState) string {
+func peerStateName(r scheduler.RouterState) string {
 	switch {
 	case r.Leaving:
 		return stateStopping
@@ -101,9 +101,9 @@
 	return stateReady
 }
 
-func (s *state) Accounts() map[fleet.AccountID]*schema.AccountLoad {
+func (s *stateReporter) Accounts() map[fleet.AccountID]*schema.AccountLoad {
 	loads := make(map[fleet.AccountID]*schema.AccountLoad)
-	of := func(id fleet.AccountID) *schema.AccountLoad {
+	loadOf := func(id fleet.AccountID) *schema.AccountLoad {
 		if loads[id] == nil {
 			loads[id] = &schema.AccountLoad{}
 		}
@@ -111,18 +111,18 @@
 	}
 	snapshot := s.snapshot()
 	for _, queue := range snapshot.Queues {
-		of(queue.Account).Waiting += uint32(queue.Waiting)
+		loadOf(queue.Account).Waiting += uint32(queue.Waiting)
 	}
 	for id, count := range snapshot.InFlight {
-		of(id).InFlight = uint32(count)
+		loadOf(id).InFlight = uint32(count)
 	}
 	for id, served := range s.parts.Metrics.ServiceByAccount() {
-		of(fleet.AccountID(id)).Service = int64(served)
+		loadOf(fleet.AccountID(id)).Service = int64(served)
 	}
 	return loads
 }
 
-func (s *state) Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad {
+func (s *stateReporter) Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad {
 	loads := make(map[fleet.UpstreamID]*schema.UpstreamLoad)
 	for _, u := range s.snapshot().Upstreams {
 		load := &schema.UpstreamLoad{
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -16,43 +16,43 @@
 	"nutmeglock.example/nutmeglock/trace"
 )
 
-// traceExtension records a trace into the file that the settings name.
+// traceExtension writes a trace of ended requests to the trace file of the settings.
 type traceExtension struct{}
 
 func (traceExtension) Priority() Priority { return PriorityTrace }
 
-// traceMode lets the file be read by its owner alone: it names client accounts.
-const traceMode = 0o600
+// traceFileMode restricts the file to its owner, because it contains the names
+// of client accounts.
+const traceFileMode = 0o600
 
-// Extend opens the file, which loses what it held, and fails when it can't. A
-// router that noticed only later would have nothing to show of the day that
-// was to be recorded.
+// Extend opens and truncates the trace file. It fails if it can't, so that a
+// wrong path is noticed at the start and not after a day without a trace.
 func (traceExtension) Extend(p *Parts) error {
 	name := p.Settings.GetTraceFile()
 	if name == "" {
 		return nil
 	}
-	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, traceMode) //nolint:gosec // the operator names the file
+	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, traceFileMode) //nolint:gosec // the operator names the file
 	if err != nil {
-		return eris.Wrap(err, "opening the settings' trace-file")
+		return eris.Wrap(err, "opening the trace-file of the settings")
 	}
 	t := &tracer{
-		parts: p, file: file, recorder: trace.NewRecorder(file), started: p.Timer.Now(), first: make(chan struct{}),
+		parts: p, file: file, recorder: trace.NewRecorder(file), started: p.Timer.Now(), headerReady: make(chan struct{}),
 		incomplete: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "nutmeglock_trace_incomplete_total",
-			Help: "Ended requests left out of the trace, since what they cost is not known.",
+			Help: "Ended requests omitted from the trace because their cost is unknown.",
 		}),
 	}
 	p.Registry.MustRegister(t.incomplete, prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "nutmeglock_trace_lost_total",
-		Help: "Ended requests that the trace lost, because its file did not take them in time.",
+		Help: "Ended requests missing from the trace because its file could not be written in time.",
 	}, func() float64 { return float64(t.recorder.Dropped()) }))
 	p.Runner.Observers = append(p.Runner.Observers, t)
-	p.Actor("trace", t.run)
+	p.AddActor("trace", t.run)
 	return nil
 }
 
-// tracer turns reports into records.
+// tracer writes reports of ended requests as trace records.
 type tracer struct {
 	parts      *Parts
 	started    time.Time
@@ -60,18 +60,19 @@
 	recorder   *trace.Recorder
 	incomplete prometheus.Counter
 
-	once  sync.Once
-	first chan struct{}
-	// header and router are set when first is closed. Before the first request
-	// the release note and the other routers may not be known.
-	header trace.Header
-	router int
+	headerOnce  sync.Once
+	headerReady chan struct{}
+	// header and routerIndex are set before headerReady is closed, at the end of the
+	// first request: earlier, the release note and the other routers may be
+	// unknown.
+	header      trace.Header
+	routerIndex int
 }
 
-// Ended records one request.
+// Ended implements call.Observer.
 func (t *tracer) Ended(report call.Report) {
-	t.once.Do(t.begin)
-	record := t.record(report)
+	t.headerOnce.Do(t.setHeader)
+	record := t.newRecord(report)
 	if record.Check() != nil {
 		t.incomplete.Inc()
 		return
@@ -79,23 +80,25 @@
 	t.recorder.Record(record)
 }
 
-func (t *tracer) begin() {
+// setHeader fills in the trace header and the index of this router.
+func (t *tracer) setHeader() {
 	routers := append(t.parts.Peers.Routers(), t.parts.Self)
 	slices.Sort(routers)
-	t.router = slices.Index(routers, t.parts.Self)
+	t.routerIndex = slices.Index(routers, t.parts.Self)
 	t.header = trace.Header{
 		About: "recorded by router " + string(t.parts.Self), Begun: t.started.UTC(),
 		Fleet: trace.Fleet{Routers: len(routers)},
 	}
 	if view := t.parts.Notes.Current(); view != nil {
 		for _, service := range view.State().GetServices() {
-			t.count(service, len(view.Upstreams(fleet.ServiceID(service.GetId()))))
+			t.countUpstreams(service, len(view.Upstreams(fleet.ServiceID(service.GetId()))))
 		}
 	}
-	close(t.first)
+	close(t.headerReady)
 }
 
-func (t *tracer) count(service *schema.Service, upstreams int) {
+// countUpstreams adds a service's upstreams to the trace header.
+func (t *tracer) countUpstreams(service *schema.Service, upstreams int) {
 	if fleet.Kind(service.GetKind()) == fleet.Model {
 		t.header.Fleet.Models += upstreams
 	} else {
@@ -103,10 +106,10 @@
 	}
 }
 
-func (t *tracer) record(report call.Report) trace.Record {
+func (t *tracer) newRecord(report call.Report) trace.Record {
 	record := trace.Record{
 		At: report.Arrived.Sub(t.started).Milliseconds(), Account: report.Account, Service: report.Service,
-		Kind: fleet.Plain, Router: t.router, NonIdempotent: report.NonIdempotent,
+		Kind: fleet.Plain, Router: t.routerIndex, NonIdempotent: report.NonIdempotent,
 		Deadline: report.Deadline.Milliseconds(), Outcome: trace.Answered, Queue: report.Queue.Milliseconds(),
 		FirstToken: report.FirstToken.Milliseconds(), Total: report.Total.Milliseconds(),
 	}
@@ -122,19 +125,19 @@
 	return record
 }
 
-// run writes the trace until ctx ends, when the last request has. A file that
-// takes no more is no reason to end the router: its records count as lost.
+// run writes the trace until ctx ends, which is after the last request. An error
+// of the file does not end the router: later records count as lost.
 func (t *tracer) run(ctx context.Context) error {
 	select {
-	case <-t.first:
+	case <-t.headerReady:
 	case <-ctx.Done():
-		t.once.Do(t.begin)
+		t.headerOnce.Do(t.setHeader)
 	}
 	if err := t.recorder.Run(ctx, t.header); err != nil {
-		t.parts.Log.Error("the trace ends here", "error", err)
+		t.parts.Log.Error("writing the trace failed", "error", err)
 	}
 	if err := t.file.Close(); err != nil {
-		t.parts.Log.Error("closing the trace", "error", err)
+		t.parts.Log.Error("closing the trace failed", "error", err)
 	}
 	<-ctx.Done()
 	return nil
--- a/router/answer.go
+++ b/router/answer.go
@@ -46,8 +46,8 @@
 			Detail: "the response was cut off", Cause: err,
 		}
 	}
-	var web *echo.HTTPError
-	if errors.As(err, &web) && web.Code < http.StatusInternalServerError {
+	var httpErr *echo.HTTPError
+	if errors.As(err, &httpErr) && httpErr.Code < http.StatusInternalServerError {
 		return &refusal.Error{
 			Reason: refusal.BadRequest, Outcome: refusal.NotRun,
 			Detail: "no such path or method", Cause: err,
--- a/router/body.go
+++ b/router/body.go
@@ -15,9 +15,9 @@
 // sender would otherwise occupy an upstream slot, and a broken connection would
 // leave a partial request at the upstream.
 func (r *Router) readBody(w http.ResponseWriter, req *http.Request) ([]byte, *refusal.Error) {
-	control := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	// Only response writers of tests do not support deadlines.
-	_ = control.SetReadDeadline(time.Now().Add(r.Limits.BodyTimeout))
+	_ = controller.SetReadDeadline(time.Now().Add(r.Limits.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, r.Limits.BodyBytes))
 	if err != nil {
 		// The deadline stays set: net/http reads the rest of the body before it
@@ -26,7 +26,7 @@
 		w.Header().Set("Connection", "close")
 		return nil, r.bodyRefusal(err)
 	}
-	_ = control.SetReadDeadline(time.Time{})
+	_ = controller.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
--- a/router/caller.go
+++ b/router/caller.go
@@ -106,13 +106,13 @@
 		return now.Add(r.Limits.DefaultDeadline), nil
 	}
 	ms, err := strconv.ParseUint(text, decimal, timeoutBits)
-	wait := time.Duration(ms) * time.Millisecond
-	if err != nil || wait < minTimeout || wait > r.Limits.MaxDeadline {
+	timeout := time.Duration(ms) * time.Millisecond
+	if err != nil || timeout < minTimeout || timeout > r.Limits.MaxDeadline {
 		detail := fmt.Sprintf("%s is %q; it must be a whole number of milliseconds from 1 to %d",
 			HeaderTimeout, text, r.Limits.MaxDeadline.Milliseconds())
 		return time.Time{}, refusal.New(refusal.BadRequest, detail, 0)
 	}
-	return now.Add(wait), nil
+	return now.Add(timeout), nil
 }
 
 // idempotencyKey returns the request's idempotency key, or "" if it has none.
