--- a/document/describe.go
+++ b/document/describe.go
@@ -10,30 +10,32 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// describe returns what a field may hold, as a fault shows it.
-func describe(field protoreflect.FieldDescriptor) string {
+// describeField returns the text for a fault on the values that a field allows.
+func describeField(field protoreflect.FieldDescriptor) string {
 	if !field.IsList() {
-		return describeOne(field)
+		return describeValue(field)
 	}
 	rule := schema.RuleOf(field)
-	parts := []string{"a list of " + plural(field)}
+	parts := []string{"a list of " + pluralType(field)}
 	if bounds := describeBounds(rule, " of them"); bounds != "" {
 		parts = append(parts, bounds)
 	}
-	return strings.Join(append(parts, describeForm(rule)...), ", ")
+	return strings.Join(append(parts, describeFormat(rule)...), ", ")
 }
 
-// describeOne returns what a field, or one element of a list, may hold.
-func describeOne(field protoreflect.FieldDescriptor) string {
+// describeValue is describeField for a single value: that of a scalar or object
+// field, or one element of a list.
+func describeValue(field protoreflect.FieldDescriptor) string {
 	rule := schema.RuleOf(field)
 	parts := []string{describeType(field, rule)}
-	if bounds := describeBounds(fromZero(field, rule), counted(field)); bounds != "" && !field.IsList() {
+	if bounds := describeBounds(withUnsignedMin(field, rule), lengthUnit(field)); bounds != "" && !field.IsList() {
 		parts = append(parts, bounds)
 	}
-	return strings.Join(append(parts, describeForm(rule)...), ", ")
+	return strings.Join(append(parts, describeFormat(rule)...), ", ")
 }
 
-func describeForm(rule *schema.Rule) []string {
+// describeFormat returns the choices of the rule and its description of the format.
+func describeFormat(rule *schema.Rule) []string {
 	var parts []string
 	if len(rule.GetOneOf()) > 0 {
 		parts = append(parts, "one of "+strings.Join(rule.GetOneOf(), ", "))
@@ -60,8 +62,9 @@
 	return text
 }
 
-// fromZero returns the rule with the lower bound that an unsigned type has by itself.
-func fromZero(field protoreflect.FieldDescriptor, rule *schema.Rule) *schema.Rule {
+// withUnsignedMin adds the lower bound zero to the rule of an unsigned field
+// that sets no other.
+func withUnsignedMin(field protoreflect.FieldDescriptor, rule *schema.Rule) *schema.Rule {
 	unsigned := field.Kind() == protoreflect.Uint32Kind || field.Kind() == protoreflect.Uint64Kind
 	if !unsigned || rule.GetSetMin() {
 		return rule
@@ -69,7 +72,8 @@
 	return &schema.Rule{SetMin: true, SetMax: rule.GetSetMax(), Max: rule.GetMax()}
 }
 
-func plural(field protoreflect.FieldDescriptor) string {
+// pluralType returns the plural name of a field's JSON type.
+func pluralType(field protoreflect.FieldDescriptor) string {
 	switch field.Kind() {
 	case protoreflect.StringKind:
 		return "strings"
@@ -80,28 +84,31 @@
 	}
 }
 
-func counted(field protoreflect.FieldDescriptor) string {
+// lengthUnit returns the unit of bounds on the length of a string, or "".
+func lengthUnit(field protoreflect.FieldDescriptor) string {
 	if field.Kind() == protoreflect.StringKind {
 		return " characters"
 	}
 	return ""
 }
 
-func describeBounds(rule *schema.Rule, counted string) string {
+// describeBounds returns the bounds of the rule followed by the unit, or "" if it has none.
+func describeBounds(rule *schema.Rule, unit string) string {
 	low, high := formatBound(rule.GetMin()), formatBound(rule.GetMax())
 	switch {
 	case rule.GetSetMin() && rule.GetSetMax():
-		return fmt.Sprintf("from %s to %s%s", low, high, counted)
+		return fmt.Sprintf("from %s to %s%s", low, high, unit)
 	case rule.GetSetMin():
-		return "at least " + low + counted
+		return "at least " + low + unit
 	case rule.GetSetMax():
-		return "at most " + high + counted
+		return "at most " + high + unit
 	}
 	return ""
 }
 
 func formatBound(bound float64) string { return strconv.FormatFloat(bound, 'f', -1, 64) }
 
+// fieldNames returns the JSON names of the fields that a document may set.
 func fieldNames(message protoreflect.MessageDescriptor) []string {
 	fields := message.Fields()
 	names := make([]string, 0, fields.Len())
@@ -113,37 +120,38 @@
 	return names
 }
 
-// maxDistance is how many edits a name may be away from the one that is
-// suggested for it. Three edits turn short names into any other.
-const maxDistance = 2
+// maxEditDistance limits the edit distance between a name and a suggestion for
+// it. With three edits, any short name can become any other.
+const maxEditDistance = 2
 
-// nearestField returns the field that a name was probably meant to be, or
-// nothing. Underscores and capitals count as the hyphens of kebab case.
+// nearestField returns the most similar field name, or "" if none is similar.
+// It converts snake case and camel case to kebab case first.
 func nearestField(message protoreflect.MessageDescriptor, name string) string {
-	return Nearest(kebab(name), fieldNames(message))
+	return Nearest(toKebabCase(name), fieldNames(message))
 }
 
-// Nearest returns the candidate that a name was probably meant to be, or
-// nothing. Of several equally near ones it returns the alphabetically first.
+// Nearest returns the most similar candidate, or "" if none is similar. Of
+// several with the same edit distance it returns the alphabetically first.
 func Nearest(name string, candidates []string) string {
-	if len(name) > maxShown {
+	if len(name) > maxShownBytes {
 		return ""
 	}
-	nearest, least := "", maxDistance+1
+	nearest, minDistance := "", maxEditDistance+1
 	for _, candidate := range candidates {
-		d := distance(name, candidate)
-		if d >= len(candidate) || d > least || (d == least && candidate >= nearest) {
+		d := levenshtein(name, candidate)
+		if d >= len(candidate) || d > minDistance || (d == minDistance && candidate >= nearest) {
 			continue
 		}
-		nearest, least = candidate, d
+		nearest, minDistance = candidate, d
 	}
-	if least > maxDistance {
+	if minDistance > maxEditDistance {
 		return ""
 	}
 	return nearest
 }
 
-func kebab(name string) string {
+// toKebabCase converts snake case and camel case to kebab case.
+func toKebabCase(name string) string {
 	var b strings.Builder
 	for i, c := range name {
 		switch {
@@ -161,8 +169,8 @@
 	return b.String()
 }
 
-// distance returns the Levenshtein distance of two strings, in bytes.
-func distance(a, b string) int {
+// levenshtein returns the Levenshtein distance between two strings, in bytes.
+func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/document/document.go
+++ b/document/document.go
@@ -1,10 +1,10 @@
-// Package document reads JSON with comments against a message of the schema
-// and reports everything that is wrong with it at once, each fault with its
-// place, its path, what was found and what is allowed.
+// Package document parses JSON with comments into a protobuf message and
+// validates it. It reports all faults at once, each with its position, its
+// path, what was found and what is allowed.
 //
-// Fields go by their kebab-case JSON names. The bounds come from the rule
-// option in schema/rule.proto. Strings, booleans, numbers, messages and lists
-// of them are read; no document of the schema holds enums, bytes or maps.
+// Fields have kebab-case JSON names. Validation rules come from the rule option
+// in schema/rule.proto. Strings, booleans, numbers, messages and lists of them
+// are supported; no document of the schema has enums, bytes or maps.
 package document
 
 import (
@@ -19,21 +19,21 @@
 )
 
 const (
-	// MaxBytes bounds a document. A note that adds all of 36,000 accounts at
-	// about 150 bytes is 5 MB.
+	// MaxBytes limits the size of a document. A release note that adds 36,000
+	// accounts of about 150 bytes is 5 MB.
 	MaxBytes = 8 << 20
-	// MaxDepth bounds the nesting. The parser recurses, so that a document of
-	// millions of opening brackets would exhaust the stack, which ends the
-	// process. The schema nests 5 deep.
+	// MaxDepth limits the nesting. The parser is recursive, so millions of
+	// opening brackets would overflow the stack and crash the process. The
+	// schema has 5 levels.
 	MaxDepth = 32
 )
 
-// Document is a message that was read, together with the places of its fields
-// and the faults found so far.
+// Document is a parsed message with the positions of its fields and the faults
+// found so far.
 type Document[M proto.Message] struct {
-	// Message holds what could be read. It is never nil.
+	// Message holds the values that could be read. It is never nil.
 	Message M
-	// File is the name that faults show.
+	// File is the file name in faults.
 	File string
 
 	positions map[string]Position
@@ -41,8 +41,8 @@
 	dropped   int
 }
 
-// Read returns the message that data holds, or *FaultsError. The name of the
-// file is only shown in faults.
+// Read parses and validates data. It returns *FaultsError if there are faults.
+// The file name is used only in faults.
 func Read[M proto.Message](file string, data []byte) (M, error) {
 	d := Parse[M](file, data)
 	if err := d.Err(); err != nil {
@@ -52,24 +52,24 @@
 	return d.Message, nil
 }
 
-// Parse returns the document that data holds, with its faults, so that a
-// caller can look for contradictions and add them before it asks for Err.
+// Parse is Read for callers that have further checks: they can Add faults to
+// the document before they call Err.
 func Parse[M proto.Message](file string, data []byte) *Document[M] {
 	var none M
 	message, _ := none.ProtoReflect().New().Interface().(M)
 	d := &Document[M]{Message: message, File: file, positions: map[string]Position{}}
-	r := &reader{data: data, positions: d.positions, add: d.add, full: func() bool { return len(d.faults) == MaxFaults }}
+	r := &reader{data: data, positions: d.positions, addFault: d.addFault, faultsFull: func() bool { return len(d.faults) == MaxFaults }}
 	r.read(d.Message.ProtoReflect())
 	return d
 }
 
-// Add adds a fault at the path. Its position is that of the path's field, or
-// of the nearest object around it that the document holds.
+// Add adds a fault at the path. Its position is that of the field, or of the
+// nearest enclosing value that is in the document.
 func (d *Document[M]) Add(path string, kind Kind, found, allowed string) {
-	d.add(Fault{Position: d.position(path), Path: path, Kind: kind, Found: found, Allowed: allowed})
+	d.addFault(Fault{Position: d.positionOf(path), Path: path, Kind: kind, Found: found, Allowed: allowed})
 }
 
-// Err returns *FaultsError when the document has faults.
+// Err returns *FaultsError if the document has faults, else nil.
 func (d *Document[M]) Err() error {
 	if len(d.faults) == 0 {
 		return nil
@@ -81,7 +81,7 @@
 	return &FaultsError{Faults: faults, Dropped: d.dropped}
 }
 
-func (d *Document[M]) add(f Fault) {
+func (d *Document[M]) addFault(f Fault) {
 	if len(d.faults) == MaxFaults {
 		d.dropped++
 		return
@@ -90,10 +90,12 @@
 	d.faults = append(d.faults, f)
 }
 
-func (d *Document[M]) position(path string) Position {
+// positionOf returns the position of the path, or of the nearest enclosing value
+// that is in the document.
+func (d *Document[M]) positionOf(path string) Position {
 	for {
-		if at, ok := d.positions[path]; ok {
-			return at
+		if position, ok := d.positions[path]; ok {
+			return position
 		}
 		cut := strings.LastIndexAny(path, ".[")
 		if cut < 0 {
@@ -103,50 +105,50 @@
 	}
 }
 
-// parse returns the JSON value in data. It reports false when there is none;
-// the fault is then added already.
+// parse parses data as JSON with comments. If it returns false, it has added a
+// fault.
 func (r *reader) parse() (hujson.Value, bool) {
 	if len(r.data) > MaxBytes {
-		r.add(Fault{Kind: TooLarge, Found: fmt.Sprintf("%d bytes", len(r.data)), Allowed: fmt.Sprintf("at most %d bytes", MaxBytes)})
+		r.addFault(Fault{Kind: TooLarge, Found: fmt.Sprintf("%d bytes", len(r.data)), Allowed: fmt.Sprintf("at most %d bytes", MaxBytes)})
 		return hujson.Value{}, false
 	}
-	if at, deep := tooDeep(r.data); deep {
-		r.add(Fault{Position: r.at(at), Kind: TooLarge, Found: "deeper nesting", Allowed: fmt.Sprintf("at most %d levels", MaxDepth)})
+	if offset, found := findTooDeep(r.data); found {
+		r.addFault(Fault{Position: r.positionAt(offset), Kind: TooLarge, Found: "deeper nesting", Allowed: fmt.Sprintf("at most %d levels", MaxDepth)})
 		return hujson.Value{}, false
 	}
 	value, err := hujson.Parse(r.data)
 	if err == nil {
 		return value, true
 	}
-	at, text := splitParseError(err)
+	position, text := splitParseError(err)
 	if strings.Contains(text, "after top-level value") {
-		r.add(Fault{Position: at, Kind: TrailingData, Found: text, Allowed: "one JSON value"})
+		r.addFault(Fault{Position: position, Kind: TrailingData, Found: text, Allowed: "one JSON value"})
 		return value, true
 	}
-	r.add(Fault{Position: at, Kind: Syntax, Found: text, Allowed: "JSON with comments"})
+	r.addFault(Fault{Position: position, Kind: Syntax, Found: text, Allowed: "JSON with comments"})
 	return hujson.Value{}, false
 }
 
-// splitParseError takes apart the parser's error, which has no type: its text
-// begins with "hujson: line 3, column 7: ".
+// splitParseError splits an error of hujson into position and message. The error
+// is untyped; its text begins with "hujson: line 3, column 7: ".
 func splitParseError(err error) (Position, string) {
-	var at Position
+	var position Position
 	text := err.Error()
-	if _, scanErr := fmt.Sscanf(text, "hujson: line %d, column %d:", &at.Line, &at.Column); scanErr != nil {
+	if _, scanErr := fmt.Sscanf(text, "hujson: line %d, column %d:", &position.Line, &position.Column); scanErr != nil {
 		return Position{Line: 1, Column: 1}, text
 	}
 	if _, rest, ok := strings.Cut(text, ": line "); ok {
 		_, text, _ = strings.Cut(rest, ": ")
 	}
-	if doing, ended := strings.CutSuffix(text, ": unexpected EOF"); ended {
-		text = "the end of the file while " + doing
+	if action, ended := strings.CutSuffix(text, ": unexpected EOF"); ended {
+		text = "the end of the file while " + action
 	}
-	return at, text
+	return position, text
 }
 
-// tooDeep returns the offset of the first bracket that is nested deeper than
-// MaxDepth, strings and comments aside.
-func tooDeep(data []byte) (int, bool) {
+// findTooDeep returns the offset of the first bracket nested deeper than
+// MaxDepth. It ignores brackets in strings and comments.
+func findTooDeep(data []byte) (int, bool) {
 	depth := 0
 	for i := 0; i < len(data); i++ {
 		switch data[i] {
@@ -166,7 +168,7 @@
 	return 0, false
 }
 
-// skipString returns the offset of the quote that ends the string that begins at i.
+// skipString returns the offset of the closing quote of the string that starts at i.
 func skipString(data []byte, i int) int {
 	for i++; i < len(data) && data[i] != '"'; i++ {
 		if data[i] == '\\' {
@@ -176,7 +178,8 @@
 	return i
 }
 
-// skipComment returns the offset of the last byte of the comment that begins at i, or i when none does.
+// skipComment returns the offset of the last byte of the comment that starts at
+// i, or i if there is none.
 func skipComment(data []byte, i int) int {
 	rest := data[i:]
 	var end int
@@ -196,24 +199,24 @@
 	return i + end
 }
 
-// at returns the position of an offset. The offsets of a document are asked
-// for in growing order, so that the scan goes on from the last one.
-func (r *reader) at(offset int) Position {
+// positionAt returns the position of an offset. It continues from the last
+// offset, because calls mostly have increasing offsets.
+func (r *reader) positionAt(offset int) Position {
 	if offset < r.lastOffset {
-		r.lastOffset, r.lastLine, r.lineStart = 0, 0, 0
+		r.lastOffset, r.lineIndex, r.lineStart = 0, 0, 0
 	}
 	for i := r.lastOffset; i < offset && i < len(r.data); i++ {
 		if r.data[i] == '\n' {
-			r.lastLine++
+			r.lineIndex++
 			r.lineStart = i + 1
 		}
 	}
 	r.lastOffset = offset
-	return Position{Line: r.lastLine + 1, Column: offset - r.lineStart + 1}
+	return Position{Line: r.lineIndex + 1, Column: offset - r.lineStart + 1}
 }
 
-// Locate fills in the file and the positions of faults that were found in the
-// message without its document.
+// Locate fills in the file and position of faults that have none, because they
+// were found in the message alone.
 func (d *Document[M]) Locate(faults []Fault) []Fault {
 	located := slices.Clone(faults)
 	for i, f := range located {
@@ -221,7 +224,7 @@
 			continue
 		}
 		located[i].File = d.File
-		located[i].Position = d.position(f.Path)
+		located[i].Position = d.positionOf(f.Path)
 	}
 	return located
 }
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -17,8 +17,9 @@
 
 var update = flag.Bool("update", false, "write the faults that are found into the case files")
 
-// read reads a document of the type that its file name tells.
-func read(file string, data []byte) error {
+// readByName reads a release note if the file name starts with "note", else
+// router settings.
+func readByName(file string, data []byte) error {
 	if strings.HasPrefix(file, "note") {
 		_, err := document.Read[*schema.ReleaseNote](file, data)
 		return err
@@ -27,7 +28,7 @@
 	return err
 }
 
-// Each case file holds a document and the faults that are expected of it.
+// Each case file holds a document and its expected faults.
 func TestCases(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("testdata/cases/*.txtar")
@@ -41,7 +42,7 @@
 			require.Len(t, archive.Files, 2)
 			input, faults := archive.Files[0], archive.Files[1]
 			got := ""
-			if err := read(input.Name, input.Data); err != nil {
+			if err := readByName(input.Name, input.Data); err != nil {
 				var typed *document.FaultsError
 				require.ErrorAs(t, err, &typed)
 				got = err.Error() + "\n"
@@ -56,11 +57,11 @@
 	}
 }
 
-// A document of nothing but opening brackets makes a recursive parser exhaust
-// its stack, which ends the router: callers would lose every request in flight.
+// A document of opening brackets overflows the stack of a recursive parser. That
+// would crash the router, with all requests in flight.
 func TestDeepNestingIsRefused(t *testing.T) {
 	t.Parallel()
-	err := read("note.jsonc", []byte(strings.Repeat("[", document.MaxBytes)))
+	err := readByName("note.jsonc", []byte(strings.Repeat("[", document.MaxBytes)))
 	var typed *document.FaultsError
 	require.ErrorAs(t, err, &typed)
 	require.Equal(t, document.TooLarge, typed.Faults[0].Kind)
@@ -68,7 +69,7 @@
 
 func TestOversizedDocumentIsRefused(t *testing.T) {
 	t.Parallel()
-	err := read("note.jsonc", make([]byte, document.MaxBytes+1))
+	err := readByName("note.jsonc", make([]byte, document.MaxBytes+1))
 	var typed *document.FaultsError
 	require.ErrorAs(t, err, &typed)
 	require.Equal(t, document.TooLarge, typed.Faults[0].Kind)
@@ -76,7 +77,7 @@
 
 func TestFaultsAreBounded(t *testing.T) {
 	t.Parallel()
-	err := read("note.jsonc", []byte(`{"summary":"x",`+strings.Repeat(`"summary":"x",`, 300)+`}`))
+	err := readByName("note.jsonc", []byte(`{"summary":"x",`+strings.Repeat(`"summary":"x",`, 300)+`}`))
 	var typed *document.FaultsError
 	require.ErrorAs(t, err, &typed)
 	require.Len(t, typed.Faults, document.MaxFaults)
@@ -99,8 +100,8 @@
 	require.True(t, proto.Equal(want, note), note)
 }
 
-// Whatever a document holds, reading it ends, and says either yes or why not
-// with a place inside the document.
+// For any input, Read terminates and returns either a message or faults with
+// positions inside the document.
 func FuzzRead(f *testing.F) {
 	files, err := filepath.Glob("../examples/*.jsonc")
 	require.NoError(f, err)
@@ -111,7 +112,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for _, file := range []string{"note", "settings"} {
-			err := read(file, data)
+			err := readByName(file, data)
 			if err == nil {
 				continue
 			}
--- a/document/fault.go
+++ b/document/fault.go
@@ -5,60 +5,62 @@
 	"strings"
 )
 
-// Kind says in which way a document is at fault.
+// Kind is the kind of a fault.
 type Kind string
 
-// The kinds of faults.
+// Kinds of faults.
 const (
-	// Syntax is text that is not JSON with comments. Nothing after it was checked.
+	// Syntax is text that is not valid JSON with comments. Nothing after it is checked.
 	Syntax Kind = "syntax"
-	// TooLarge is a document over MaxBytes or nested deeper than MaxDepth. Nothing in it was checked.
+	// TooLarge is a document over MaxBytes or nested deeper than MaxDepth. Nothing in it is checked.
 	TooLarge Kind = "too-large"
-	// TrailingData is text after the document's end.
+	// TrailingData is text after the JSON value.
 	TrailingData Kind = "trailing-data"
-	// UnknownField is a field that the schema does not have.
+	// UnknownField is a field that is not in the schema.
 	UnknownField Kind = "unknown-field"
-	// DuplicateField is a field that stands twice in one object.
+	// DuplicateField is a field that occurs twice in one object.
 	DuplicateField Kind = "duplicate-field"
-	// AssignedField is a field that nutmeglock fills in itself.
+	// AssignedField is a field that only nutmeglock may set.
 	AssignedField Kind = "assigned-field"
-	// WrongType is a value of another JSON type than the schema's.
+	// WrongType is a value whose JSON type differs from the schema.
 	WrongType Kind = "wrong-type"
-	// WrongUnit is a quantity written with a unit, where a plain number of the schema's unit stands.
+	// WrongUnit is a string with a number and a unit, in place of a number in the
+	// unit of the schema.
 	WrongUnit Kind = "wrong-unit"
 	// Missing is a required field that is absent or empty.
 	Missing Kind = "missing"
-	// OutOfBounds is a number, a length or a count outside its bounds.
+	// OutOfBounds is a number, or the length of a string or list, outside its bounds.
 	OutOfBounds Kind = "out-of-bounds"
-	// NotAllowed is a string that is not of the form or not among the choices.
+	// NotAllowed is a string that does not match the pattern or the choices of its rule.
 	NotAllowed Kind = "not-allowed"
-	// Contradiction is a value that another value of the document rules out.
+	// Contradiction is a value that conflicts with another value of the document.
 	Contradiction Kind = "contradiction"
 	// NotFound is a reference to an entry that does not exist.
 	NotFound Kind = "not-found"
-	// AlreadyExists is a new entry whose id is taken.
+	// AlreadyExists is a new entry whose id is already in use.
 	AlreadyExists Kind = "already-exists"
 	// StillInUse is an entry that cannot be withdrawn because another refers to it.
 	StillInUse Kind = "still-in-use"
 )
 
-// Position is a place in a document, counted from 1; columns count bytes. The
-// zero Position stands for an unknown place.
+// Position is a line and a column in a document. Both count from 1, and columns
+// count bytes. The zero value is an unknown position.
 type Position struct {
 	Line   int
 	Column int
 }
 
-// Fault is one thing that is wrong with a document.
+// Fault is a validation error in a document.
 type Fault struct {
 	File string
 	Position
-	// Path leads to the field, such as added.accounts[2].weight. It is empty for the whole document.
+	// Path is the path of the field, such as added.accounts[2].weight. It is empty
+	// for the whole document.
 	Path string
 	Kind Kind
-	// Found is what the document holds.
+	// Found describes the value in the document.
 	Found string
-	// Allowed is what it may hold.
+	// Allowed describes the allowed values.
 	Allowed string
 }
 
@@ -76,15 +78,14 @@
 	return b.String()
 }
 
-// MaxFaults is how many faults a FaultsError lists: more than an operator
-// mends in one go, and few enough to bound the answer to a hostile document.
+// MaxFaults limits the faults of a FaultsError. It is more than an operator
+// corrects at a time, and bounds the response to a malicious document.
 const MaxFaults = 100
 
-// FaultsError is the error of a document with faults. It lists all of them in
-// the order of the document, up to MaxFaults.
+// FaultsError lists the faults of a document by position, up to MaxFaults.
 type FaultsError struct {
 	Faults []Fault
-	// Dropped counts the faults that are not listed.
+	// Dropped is the number of faults beyond MaxFaults.
 	Dropped int
 }
 
--- a/document/reader.go
+++ b/document/reader.go
@@ -11,16 +11,19 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// reader fills a message from the JSON value in data.
+// reader reads the JSON value in data into a message.
 type reader struct {
 	data      []byte
 	positions map[string]Position
-	add       func(Fault)
-	// full reports whether further faults are only counted.
-	full func() bool
+	addFault  func(Fault)
+	// faultsFull reports whether MaxFaults is reached, so that further faults are
+	// only counted.
+	faultsFull func() bool
 
+	// State of positionAt: the last offset, the index of its line, and the offset
+	// at which that line starts.
 	lastOffset int
-	lastLine   int
+	lineIndex  int
 	lineStart  int
 }
 
@@ -29,46 +32,47 @@
 	if !ok {
 		return
 	}
-	r.positions[""] = r.at(value.StartOffset)
-	r.message("", value, m)
+	r.positions[""] = r.positionAt(value.StartOffset)
+	r.readMessage("", value, m)
 }
 
-// fault adds a fault at a value.
-func (r *reader) fault(path string, value hujson.Value, kind Kind, allowed string) {
-	r.add(Fault{Position: r.at(value.StartOffset), Path: path, Kind: kind, Found: show(value), Allowed: allowed})
+// addFaultAt adds a fault at the position of a value.
+func (r *reader) addFaultAt(path string, value hujson.Value, kind Kind, allowed string) {
+	r.addFault(Fault{Position: r.positionAt(value.StartOffset), Path: path, Kind: kind, Found: formatValue(value), Allowed: allowed})
 }
 
-// message fills m from an object.
-func (r *reader) message(path string, value hujson.Value, m protoreflect.Message) {
+// readMessage reads an object into m.
+func (r *reader) readMessage(path string, value hujson.Value, m protoreflect.Message) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
-		r.fault(path, value, WrongType, "an object")
+		r.addFaultAt(path, value, WrongType, "an object")
 		return
 	}
 	seen := make(map[string]bool, len(object.Members))
 	for _, member := range object.Members {
 		name, _ := member.Name.Value.(hujson.Literal)
 		key := name.String()
-		inner := join(path, key)
+		fieldPath := joinPath(path, key)
 		if seen[key] {
-			r.add(Fault{Position: r.at(member.Name.StartOffset), Path: inner, Kind: DuplicateField, Found: "the field a second time", Allowed: "each field once"})
+			r.addFault(Fault{Position: r.positionAt(member.Name.StartOffset), Path: fieldPath, Kind: DuplicateField, Found: "the field a second time", Allowed: "each field once"})
 			continue
 		}
 		seen[key] = true
 		field := m.Descriptor().Fields().ByJSONName(key)
 		if field == nil {
-			r.unknown(inner, member.Name, m.Descriptor())
+			r.addUnknownField(fieldPath, member.Name, m.Descriptor())
 			continue
 		}
-		r.positions[inner] = r.at(member.Name.StartOffset)
-		r.field(inner, member.Value, m, field)
+		r.positions[fieldPath] = r.positionAt(member.Name.StartOffset)
+		r.readField(fieldPath, member.Value, m, field)
 	}
-	r.missing(path, value, m.Descriptor(), seen)
+	r.addMissingFields(path, value, m.Descriptor(), seen)
 }
 
-func (r *reader) unknown(path string, name hujson.Value, message protoreflect.MessageDescriptor) {
-	if r.full() { // A suggestion that nobody sees costs as much as one that helps.
-		r.add(Fault{})
+// addUnknownField adds a fault with the most similar field name, or else all names.
+func (r *reader) addUnknownField(path string, name hujson.Value, message protoreflect.MessageDescriptor) {
+	if r.faultsFull() { // Avoids the cost of a suggestion that is not shown.
+		r.addFault(Fault{})
 		return
 	}
 	allowed := "one of " + strings.Join(fieldNames(message), ", ")
@@ -76,86 +80,89 @@
 	if nearest := nearestField(message, literal.String()); nearest != "" {
 		allowed = fmt.Sprintf("did you mean %q?", nearest)
 	}
-	r.add(Fault{Position: r.at(name.StartOffset), Path: path, Kind: UnknownField, Found: show(name), Allowed: allowed})
+	r.addFault(Fault{Position: r.positionAt(name.StartOffset), Path: path, Kind: UnknownField, Found: formatValue(name), Allowed: allowed})
 }
 
-func (r *reader) missing(path string, object hujson.Value, message protoreflect.MessageDescriptor, seen map[string]bool) {
+// addMissingFields adds a fault for each required field that the object lacks.
+func (r *reader) addMissingFields(path string, object hujson.Value, message protoreflect.MessageDescriptor, seen map[string]bool) {
 	fields := message.Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		if !schema.RuleOf(field).GetRequired() || seen[field.JSONName()] {
 			continue
 		}
-		r.add(Fault{
-			Position: r.at(object.StartOffset), Path: join(path, field.JSONName()), Kind: Missing,
-			Found: "nothing", Allowed: describe(field),
+		r.addFault(Fault{
+			Position: r.positionAt(object.StartOffset), Path: joinPath(path, field.JSONName()), Kind: Missing,
+			Found: "nothing", Allowed: describeField(field),
 		})
 	}
 }
 
-func (r *reader) field(path string, value hujson.Value, m protoreflect.Message, field protoreflect.FieldDescriptor) {
+// readField reads a value into a field of m.
+func (r *reader) readField(path string, value hujson.Value, m protoreflect.Message, field protoreflect.FieldDescriptor) {
 	rule := schema.RuleOf(field)
 	if rule.GetAssigned() {
-		r.fault(path, value, AssignedField, "nothing; nutmeglock fills it in on acceptance")
+		r.addFaultAt(path, value, AssignedField, "nothing; nutmeglock fills it in on acceptance")
 		return
 	}
 	if field.IsList() {
-		r.list(path, value, m, field)
+		r.readList(path, value, m, field)
 		return
 	}
 	if field.Message() != nil {
-		r.message(path, value, m.Mutable(field).Message())
+		r.readMessage(path, value, m.Mutable(field).Message())
 		return
 	}
-	if scalar, ok := r.scalar(path, value, field); ok {
+	if scalar, ok := r.readScalar(path, value, field); ok {
 		m.Set(field, scalar)
 	}
 }
 
-func (r *reader) list(path string, value hujson.Value, m protoreflect.Message, field protoreflect.FieldDescriptor) {
+func (r *reader) readList(path string, value hujson.Value, m protoreflect.Message, field protoreflect.FieldDescriptor) {
 	array, ok := value.Value.(*hujson.Array)
 	if !ok {
-		r.fault(path, value, WrongType, describe(field))
+		r.addFaultAt(path, value, WrongType, describeField(field))
 		return
 	}
 	rule := schema.RuleOf(field)
-	if !within(rule, float64(len(array.Elements))) {
+	if !withinBounds(rule, float64(len(array.Elements))) {
 		found := fmt.Sprintf("%d elements", len(array.Elements))
-		r.add(Fault{Position: r.at(value.StartOffset), Path: path, Kind: OutOfBounds, Found: found, Allowed: describe(field)})
+		r.addFault(Fault{Position: r.positionAt(value.StartOffset), Path: path, Kind: OutOfBounds, Found: found, Allowed: describeField(field)})
 	}
 	list := m.Mutable(field).List()
 	for i, element := range array.Elements {
-		r.element(path+"["+strconv.Itoa(i)+"]", element, list, field)
+		r.readElement(path+"["+strconv.Itoa(i)+"]", element, list, field)
 	}
 }
 
-// element appends one element to the list. An element that could not be read
-// is appended empty, so that the indexes of the others stay those of the document.
-func (r *reader) element(path string, value hujson.Value, list protoreflect.List, field protoreflect.FieldDescriptor) {
-	r.positions[path] = r.at(value.StartOffset)
+// readElement appends one element to the list. It appends an invalid element as
+// its zero value, so that indexes are the same as in the document.
+func (r *reader) readElement(path string, value hujson.Value, list protoreflect.List, field protoreflect.FieldDescriptor) {
+	r.positions[path] = r.positionAt(value.StartOffset)
 	if field.Message() != nil {
-		r.message(path, value, list.AppendMutable().Message())
+		r.readMessage(path, value, list.AppendMutable().Message())
 		return
 	}
-	scalar, ok := r.scalar(path, value, field)
+	scalar, ok := r.readScalar(path, value, field)
 	if !ok {
 		scalar = list.NewElement()
 	}
 	list.Append(scalar)
 }
 
-func join(path, name string) string {
+// joinPath appends a field name to a path.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// maxShown bounds how much of a value a fault shows, in bytes.
-const maxShown = 60
+// maxShownBytes limits the length of a value in a fault.
+const maxShownBytes = 60
 
-// show returns a value as a fault shows it.
-func show(value hujson.Value) string {
+// formatValue returns a value in the form used in faults.
+func formatValue(value hujson.Value) string {
 	switch v := value.Value.(type) {
 	case *hujson.Object:
 		return "an object"
@@ -163,8 +170,8 @@
 		return "a list"
 	case hujson.Literal:
 		text := string(v)
-		if len(text) > maxShown {
-			return strings.ToValidUTF8(text[:maxShown], "") + "..."
+		if len(text) > maxShownBytes {
+			return strings.ToValidUTF8(text[:maxShownBytes], "") + "..."
 		}
 		return text
 	}
