--- a/command/admin.go
+++ b/command/admin.go
@@ -18,30 +18,32 @@
 	"nutmeglock.example/nutmeglock/operator"
 )
 
-// Flags and environment of the commands that speak to a router.
+// Flags and the environment variable of the commands that call a router's
+// administration API.
 const (
 	adminFlag   = "admin"
 	keyFileFlag = "operator-key-file"
 	jsonFlag    = "json"
 
-	keyEnvironment = "NUTMEGLOCK_OPERATOR_KEY"
+	keyVariable = "NUTMEGLOCK_OPERATOR_KEY"
 )
 
-// adminFlags returns the flags of a command that speaks to a router, and those of its own.
+// adminFlags returns the flags that all commands of the administration API have,
+// followed by the command's own.
 func adminFlags(own ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringSliceFlag{
-			Name: adminFlag, Usage: "administration URL of a router; give several to try them in turn",
+			Name: adminFlag, Usage: "administration URL of a router; if repeated, the URLs are tried in turn",
 			Value: []string{"http://127.0.0.1:8082"}, Sources: cli.EnvVars("NUTMEGLOCK_ADMIN"),
 		},
-		&cli.StringFlag{Name: keyFileFlag, Usage: "file with the operator key; else the environment variable " + keyEnvironment},
-		&cli.BoolFlag{Name: jsonFlag, Usage: "print JSON in place of a table"},
+		&cli.StringFlag{Name: keyFileFlag, Usage: "file with the operator key; default is the environment variable " + keyVariable},
+		&cli.BoolFlag{Name: jsonFlag, Usage: "print JSON instead of a table"},
 	}, own...)
 }
 
-// client returns the client that the flags describe.
-func client(c *cli.Command) (*operator.Client, error) {
-	key := os.Getenv(keyEnvironment)
+// newClient returns an administration client for the command's flags.
+func newClient(c *cli.Command) (*operator.Client, error) {
+	key := os.Getenv(keyVariable)
 	if file := c.String(keyFileFlag); file != "" {
 		data, err := os.ReadFile(filepath.Clean(file))
 		if err != nil {
@@ -51,44 +53,45 @@
 	}
 	key = strings.TrimSpace(key)
 	if key == "" {
-		return nil, cli.Exit("no operator key: give --"+keyFileFlag+" or set "+keyEnvironment, ExitDenied)
+		return nil, cli.Exit("no operator key: give --"+keyFileFlag+" or set "+keyVariable, ExitDenied)
 	}
 	return operator.NewClient(key, c.StringSlice(adminFlag)...), nil
 }
 
-// inquire makes one request and prints its answer, as JSON or by the table function.
-func inquire[M proto.Message](ctx context.Context, c *cli.Command, request func(context.Context, *operator.Client) (M, error), table func(M) string) error {
-	api, err := client(c)
+// queryAndPrint sends one request and prints its answer as JSON or as a table.
+func queryAndPrint[M proto.Message](ctx context.Context, c *cli.Command, request func(context.Context, *operator.Client) (M, error), table func(M) string) error {
+	api, err := newClient(c)
 	if err != nil {
 		return err
 	}
 	answer, err := request(ctx, api)
 	if err != nil {
-		return exit(c, "", err)
+		return exitError(c, "", err)
 	}
 	if c.Bool(jsonFlag) {
-		return sayJSON(c, answer)
+		return printJSON(c, answer)
 	}
-	say(c, strings.TrimRight(table(answer), "\n"))
+	printLine(c, strings.TrimRight(table(answer), "\n"))
 	return nil
 }
 
-func sayJSON(c *cli.Command, m proto.Message) error {
-	text, err := indented(m)
+func printJSON(c *cli.Command, m proto.Message) error {
+	text, err := formatJSON(m)
 	if err != nil {
 		return cli.Exit(err.Error(), ExitFailed)
 	}
-	say(c, text)
+	printLine(c, text)
 	return nil
 }
 
-// indented returns a message as JSON with all its fields.
-func indented(m proto.Message) (string, error) {
-	return indent(protojson.MarshalOptions{EmitDefaultValues: true}, m)
+// formatJSON returns a message as indented JSON, including fields with zero values.
+func formatJSON(m proto.Message) (string, error) {
+	return indentJSON(protojson.MarshalOptions{EmitDefaultValues: true}, m)
 }
 
-// indent returns a message as JSON, always with the same blanks.
-func indent(options protojson.MarshalOptions, m proto.Message) (string, error) {
+// indentJSON returns a message as indented JSON. It does not use the indentation
+// of protojson, whose whitespace varies between builds.
+func indentJSON(options protojson.MarshalOptions, m proto.Message) (string, error) {
 	data, err := options.Marshal(m)
 	if err != nil {
 		return "", err
@@ -98,43 +101,44 @@
 	return text.String(), err
 }
 
-// exit prints why a request was not done and returns the error that ends the
-// command with the code for it. File is that of the release note, if any.
-func exit(c *cli.Command, file string, err error) error {
-	var answered *operator.AnswerError
+// exitError prints why a request failed and returns an error with the exit code
+// for it. file is the file of the release note, if any.
+func exitError(c *cli.Command, file string, err error) error {
+	var answerErr *operator.AnswerError
 	var unreachable *operator.UnreachableError
 	var unsettled *note.UnsettledError
 	var faults *document.FaultsError
 	switch {
-	case errors.As(err, &answered):
-		complainAnswer(c, file, answered)
-		return cli.Exit("", codeOf(answered.Reason()))
+	case errors.As(err, &answerErr):
+		printAnswerError(c, file, answerErr)
+		return cli.Exit("", exitCode(answerErr.Reason()))
 	case errors.As(err, &unreachable):
-		complain(c, unreachable.Error())
-		complain(c, "Check --"+adminFlag+": it names the administration address of a router that runs, such as http://127.0.0.1:8082.")
+		printError(c, unreachable.Error())
+		printError(c, "Check --"+adminFlag+": it must be the administration URL of a running router, such as http://127.0.0.1:8082.")
 		return cli.Exit("", ExitUnavailable)
 	case errors.As(err, &unsettled):
-		complain(c, unsettled.Error())
-		complain(c, "To find out, and to publish it if it was not accepted, repeat the command with --publish-id "+string(unsettled.PublishID)+" on the same file. It is never published twice.")
+		printError(c, unsettled.Error())
+		printError(c, "To find out, and to publish it if it was not accepted, repeat the command with --publish-id "+string(unsettled.PublishID)+" on the same file. It is never published twice.")
 		return cli.Exit("", ExitUnknown)
 	case errors.As(err, &faults):
-		complain(c, faults.Error())
+		printError(c, faults.Error())
 		return cli.Exit("", ExitInvalid)
 	}
 	return cli.Exit(err.Error(), ExitFailed)
 }
 
-// hints say what an operator does next.
-var hints = map[operator.Reason]string{
-	operator.Denied:      "The key is that of --" + keyFileFlag + ", else that of " + keyEnvironment + "; its hash has to be among operator-keys in the router's settings.",
-	operator.Invalid:     "Mend the file and publish it again.",
-	operator.Clashing:    "Look at these notes with \"nutmeglock note show VERSION\", then write yours anew on top of the newest version.",
-	operator.Unavailable: "Try again later. What is in force goes on meanwhile.",
+// reasonHints tells operators how to resolve an error, by its reason.
+var reasonHints = map[operator.Reason]string{
+	operator.Denied:      "The key is that of --" + keyFileFlag + ", else that of " + keyVariable + "; its hash must be one of the operator-keys in the router's settings.",
+	operator.Invalid:     "Correct the file and publish it again.",
+	operator.Clashing:    "Read these notes with \"nutmeglock note show VERSION\", then rewrite yours based on the newest version.",
+	operator.Unavailable: "Try again later. The current state stays in force meanwhile.",
 	operator.Busy:        "Try again.",
-	operator.NotReady:    "Publish a first release note, or ask another router with --" + adminFlag + ".",
+	operator.NotReady:    "Publish a first release note, or choose another router with --" + adminFlag + ".",
 }
 
-func codeOf(reason operator.Reason) int {
+// exitCode returns the exit code for the reason of a router's error.
+func exitCode(reason operator.Reason) int {
 	switch reason {
 	case operator.Denied:
 		return ExitDenied
@@ -150,22 +154,22 @@
 	return ExitFailed
 }
 
-// complainAnswer prints what a router says, with all faults or clashes.
-func complainAnswer(c *cli.Command, file string, err *operator.AnswerError) {
-	complain(c, err.Error())
+// printAnswerError prints a router's error, its faults or clashes, and a hint.
+func printAnswerError(c *cli.Command, file string, err *operator.AnswerError) {
+	printError(c, err.Error())
 	for _, f := range err.Detail.GetFaults() {
-		complain(c, document.Fault{
+		printError(c, document.Fault{
 			File: file, Position: document.Position{Line: int(f.GetLine()), Column: int(f.GetColumn())},
 			Path: f.GetPath(), Kind: document.Kind(f.GetKind()), Found: f.GetFound(), Allowed: f.GetAllowed(),
 		}.String())
 	}
 	for _, clash := range err.Detail.GetClashes() {
-		complain(c, note.Clash{
+		printError(c, note.Clash{
 			Entry:   note.Entry{Kind: note.EntryKind(clash.GetKind()), ID: clash.GetId()},
 			Version: versionOf(clash.GetVersion()), Author: clash.GetAuthor(), Summary: clash.GetSummary(),
 		}.String())
 	}
-	if hint, ok := hints[err.Reason()]; ok {
-		complain(c, hint)
+	if hint, ok := reasonHints[err.Reason()]; ok {
+		printError(c, hint)
 	}
 }
--- a/command/checksettings.go
+++ b/command/checksettings.go
@@ -10,12 +10,12 @@
 	"nutmeglock.example/nutmeglock/settings"
 )
 
-// CheckSettings returns the subcommand that checks settings files of routers
-// and prints everything that is wrong with them.
+// CheckSettings returns the command that validates settings files of routers and
+// prints their faults.
 func CheckSettings() *cli.Command {
 	return &cli.Command{
 		Name:      "check-settings",
-		Usage:     "check settings files of routers without starting one",
+		Usage:     "validate settings files of routers without starting one",
 		ArgsUsage: "FILE...",
 		Action:    checkSettings,
 	}
@@ -29,10 +29,10 @@
 	for _, file := range c.Args().Slice() {
 		if err := checkSettingsFile(file); err != nil {
 			failed = true
-			complain(c, err.Error())
+			printError(c, err.Error())
 			continue
 		}
-		say(c, file+": valid")
+		printLine(c, file+": valid")
 	}
 	if failed {
 		return cli.Exit("", ExitInvalid)
--- a/command/edge.go
+++ b/command/edge.go
@@ -9,13 +9,13 @@
 	"nutmeglock.example/nutmeglock/platform"
 )
 
-// Edge returns the command that runs one router on the users' platform.
+// Edge returns the command that runs one router on the platform of the users.
 func Edge() *cli.Command {
 	return &cli.Command{
 		Name:  "edge",
-		Usage: "run one router on the platform that " + platform.SettingsVariable + " tells of, until SIGTERM",
+		Usage: "run one router on the platform described in " + platform.SettingsVariable + ", until SIGTERM",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "verbose", Usage: "log what is only of use while developing"},
+			&cli.BoolFlag{Name: "verbose", Usage: "log at debug level"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			level := slog.LevelInfo
--- a/command/exit.go
+++ b/command/exit.go
@@ -1,21 +1,21 @@
-// Package command holds the subcommands of nutmeglock, one in each file.
+// Package command contains the subcommands of nutmeglock.
 package command
 
-// Exit codes of the operators' commands.
+// Exit codes of the commands.
 const (
-	// ExitFailed is for whatever has no code of its own.
+	// ExitFailed is for all other errors.
 	ExitFailed = 1
-	// ExitUsage is for a wrong command line.
+	// ExitUsage is for an invalid command line.
 	ExitUsage = 2
 	// ExitInvalid is for a file or a release note with faults.
 	ExitInvalid = 3
-	// ExitClash is for a release note that another one clashes with.
+	// ExitClash is for a release note that clashes with another one.
 	ExitClash = 4
-	// ExitUnavailable is for routers or a platform that cannot be reached;
-	// nothing was changed, and a repeat later helps.
+	// ExitUnavailable is for routers or a platform that cannot be reached.
+	// Nothing was changed, and the command may be repeated later.
 	ExitUnavailable = 5
-	// ExitUnknown is for a publish of which it could not be found out whether it was accepted.
+	// ExitUnknown is for a release note that may or may not have been accepted.
 	ExitUnknown = 6
-	// ExitDenied is for an operator key that is missing or not accepted.
+	// ExitDenied is for a missing or rejected operator key.
 	ExitDenied = 7
 )
--- a/command/experiment.go
+++ b/command/experiment.go
@@ -10,36 +10,37 @@
 	"nutmeglock.example/nutmeglock/experiment"
 )
 
-// Experiment returns the command that plays loads through the decisions in
-// virtual time and writes what came out.
+// Experiment returns the command that simulates loads in virtual time with the
+// real sharing decisions and writes a report.
 func Experiment() *cli.Command {
 	return &cli.Command{
 		Name:  "experiment",
-		Usage: "play seeded loads through the sharing decisions in virtual time",
+		Usage: "simulate seeded loads in virtual time with the real sharing decisions",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "load", Usage: "play only `LOAD`; may be repeated"},
-			&cli.StringSliceFlag{Name: "policy", Usage: "play only `POLICY`; may be repeated"},
-			&cli.IntSliceFlag{Name: "routers", Usage: "play fleets of `N` routers in today's proportion instead of the users' deployments"},
-			&cli.Uint64SliceFlag{Name: "seed", Usage: "play with `SEED`; may be repeated"},
+			&cli.StringSliceFlag{Name: "load", Usage: "run only `LOAD`; may be repeated"},
+			&cli.StringSliceFlag{Name: "policy", Usage: "run only `POLICY`; may be repeated"},
+			&cli.IntSliceFlag{Name: "routers", Usage: "run fleets of `N` routers, with upstreams and accounts in today's proportion, instead of the users' deployments"},
+			&cli.Uint64SliceFlag{Name: "seed", Usage: "run with `SEED`; may be repeated"},
 			&cli.DurationFlag{Name: "duration", Usage: "virtual time of each run (default 2m)"},
 			&cli.StringFlag{Name: "json", Usage: "write the report to `FILE` as JSON; - is standard output"},
 			&cli.StringFlag{Name: "page", Usage: "write the report to `FILE` as a Markdown page; - is standard output"},
 			&cli.StringFlag{Name: "title", Value: "Sharing, measured in virtual time", Usage: "title of the page"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			options, err := experimentOptions(c)
+			selected, err := experimentOptions(c)
 			if err != nil {
 				return err
 			}
-			if options.isDefault {
+			if selected.isDefault {
 				return writeReport(c, experiment.Default())
 			}
-			return writeReport(c, experiment.Run(options.Options))
+			return writeReport(c, experiment.Run(selected.Options))
 		},
 	}
 }
 
-// selection is what to play; isDefault means that nothing was selected.
+// selection holds the options of an experiment. isDefault is set if no flag
+// changes them.
 type selection struct {
 	experiment.Options
 
@@ -47,41 +48,40 @@
 }
 
 func experimentOptions(c *cli.Command) (selection, error) {
-	options := selection{Options: experiment.Options{Seeds: c.Uint64Slice("seed"), Duration: c.Duration("duration")}}
-	options.isDefault = true
+	selected := selection{Options: experiment.Options{Seeds: c.Uint64Slice("seed"), Duration: c.Duration("duration")}}
+	selected.isDefault = true
 	for _, name := range []string{"load", "policy", "routers", "seed", "duration"} {
-		options.isDefault = options.isDefault && !c.IsSet(name)
+		selected.isDefault = selected.isDefault && !c.IsSet(name)
 	}
-	if options.Duration < 0 {
-		return options, eris.New("--duration is negative")
+	if selected.Duration < 0 {
+		return selected, eris.New("--duration is negative")
 	}
 	var err error
-	options.Loads, err = choose("load", c.StringSlice("load"), experiment.LoadByName, experiment.LoadNames())
+	selected.Loads, err = findByName("load", c.StringSlice("load"), experiment.LoadByName, experiment.LoadNames())
 	if err != nil {
-		return options, err
+		return selected, err
 	}
-	options.Policies, err = choose("policy", c.StringSlice("policy"), experiment.PolicyByName, experiment.PolicyNames())
+	selected.Policies, err = findByName("policy", c.StringSlice("policy"), experiment.PolicyByName, experiment.PolicyNames())
 	if err != nil {
-		return options, err
+		return selected, err
 	}
 	for _, routers := range c.IntSlice("routers") {
 		if routers < 1 || routers > experiment.MaxRouters {
-			return options, eris.Errorf("--routers %d is not between 1 and %d", routers, experiment.MaxRouters)
+			return selected, eris.Errorf("--routers %d is not between 1 and %d", routers, experiment.MaxRouters)
 		}
-		options.Deployments = append(options.Deployments, experiment.Scaled(routers))
+		selected.Deployments = append(selected.Deployments, experiment.Scaled(routers))
 	}
-	return options, nil
+	return selected, nil
 }
 
-// writeReport writes the forms that were asked for, or the page to standard
-// output when none was.
+// writeReport writes the requested formats, by default a page to standard output.
 func writeReport(c *cli.Command, report experiment.Report) error {
-	page, file := c.String("page"), c.String("json")
-	if page == "" && file == "" {
+	page, jsonFile := c.String("page"), c.String("json")
+	if page == "" && jsonFile == "" {
 		page = "-"
 	}
-	if file != "" {
-		if err := writeTo(c, file, report.WriteJSON); err != nil {
+	if jsonFile != "" {
+		if err := writeTo(c, jsonFile, report.WriteJSON); err != nil {
 			return err
 		}
 	}
--- a/command/explain.go
+++ b/command/explain.go
@@ -12,15 +12,15 @@
 	"nutmeglock.example/nutmeglock/explain"
 )
 
-// Explain returns the command that tells a request's story from logs.
+// Explain returns the command that reconstructs the course of a request from logs.
 func Explain() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell what became of a request, from routers' logs",
+		Usage:     "show the course of a request from routers' logs",
 		ArgsUsage: "ID [FILE...]",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return cli.Exit("explain: give a request's id", ExitUsage)
+				return cli.Exit("explain: a request id is required", ExitUsage)
 			}
 			e := &explain.Explainer{Request: c.Args().First(), Out: c.Root().Writer}
 			if err := explainAll(e, c.Args().Tail()); err != nil {
@@ -32,12 +32,12 @@
 			if err := e.Suggest(); err != nil {
 				return err
 			}
-			return cli.Exit(fmt.Sprintf("explain: no line of request %s; the sums above, if any, may include it", e.Request), ExitFailed)
+			return cli.Exit(fmt.Sprintf("explain: no log line of request %s; the totals above, if any, may include it", e.Request), ExitFailed)
 		},
 	}
 }
 
-// explainAll reads the files, or standard input when there are none.
+// explainAll reads the files, or standard input if there are none.
 func explainAll(e *explain.Explainer, files []string) error {
 	if len(files) == 0 {
 		return e.Read(os.Stdin)
@@ -53,7 +53,7 @@
 func explainFile(e *explain.Explainer, name string) error {
 	file, err := os.Open(name) //nolint:gosec // the operator names the file
 	if err != nil {
-		return eris.Wrap(err, "opening a log")
+		return eris.Wrap(err, "opening a log file")
 	}
 	defer func(c io.Closer) { _ = c.Close() }(file)
 	return e.Read(file)
--- a/command/list.go
+++ b/command/list.go
@@ -13,39 +13,42 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Account returns the subcommand that lists accounts.
+// Account returns the command for client accounts.
 func Account() *cli.Command {
-	return listing("account", "list the client accounts in force", listAccounts)
+	return listCommand("account", "list the client accounts in force", listAccounts)
 }
 
-// Service returns the subcommand that lists services.
-func Service() *cli.Command { return listing("service", "list the services in force", listServices) }
+// Service returns the command for services.
+func Service() *cli.Command {
+	return listCommand("service", "list the services in force", listServices)
+}
 
-// Upstream returns the subcommand that lists upstreams.
+// Upstream returns the command for upstreams.
 func Upstream() *cli.Command {
-	return listing("upstream", "list the upstreams in force", listUpstreams)
+	return listCommand("upstream", "list the upstreams in force", listUpstreams)
 }
 
-func listing(name, usage string, action cli.ActionFunc) *cli.Command {
+// listCommand returns a command with a list subcommand.
+func listCommand(name, usage string, action cli.ActionFunc) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage,
 		Commands: []*cli.Command{{Name: "list", Usage: usage, Action: action, Flags: adminFlags()}},
 	}
 }
 
-// RouterList returns the list subcommand of the router subcommand, which lists
-// the routers and their state. The router subcommand itself runs a router.
+// RouterList returns the list subcommand of the router command, which itself runs
+// a router.
 func RouterList() *cli.Command {
 	return &cli.Command{Name: "list", Usage: "list the routers and their state", Action: listRouters, Flags: adminFlags()}
 }
 
 func listAccounts(ctx context.Context, c *cli.Command) error {
 	request := func(ctx context.Context, api *operator.Client) (*schema.AccountList, error) { return api.Accounts(ctx) }
-	return inquire(ctx, c, request, func(list *schema.AccountList) string {
-		return table("ACCOUNT\tWEIGHT\tKEYS\tSERVICES\tWAITING HERE\tIN FLIGHT HERE\tSERVED HERE", func(w *tabwriter.Writer) {
+	return queryAndPrint(ctx, c, request, func(list *schema.AccountList) string {
+		return formatTable("ACCOUNT\tWEIGHT\tKEYS\tSERVICES\tWAITING HERE\tIN FLIGHT HERE\tSERVED HERE", func(w *tabwriter.Writer) {
 			for _, state := range list.GetAccounts() {
 				a, load := state.GetAccount(), state.GetLoad()
-				row(w, a.GetId(), max(a.GetWeight(), 1), len(a.GetKeySha256()), orAll(a.GetServices()),
+				writeRow(w, a.GetId(), max(a.GetWeight(), 1), len(a.GetKeySha256()), orAll(a.GetServices()),
 					load.GetWaiting(), load.GetInFlight(), load.GetService())
 			}
 		})
@@ -61,10 +64,10 @@
 
 func listServices(ctx context.Context, c *cli.Command) error {
 	request := func(ctx context.Context, api *operator.Client) (*schema.ServiceList, error) { return api.Services(ctx) }
-	return inquire(ctx, c, request, func(list *schema.ServiceList) string {
-		return table("SERVICE\tKIND\tNON-IDEMPOTENT METHODS", func(w *tabwriter.Writer) {
+	return queryAndPrint(ctx, c, request, func(list *schema.ServiceList) string {
+		return formatTable("SERVICE\tKIND\tNON-IDEMPOTENT METHODS", func(w *tabwriter.Writer) {
 			for _, s := range list.GetServices() {
-				row(w, s.GetId(), s.GetKind(), orDash(strings.Join(s.GetNonIdempotentMethods(), ",")))
+				writeRow(w, s.GetId(), s.GetKind(), orDash(strings.Join(s.GetNonIdempotentMethods(), ",")))
 			}
 		})
 	})
@@ -74,17 +77,19 @@
 	request := func(ctx context.Context, api *operator.Client) (*schema.UpstreamList, error) {
 		return api.Upstreams(ctx)
 	}
-	return inquire(ctx, c, request, func(list *schema.UpstreamList) string {
-		return table("UPSTREAM\tSERVICE\tADDRESS\tDATA CENTRE\tSLOTS\tSTATE\tIN FLIGHT\tLIMIT\tDISPATCHER", func(w *tabwriter.Writer) {
+	return queryAndPrint(ctx, c, request, func(list *schema.UpstreamList) string {
+		return formatTable("UPSTREAM\tSERVICE\tADDRESS\tDATA CENTRE\tSLOTS\tSTATE\tIN FLIGHT\tLIMIT\tDISPATCHER", func(w *tabwriter.Writer) {
 			for _, state := range list.GetUpstreams() {
 				u, load := state.GetUpstream(), state.GetLoad()
-				row(w, u.GetId(), u.GetService(), u.GetAddress(), u.GetDataCenter(), u.GetSlots(),
+				writeRow(w, u.GetId(), u.GetService(), u.GetAddress(), u.GetDataCenter(), u.GetSlots(),
 					upstreamState(u, load), load.GetInFlight(), load.GetLimit(), orDash(load.GetDispatcher()))
 			}
 		})
 	})
 }
 
+// upstreamState returns the state to show for an upstream. The leaving flag of the
+// release note takes precedence over the state that the router reports.
 func upstreamState(u *schema.Upstream, load *schema.UpstreamLoad) string {
 	if u.GetLeaving() {
 		return "leaving"
@@ -94,16 +99,17 @@
 
 func listRouters(ctx context.Context, c *cli.Command) error {
 	request := func(ctx context.Context, api *operator.Client) (*schema.RouterList, error) { return api.Routers(ctx) }
-	return inquire(ctx, c, request, func(list *schema.RouterList) string {
-		return table("ROUTER\tDATA CENTRE\tADDRESS\tSTATE\tNOTE VERSION\tHEARD", func(w *tabwriter.Writer) {
+	return queryAndPrint(ctx, c, request, func(list *schema.RouterList) string {
+		return formatTable("ROUTER\tDATA CENTRE\tADDRESS\tSTATE\tNOTE VERSION\tHEARD", func(w *tabwriter.Writer) {
 			for _, r := range list.GetRouters() {
-				row(w, r.GetId(), orDash(r.GetDataCenter()), orDash(r.GetAddress()), r.GetState(), r.GetNoteVersion(), heard(r))
+				writeRow(w, r.GetId(), orDash(r.GetDataCenter()), orDash(r.GetAddress()), r.GetState(), r.GetNoteVersion(), lastHeard(r))
 			}
 		})
 	})
 }
 
-func heard(r *schema.RouterState) string {
+// lastHeard returns how long ago the router was heard from.
+func lastHeard(r *schema.RouterState) string {
 	switch {
 	case r.GetSelf():
 		return "answers"
@@ -120,18 +126,19 @@
 	return text
 }
 
-// table returns aligned columns under a head of tab-separated names.
-func table(head string, rows func(*tabwriter.Writer)) string {
+// formatTable returns a table with aligned columns. header holds the tab-separated
+// column names, and rows writes the rows.
+func formatTable(header string, rows func(*tabwriter.Writer)) string {
 	const gap = 2
 	var text bytes.Buffer
 	w := tabwriter.NewWriter(&text, 0, 0, gap, ' ', 0)
-	row(w, head)
+	writeRow(w, header)
 	rows(w)
-	_ = w.Flush() // A buffer takes every write.
+	_ = w.Flush() // Writes to a buffer do not fail.
 	return text.String()
 }
 
-func row(w *tabwriter.Writer, cells ...any) {
+func writeRow(w *tabwriter.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
 		texts[i] = fmt.Sprint(cell)
--- a/command/note.go
+++ b/command/note.go
@@ -28,7 +28,8 @@
 	limitFlag     = "limit"
 )
 
-// Note returns the subcommand for release notes: publish, check, show and history.
+// Note returns the command for release notes, with the subcommands publish,
+// check, show and history.
 func Note() *cli.Command {
 	return &cli.Command{
 		Name:  "note",
@@ -36,11 +37,11 @@
 		Commands: []*cli.Command{
 			{
 				Name: "publish", Usage: "publish a release note", ArgsUsage: "FILE", Action: publishNote,
-				Flags: adminFlags(&cli.StringFlag{Name: publishIDFlag, Usage: "the id of an earlier try, to find out what became of it"}),
+				Flags: adminFlags(&cli.StringFlag{Name: publishIDFlag, Usage: "publish id of an earlier attempt, to find out its outcome"}),
 			},
 			{
 				Name: "check", Usage: "check a release note without publishing it", ArgsUsage: "FILE", Action: checkNote,
-				Flags: adminFlags(&cli.BoolFlag{Name: offlineFlag, Usage: "check the file alone, without asking a router"}),
+				Flags: adminFlags(&cli.BoolFlag{Name: offlineFlag, Usage: "check only the file, without a router"}),
 			},
 			{Name: "show", Usage: "show an accepted release note", ArgsUsage: "VERSION", Action: showNote, Flags: adminFlags()},
 			{
@@ -56,11 +57,11 @@
 
 func versionOf(version uint64) fleet.Version { return fleet.Version(version) }
 
-// readNoteFile returns the content of the one file that the command line
-// names, - for the standard input, after it was checked on its own.
+// readNoteFile reads the file of the command line, or standard input for "-", and
+// validates it on its own. It returns the file name and the content.
 func readNoteFile(c *cli.Command) (string, []byte, error) {
 	if c.Args().Len() != 1 {
-		return "", nil, cli.Exit(c.FullName()+": name one file, or - for the standard input", ExitUsage)
+		return "", nil, cli.Exit(c.FullName()+": name one file, or - for standard input", ExitUsage)
 	}
 	file := c.Args().First()
 	data, err := readFile(c, file)
@@ -68,7 +69,7 @@
 		return "", nil, cli.Exit(err.Error(), ExitUsage)
 	}
 	if _, err := document.Read[*schema.ReleaseNote](file, data); err != nil {
-		return "", nil, exit(c, file, err)
+		return "", nil, exitError(c, file, err)
 	}
 	return file, data, nil
 }
@@ -92,28 +93,29 @@
 	if !id.Valid() {
 		return cli.Exit("--"+publishIDFlag+" takes 32 lower-case hex digits", ExitUsage)
 	}
-	api, err := client(c)
+	api, err := newClient(c)
 	if err != nil {
 		return err
 	}
 	answer, err := api.Publish(ctx, data, id)
 	if err != nil {
-		return exit(c, file, err)
+		return exitError(c, file, err)
 	}
 	if c.Bool(jsonFlag) {
-		return sayJSON(c, answer)
+		return printJSON(c, answer)
 	}
-	say(c, file+published(answer, c.String(publishIDFlag) != ""))
+	printLine(c, file+publishOutcome(answer, c.String(publishIDFlag) != ""))
 	return nil
 }
 
-// published returns what became of a publish.
-func published(answer *schema.PublishAnswer, repeated bool) string {
+// publishOutcome describes the result of a publish. retried is set if the operator
+// repeated it with the publish id of an earlier attempt.
+func publishOutcome(answer *schema.PublishAnswer, retried bool) string {
 	switch {
-	case answer.GetAlready() && repeated:
+	case answer.GetAlready() && retried:
 		return fmt.Sprintf(" was accepted before, as version %d; it was not published again", answer.GetVersion())
 	case answer.GetAlready():
-		return fmt.Sprintf(" is accepted as version %d; a reply was lost on the way, and it was published once", answer.GetVersion())
+		return fmt.Sprintf(" is accepted as version %d; a reply was lost, but it was published only once", answer.GetVersion())
 	}
 	return fmt.Sprintf(" is accepted as version %d", answer.GetVersion())
 }
@@ -124,23 +126,23 @@
 		return err
 	}
 	if c.Bool(offlineFlag) {
-		say(c, file+": valid on its own; whether it fits what is in force was not checked")
+		printLine(c, file+": valid on its own; not checked against the state in force")
 		return nil
 	}
-	api, err := client(c)
+	api, err := newClient(c)
 	if err != nil {
 		return err
 	}
 	answer, err := api.Check(ctx, data)
 	if err != nil {
-		return exit(c, file, err)
+		return exitError(c, file, err)
 	}
 	if c.Bool(jsonFlag) {
-		return sayJSON(c, answer)
+		return printJSON(c, answer)
 	}
-	say(c, fmt.Sprintf("%s: valid against version %d", file, answer.GetVersion()))
+	printLine(c, fmt.Sprintf("%s: valid against version %d", file, answer.GetVersion()))
 	if answer.GetClashesUnchecked() {
-		say(c, "Clashes with notes since its based-on version were not checked: the history cannot be read now.")
+		printLine(c, "Clashes with notes since its based-on version were not checked: the history cannot be read now.")
 	}
 	return nil
 }
@@ -150,49 +152,50 @@
 	if err != nil || c.Args().Len() != 1 {
 		return cli.Exit(c.FullName()+": name one version, a whole number", ExitUsage)
 	}
-	return inquire(ctx, c, func(ctx context.Context, api *operator.Client) (*schema.NoteRecord, error) {
+	return queryAndPrint(ctx, c, func(ctx context.Context, api *operator.Client) (*schema.NoteRecord, error) {
 		return api.Record(ctx, version)
-	}, noteText)
+	}, formatRecord)
 }
 
-// noteText returns a record with its note as a document, which can be edited
-// and published again.
-func noteText(record *schema.NoteRecord) string {
+// formatRecord returns the release note of a record as a document that can be
+// edited and published again.
+func formatRecord(record *schema.NoteRecord) string {
 	n := proto.CloneOf(record.GetNote())
-	basis := ""
+	basedOn := ""
 	if n.GetBasedOn() > 0 {
-		basis = fmt.Sprintf(", based on version %d", n.GetBasedOn())
+		basedOn = fmt.Sprintf(", based on version %d", n.GetBasedOn())
 	}
-	n.BasedOn = 0                                      // What is published again is compared with what is in force then.
-	text, err := indent(protojson.MarshalOptions{}, n) // Without the fields that it leaves out.
+	n.BasedOn = 0                                          // Published again, it is based on the version in force then.
+	text, err := indentJSON(protojson.MarshalOptions{}, n) // Omits unset fields.
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprintf("// Version %d, by %s, accepted %s%s\n%s", record.GetVersion(), record.GetAuthor(), accepted(record), basis, text)
+	return fmt.Sprintf("// Version %d, by %s, accepted %s%s\n%s", record.GetVersion(), record.GetAuthor(), acceptedTime(record), basedOn, text)
 }
 
-func accepted(record *schema.NoteRecord) string {
+// acceptedTime returns the time at which a note was accepted, in RFC 3339 form.
+func acceptedTime(record *schema.NoteRecord) string {
 	return time.UnixMilli(record.GetAcceptedUnixMs()).UTC().Format(time.RFC3339)
 }
 
 func noteHistory(ctx context.Context, c *cli.Command) error {
-	return inquire(ctx, c, func(ctx context.Context, api *operator.Client) (*schema.NoteList, error) {
+	return queryAndPrint(ctx, c, func(ctx context.Context, api *operator.Client) (*schema.NoteList, error) {
 		return api.History(ctx, c.Uint64(beforeFlag), c.Int(limitFlag))
 	}, func(list *schema.NoteList) string {
-		return table("VERSION\tACCEPTED\tAUTHOR\tADDED\tCHANGED\tWITHDRAWN\tSUMMARY", func(w *tabwriter.Writer) {
+		return formatTable("VERSION\tACCEPTED\tAUTHOR\tADDED\tCHANGED\tWITHDRAWN\tSUMMARY", func(w *tabwriter.Writer) {
 			for _, record := range list.GetNotes() {
 				n := record.GetNote()
-				row(w, record.GetVersion(), accepted(record), record.GetAuthor(),
-					entries(n.GetAdded()), entries(n.GetChanged()), withdrawals(n.GetWithdrawn()), n.GetSummary())
+				writeRow(w, record.GetVersion(), acceptedTime(record), record.GetAuthor(),
+					countEntries(n.GetAdded()), countEntries(n.GetChanged()), countNames(n.GetWithdrawn()), n.GetSummary())
 			}
 		})
 	})
 }
 
-func entries(e *schema.Entries) int {
+func countEntries(e *schema.Entries) int {
 	return len(e.GetAccounts()) + len(e.GetServices()) + len(e.GetUpstreams())
 }
 
-func withdrawals(n *schema.Names) int {
+func countNames(n *schema.Names) int {
 	return len(n.GetAccounts()) + len(n.GetServices()) + len(n.GetUpstreams())
 }
--- a/command/operator_test.go
+++ b/command/operator_test.go
@@ -25,42 +25,43 @@
 
 const operatorKey = "an operator's key"
 
-type state struct{}
+type fakeState struct{}
 
-func (state) Ready() string                                        { return "" }
-func (state) Router() *schema.RouterState                          { return &schema.RouterState{Id: "r"} }
-func (state) Accounts() map[fleet.AccountID]*schema.AccountLoad    { return nil }
-func (state) Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad { return nil }
+func (fakeState) Ready() string                                        { return "" }
+func (fakeState) Router() *schema.RouterState                          { return &schema.RouterState{Id: "r"} }
+func (fakeState) Accounts() map[fleet.AccountID]*schema.AccountLoad    { return nil }
+func (fakeState) Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad { return nil }
 
-func (state) Routers() []*schema.RouterState {
+func (fakeState) Routers() []*schema.RouterState {
 	return []*schema.RouterState{{Id: "r", DataCenter: "kuopio", State: "ready", NoteVersion: 1, Self: true}}
 }
 
-// console runs commands against one router in this process.
-type console struct {
+// testConsole runs operator commands against the administration API of one
+// in-process router.
+type testConsole struct {
 	platform *memory.Platform
 	url      string
 	keyFile  string
 }
 
-func newConsole(t *testing.T) *console {
+func newConsole(t *testing.T) *testConsole {
 	t.Helper()
 	p := memory.New(timer.System{})
 	store := note.NewStore(p, p)
 	holder := note.NewHolder(note.HolderOptions{Self: "r", Store: store})
 	server := httptest.NewServer(operator.New(operator.Options{
 		Keys:  []*schema.OperatorKey{{Name: "aino", KeySha256: note.HashKey(operatorKey)}},
-		Store: store, Holder: holder, State: state{},
+		Store: store, Holder: holder, State: fakeState{},
 		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Holder: holder}),
 	}))
 	t.Cleanup(server.Close)
 	keyFile := filepath.Join(t.TempDir(), "key")
 	require.NoError(t, os.WriteFile(keyFile, []byte(operatorKey+"\n"), 0o600))
-	return &console{platform: p, url: server.URL, keyFile: keyFile}
+	return &testConsole{platform: p, url: server.URL, keyFile: keyFile}
 }
 
-// run runs a command with the flags of the router and returns its exit code and its output.
-func (c *console) run(t *testing.T, input string, args ...string) (int, string) {
+// run runs a command against the router and returns its exit code and output.
+func (c *testConsole) run(t *testing.T, input string, args ...string) (int, string) {
 	t.Helper()
 	args = append(append([]string{}, args[:2]...), append([]string{"--admin", c.url, "--operator-key-file", c.keyFile}, args[2:]...)...)
 	return run(t, input, args...)
@@ -94,13 +95,13 @@
 	laterNote = "../examples/add-account.jsonc"
 )
 
-func TestAnOperatorsFirstHour(t *testing.T) {
+func TestOperatorWorkflow(t *testing.T) {
 	t.Parallel()
 	c := newConsole(t)
 	for _, step := range []struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{[]string{"note", "check", firstNote}, 0, "valid against version 0"},
 		{[]string{"note", "publish", firstNote}, 0, "accepted as version 1"},
@@ -117,12 +118,12 @@
 	} {
 		code, output := c.run(t, "", step.args...)
 		require.Equal(t, step.code, code, "%v: %s", step.args, output)
-		require.Contains(t, output, step.says, "%v", step.args)
+		require.Contains(t, output, step.want, "%v", step.args)
 	}
 }
 
-// What "note show" prints is what an operator edits and publishes to go back.
-func TestAShownNoteIsADocument(t *testing.T) {
+// An operator reverts a change by editing and publishing the output of "note show".
+func TestNoteShowPrintsAValidDocument(t *testing.T) {
 	t.Parallel()
 	c := newConsole(t)
 	_, _ = c.run(t, "", "note", "publish", firstNote)
@@ -131,7 +132,7 @@
 	require.Zero(t, code, output)
 }
 
-// Another operator changed the same account since the version that the note names.
+// Another operator has changed the same account since the note's based-on version.
 func TestAClashNamesItsAuthor(t *testing.T) {
 	t.Parallel()
 	c := newConsole(t)
@@ -146,8 +147,8 @@
 	require.Contains(t, output, "nutmeglock note show")
 }
 
-// The platform's table is down for long: the operator is told at once that
-// nothing was accepted, or, when a reply was lost, how to find out.
+// While the platform's table or the router is down, a command must fail at once
+// with ExitUnavailable, and publish must report that nothing was changed.
 func TestExitCodesOfAnOutage(t *testing.T) {
 	t.Parallel()
 	c := newConsole(t)
--- a/command/replay.go
+++ b/command/replay.go
@@ -13,18 +13,18 @@
 	"nutmeglock.example/nutmeglock/trace"
 )
 
-// Replay returns the command that plays a recorded trace through the
-// decisions in virtual time and checks what came out.
+// Replay returns the command that replays a recorded trace in virtual time with
+// the real sharing decisions and checks the outcomes.
 func Replay() *cli.Command {
 	return &cli.Command{
 		Name:      "replay",
-		Usage:     "play a recorded trace through the sharing decisions in virtual time",
+		Usage:     "replay a recorded trace in virtual time with the real sharing decisions",
 		ArgsUsage: "TRACE",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "policy", Value: experiment.Policies()[0].Name, Usage: "share by `POLICY`"},
+			&cli.StringFlag{Name: "policy", Value: experiment.Policies()[0].Name, Usage: "share capacity by `POLICY`"},
 			&cli.StringFlag{Name: "outcomes", Usage: "check against the outcomes in `FILE`"},
 			&cli.StringFlag{Name: "json", Usage: "write the result to `FILE` as JSON; - is standard output"},
-			&cli.StringFlag{Name: "synthetic", Usage: "write the synthetic trace of `DEPLOYMENT` to TRACE in place of replaying"},
+			&cli.StringFlag{Name: "synthetic", Usage: "write the synthetic trace of `DEPLOYMENT` to TRACE instead of replaying"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
@@ -39,7 +39,7 @@
 }
 
 func replay(c *cli.Command) error {
-	policies, err := choose("policy", []string{c.String("policy")}, experiment.PolicyByName, experiment.PolicyNames())
+	policies, err := findByName("policy", []string{c.String("policy")}, experiment.PolicyByName, experiment.PolicyNames())
 	if err != nil {
 		return err
 	}
@@ -86,12 +86,12 @@
 	}
 	violations := outcomes.Check(result)
 	for _, violation := range violations {
-		complain(c, violation.String())
+		printError(c, violation.String())
 	}
 	if len(violations) > 0 {
 		return cli.Exit("", ExitInvalid)
 	}
-	say(c, "all outcomes hold")
+	printLine(c, "all outcomes hold")
 	return nil
 }
 
--- a/command/report.go
+++ b/command/report.go
@@ -9,18 +9,18 @@
 	"github.com/urfave/cli/v3"
 )
 
-// choose returns what the names stand for. Its error names the kind, and what
-// there is of it.
-func choose[T any](kind string, names []string, find func(name string) (T, bool), there string) ([]T, error) {
-	var chosen []T
+// findByName returns the values with the given names. Its error for an unknown
+// name lists the available names.
+func findByName[T any](kind string, names []string, find func(name string) (T, bool), available string) ([]T, error) {
+	var values []T
 	for _, name := range names {
-		one, ok := find(name)
+		value, ok := find(name)
 		if !ok {
-			return nil, eris.Errorf("there is no %s %q; there are %s", kind, name, there)
+			return nil, eris.Errorf("there is no %s %q; there are %s", kind, name, available)
 		}
-		chosen = append(chosen, one)
+		values = append(values, value)
 	}
-	return chosen, nil
+	return values, nil
 }
 
 // writeTo calls write with a file, or with standard output for "-".
--- a/command/router.go
+++ b/command/router.go
@@ -28,15 +28,16 @@
 		},
 		Commands: []*cli.Command{RouterList()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			// The flag is not marked required, because that would hold for "router list" too.
+			// The flag is not marked as required, because that would apply to
+			// "router list" too.
 			if c.String("settings") == "" {
-				return cli.Exit("router: give --settings FILE", ExitUsage)
+				return cli.Exit("router: --settings FILE is required", ExitUsage)
 			}
-			read, err := readSettings(c.String("settings"))
+			loaded, err := readSettings(c.String("settings"))
 			if err != nil {
 				return err
 			}
-			return runRouter(ctx, c, read)
+			return runRouter(ctx, c, loaded)
 		},
 	}
 }
@@ -54,7 +55,7 @@
 	return s, err
 }
 
-// routerReady is the line of JSON that a router prints once its addresses are open.
+// routerReady is the JSON line that a router prints once it listens.
 type routerReady struct {
 	Kind    string `json:"kind"`
 	Address string `json:"address"`
@@ -63,16 +64,16 @@
 }
 
 func runRouter(ctx context.Context, c *cli.Command, s *schema.RouterSettings) error {
-	ctx, end := signal.NotifyContext(ctx, stopSignals()...)
-	defer end()
+	ctx, unregister := signal.NotifyContext(ctx, stopSignals()...)
+	defer unregister()
 	r, err := nutmeglock.New(ctx, s, nutmeglock.WithLog(newLog(c.Root().ErrWriter, s)))
 	if err != nil {
 		return err
 	}
-	at := r.Addresses()
-	line := routerReady{Kind: c.Name, Address: at.Callers.String(), Peer: at.Peers.String(), Admin: at.Admin.String()}
+	addresses := r.Addresses()
+	line := routerReady{Kind: c.Name, Address: addresses.Callers.String(), Peer: addresses.Peers.String(), Admin: addresses.Admin.String()}
 	if err := json.NewEncoder(c.Root().Writer).Encode(line); err != nil {
-		return eris.Wrap(err, "announcing the addresses")
+		return eris.Wrap(err, "printing the addresses")
 	}
 	return r.Run(ctx)
 }
--- a/command/run.go
+++ b/command/run.go
@@ -15,59 +15,61 @@
 	"nutmeglock.example/nutmeglock/local"
 )
 
-// startTimeout bounds the start of the local fleet and its first answer.
+// startTimeout limits the start of the local fleet and its first request.
 const startTimeout = 30 * time.Second
 
-// Run returns the command that runs a whole fleet on loopback in one process.
+// Run returns the command that runs a demo fleet on loopback in one process.
 func Run() *cli.Command {
 	return &cli.Command{
 		Name:  "run",
-		Usage: "run a platform, two engines, a plain service and three routers on loopback, as a first look",
+		Usage: "run a demo on loopback: a platform, two engines, a plain service and three routers",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "once", Usage: "end after the first answer instead of at SIGINT or SIGTERM"},
+			&cli.BoolFlag{Name: "once", Usage: "exit after the first answer instead of at SIGINT or SIGTERM"},
 		},
 		Action: runLocal,
 	}
 }
 
 func runLocal(ctx context.Context, c *cli.Command) error {
-	ctx, end := signal.NotifyContext(ctx, stopSignals()...)
-	defer end()
-	starting, cancel := context.WithTimeout(ctx, startTimeout)
+	ctx, unregister := signal.NotifyContext(ctx, stopSignals()...)
+	defer unregister()
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	started, err := local.Start(starting, local.Options{Routers: 3, Engines: 2, Applications: 1})
+	fleet, err := local.Start(startCtx, local.Options{Routers: 3, Engines: 2, Applications: 1})
 	if err != nil {
 		return err
 	}
-	defer started.Close()
-	url := "http://" + started.Routers[0].Callers.String() + "/v1/chat/completions"
-	say(c, "Three routers are ready. Ask one of them:\n")
-	say(c, curl(url))
-	answer, err := ask(starting, url)
+	defer fleet.Close()
+	url := "http://" + fleet.Routers[0].Callers.String() + "/v1/chat/completions"
+	printLine(c, "Three routers are ready. Send a request to one of them:\n")
+	printLine(c, curlCommand(url))
+	answer, err := sendFirstRequest(startCtx, url)
 	if err != nil {
 		return err
 	}
-	say(c, "\nIts answer to the same request:\n")
-	say(c, answer)
+	printLine(c, "\nAnswer to this request:\n")
+	printLine(c, answer)
 	if c.Bool("once") {
 		return nil
 	}
-	say(c, "\nStop with Ctrl-C.")
+	printLine(c, "\nStop with Ctrl-C.")
 	<-ctx.Done()
 	return nil
 }
 
-const firstQuestion = `{"model":"findings","max_tokens":24,"messages":[{"role":"user","content":"What blocks duct 7?"}]}`
+const firstRequestBody = `{"model":"findings","max_tokens":24,"messages":[{"role":"user","content":"What blocks duct 7?"}]}`
 
-func curl(url string) string {
+// curlCommand returns a curl command line for the first request.
+func curlCommand(url string) string {
 	return fmt.Sprintf("curl -sS %s \\\n  -H 'Authorization: Bearer %s' \\\n  -H 'Content-Type: application/json' \\\n  -d '%s'",
-		url, local.AccountKey(0), firstQuestion)
+		url, local.AccountKey(0), firstRequestBody)
 }
 
-func ask(ctx context.Context, url string) (string, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(firstQuestion))
+// sendFirstRequest sends the first request and returns the body of the answer.
+func sendFirstRequest(ctx context.Context, url string) (string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(firstRequestBody))
 	if err != nil {
-		return "", eris.Wrap(err, "making the first request")
+		return "", eris.Wrap(err, "creating the first request")
 	}
 	req.Header.Set("Authorization", "Bearer "+local.AccountKey(0))
 	req.Header.Set("Content-Type", "application/json")
--- a/command/say.go
+++ b/command/say.go
@@ -6,13 +6,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// say writes a line to the command's output. A write that fails, such as to a
-// closed pipe, leaves nobody to tell.
-func say(c *cli.Command, line string) {
+// printLine writes a line to the command's output. It ignores errors, such as a
+// closed pipe, which could not be reported anyway.
+func printLine(c *cli.Command, line string) {
 	_, _ = fmt.Fprintln(c.Root().Writer, line)
 }
 
-// complain writes a line to the command's error output.
-func complain(c *cli.Command, line string) {
+// printError writes a line to the command's error output.
+func printError(c *cli.Command, line string) {
 	_, _ = fmt.Fprintln(c.Root().ErrWriter, line)
 }
--- a/command/signal.go
+++ b/command/signal.go
@@ -5,5 +5,5 @@
 	"syscall"
 )
 
-// stopSignals returns the signals that ask a process for a graceful shutdown.
+// stopSignals returns the signals that request a graceful shutdown.
 func stopSignals() []os.Signal { return []os.Signal{syscall.SIGINT, syscall.SIGTERM} }
--- a/command/standin.go
+++ b/command/standin.go
@@ -20,14 +20,13 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// standInHeaderTimeout bounds the time in which a stand-in reads a request's header.
+// standInHeaderTimeout limits the time to read a request header.
 const standInHeaderTimeout = 10 * time.Second
 
-// standInStopTimeout bounds the time that a stand-in waits for requests in
-// flight once it is told to stop.
+// standInStopTimeout limits the wait for requests in flight when a stand-in stops.
 const standInStopTimeout = 5 * time.Second
 
-// StandIn returns the command that runs one of the stand-ins as a process of its own.
+// StandIn returns the command that runs a stand-in as a separate process.
 func StandIn() *cli.Command {
 	return &cli.Command{
 		Name:     "stand-in",
@@ -37,7 +36,7 @@
 }
 
 func addressFlag() cli.Flag {
-	return &cli.StringFlag{Name: "address", Value: "127.0.0.1:0", Usage: "`HOST:PORT` to listen on; port 0 takes a free one"}
+	return &cli.StringFlag{Name: "address", Value: "127.0.0.1:0", Usage: "`HOST:PORT` to listen on; port 0 selects a free port"}
 }
 
 func standInEngine() *cli.Command {
@@ -47,14 +46,14 @@
 		Flags: []cli.Flag{
 			addressFlag(),
 			&cli.FloatFlag{Name: "time-scale", Value: 1, Usage: "multiply every duration by `FACTOR`"},
-			&cli.DurationFlag{Name: "step-base", Usage: "time of a step of an empty batch (default 20ms)"},
-			&cli.DurationFlag{Name: "step-slope", Usage: "further time of a step for each request in the batch (default 0.5ms)"},
-			&cli.IntFlag{Name: "max-batch", Usage: "requests that run at once (default 32)"},
+			&cli.DurationFlag{Name: "step-base", Usage: "duration of a step with an empty batch (default 20ms)"},
+			&cli.DurationFlag{Name: "step-slope", Usage: "additional duration of a step for each request in the batch (default 0.5ms)"},
+			&cli.IntFlag{Name: "max-batch", Usage: "requests that run concurrently (default 32)"},
 			&cli.IntFlag{Name: "cache-blocks", Usage: "blocks in the prefix cache (default 4096)"},
 			&cli.DurationFlag{Name: "report-lag", Usage: "age of a load report (default 1s)"},
 			&cli.DurationFlag{Name: "event-lag", Usage: "age of a cache event when it appears (default 2s)"},
-			&cli.IntFlag{Name: "event-gap", Usage: "lose each `N`th cache event"},
-			&cli.DurationFlag{Name: "retention", Usage: "how long a stream is kept without a reader (default 10s)"},
+			&cli.IntFlag{Name: "event-gap", Usage: "drop every `N`th cache event"},
+			&cli.DurationFlag{Name: "retention", Usage: "how long a stream without a reader is kept (default 10s)"},
 			&cli.BoolFlag{Name: "check-fencing", Usage: "refuse orders with an old fencing number"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -80,9 +79,9 @@
 		Usage: "plain service that counts the runs of each request",
 		Flags: []cli.Flag{
 			addressFlag(),
-			&cli.DurationFlag{Name: "service-time", Usage: "how long one call runs"},
-			&cli.IntFlag{Name: "slots", Usage: "calls that run at once (default 64)"},
-			&cli.IntFlag{Name: "max-queued", Usage: "calls that wait before further ones are refused (default: any number)"},
+			&cli.DurationFlag{Name: "service-time", Usage: "duration of each call"},
+			&cli.IntFlag{Name: "slots", Usage: "calls that run concurrently (default 64)"},
+			&cli.IntFlag{Name: "max-queued", Usage: "queued calls before further ones are refused (default: no limit)"},
 			&cli.DurationFlag{Name: "report-lag", Usage: "age of a load report"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -102,9 +101,9 @@
 		Usage: "table service, object store and VM list, in memory",
 		Flags: []cli.Flag{
 			addressFlag(),
-			&cli.DurationFlag{Name: "vm-lag", Usage: "how much later the VM list changes for readers"},
-			&cli.FloatFlag{Name: "reads", Usage: "bound on reads a second (default none)"},
-			&cli.FloatFlag{Name: "writes", Usage: "bound on writes a second (default none)"},
+			&cli.DurationFlag{Name: "vm-lag", Usage: "delay before readers see a change of the VM list"},
+			&cli.FloatFlag{Name: "reads", Usage: "limit on reads per second (default none)"},
+			&cli.FloatFlag{Name: "writes", Usage: "limit on writes per second (default none)"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			store := memory.New(timer.System{})
@@ -115,13 +114,13 @@
 	}
 }
 
-// ready is the line of JSON that a stand-in prints once it listens.
-type ready struct {
+// standInReady is the JSON line that a stand-in prints once it listens.
+type standInReady struct {
 	Kind    string `json:"kind"`
 	Address string `json:"address"`
 }
 
-// serveStandIn answers requests until SIGINT, SIGTERM or the end of ctx.
+// serveStandIn serves requests until SIGINT, SIGTERM or the end of ctx.
 func serveStandIn(ctx context.Context, c *cli.Command, handler http.Handler) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.String("address"))
 	if err != nil {
@@ -131,15 +130,15 @@
 	var group run.Group
 	group.Add(run.SignalHandler(ctx, stopSignals()...))
 	group.Add(func() error { return httpServer.Serve(listener) }, func(error) { stopServer(httpServer) })
-	if err := announce(c.Root().Writer, ready{Kind: c.Name, Address: listener.Addr().String()}); err != nil {
+	if err := printReady(c.Root().Writer, standInReady{Kind: c.Name, Address: listener.Addr().String()}); err != nil {
 		return err
 	}
-	return withoutSignal(group.Run())
+	return ignoreSignal(group.Run())
 }
 
-func announce(w io.Writer, line ready) error { return json.NewEncoder(w).Encode(line) }
+func printReady(w io.Writer, line standInReady) error { return json.NewEncoder(w).Encode(line) }
 
-// stopServer finishes the requests in flight within the timeout, then breaks the rest.
+// stopServer waits for requests in flight until the timeout and then aborts them.
 func stopServer(httpServer *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), standInStopTimeout)
 	defer cancel()
@@ -148,8 +147,9 @@
 	}
 }
 
-// withoutSignal returns nil for the end that a signal brings, which is no failure.
-func withoutSignal(err error) error {
+// ignoreSignal returns nil for an error that means a requested stop, by a signal
+// or the end of the context.
+func ignoreSignal(err error) error {
 	if errors.Is(err, run.ErrSignal) || errors.Is(err, context.Canceled) {
 		return nil
 	}
