--- a/cmd/nutmeglock/main.go
+++ b/cmd/nutmeglock/main.go
@@ -1,4 +1,4 @@
-// Command nutmeglock runs routers, the operators' commands and the stand-ins.
+// Command nutmeglock runs routers, operator commands and stand-ins.
 package main
 
 import (
@@ -18,9 +18,9 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "nutmeglock:", err)
-	var coded cli.ExitCoder
-	if errors.As(err, &coded) {
-		os.Exit(coded.ExitCode())
+	var exitCoder cli.ExitCoder
+	if errors.As(err, &exitCoder) {
+		os.Exit(exitCoder.ExitCode())
 	}
 	os.Exit(command.ExitFailed)
 }
--- a/nutmeglock.go
+++ b/nutmeglock.go
@@ -1,6 +1,6 @@
-// Package nutmeglock is a fleet of routers that lets client accounts share
-// model and application capacity fairly. This package is the façade: New
-// returns one router from its settings.
+// Package nutmeglock runs routers that share model and application capacity
+// fairly among client accounts. It is the entry point for embedding a router in
+// another program.
 package nutmeglock
 
 import (
@@ -17,34 +17,36 @@
 type Router interface {
 	// Run serves until ctx ends, then shuts down gracefully and returns nil.
 	Run(ctx context.Context) error
-	// Addresses returns where the router listens.
+	// Addresses returns the addresses that the router listens on.
 	Addresses() daemon.Addresses
 }
 
-// Option changes what a router is made of.
+// Option customises a router.
 type Option func(*daemon.Options)
 
-// WithLog makes a router write its log to log. Without it there is none.
+// WithLog sets the logger. By default nothing is logged.
 func WithLog(log *slog.Logger) Option { return func(o *daemon.Options) { o.Log = log } }
 
-// WithTimer makes a router tell the time by t.
+// WithTimer sets the clock. The default is the system clock.
 func WithTimer(t timer.Service) Option { return func(o *daemon.Options) { o.Timer = t } }
 
-// WithPlatform makes a router use p in place of the platform at the settings' URL.
+// WithPlatform sets the platform. The default is an HTTP client for the URL in
+// the settings.
 func WithPlatform(p daemon.Platform) Option { return func(o *daemon.Options) { o.Platform = p } }
 
-// WithExtensions adds extensions to the built-in ones.
+// WithExtensions adds extensions to the built-in extensions.
 func WithExtensions(extensions ...daemon.Extension) Option {
 	return func(o *daemon.Options) { o.Extensions = append(o.Extensions, extensions...) }
 }
 
-// ReadSettings returns the checked settings in data, a JSON document with
-// comments. name is its file's, for the faults of a *document.FaultsError.
+// ReadSettings parses and validates settings in JSON with comments. name is the
+// file name for the faults of a *document.FaultsError.
 func ReadSettings(name string, data []byte) (*schema.RouterSettings, error) {
 	return settings.Read(name, data)
 }
 
-// New returns a router whose addresses are open. It fails when one can't be opened.
+// New returns a router that already listens. It fails if an address can't be
+// opened or an extension returns an error.
 func New(ctx context.Context, s *schema.RouterSettings, options ...Option) (Router, error) {
 	o := daemon.Options{Settings: s}
 	for _, option := range options {
