--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// finishRequests waits for the requests in flight, at most for the stop grace
-// of the settings.
+// finishRequests waits for the requests in flight, at most as long as the
+// stop-grace-ms setting allows.
 func finishRequests(ctx context.Context, p *Parts, handler *router.Router, server *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, settings.StopGrace(p.Settings))
 	defer cancel()
