--- a/call/event.go
+++ b/call/event.go
@@ -41,7 +41,7 @@
 	}
 	body, err := protojson.Marshal(&schema.RefusalBody{Error: &schema.RefusalDetail{
 		RequestId: string(request), Outcome: string(refusal.Run), Reason: string(reason),
-		Message: "The stream was interrupted and could not be resumed.",
+		Message: "The stream broke off and could not be resumed.",
 	}})
 	if err != nil {
 		return
--- a/call/failure.go
+++ b/call/failure.go
@@ -89,7 +89,7 @@
 	case e.attempts > 1:
 		out.Reason, out.Detail = refusal.RetriesExhausted, "Each upstream that was tried failed."
 	case errors.As(err, &failed) && failed.Facts.Refused != "":
-		out.Reason, out.Detail = refusal.UpstreamBusy, "The upstream accepts no more requests now."
+		out.Reason, out.Detail = refusal.UpstreamBusy, "The upstream takes no more work now."
 	default:
 		out.Reason, out.Detail = refusal.UpstreamFailed, "The upstream failed before its answer began."
 	}
--- a/call/once.go
+++ b/call/once.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	if e.runner.Claims == nil {
-		return refusal.New(refusal.ClaimsUnavailable, "This router does not support claims.", 0)
+		return refusal.New(refusal.ClaimsUnavailable, "This router keeps no claims.", 0)
 	}
 	return e.runner.Claims.Available()
 }
--- a/call/resume.go
+++ b/call/resume.go
@@ -72,7 +72,7 @@
 	case callerGone(ctx):
 		refused.Reason, refused.Detail = refusal.CallerGone, "The caller closed the connection."
 	case ctx.Err() != nil:
-		refused.Reason, refused.Detail = refusal.DeadlinePassed, "The deadline passed before the stream was resumed."
+		refused.Reason, refused.Detail = refusal.DeadlinePassed, "The deadline passed before the stream went on."
 		refused.RetryAfter = retryAfter
 	default:
 		refused.Reason, refused.Detail = refusal.UpstreamFailed, "The stream's upstream could not be reached."
--- a/call/try.go
+++ b/call/try.go
@@ -39,7 +39,7 @@
 
 func (a *upstreamAttempt) exchange(ctx context.Context) error {
 	if a.claim != nil && !a.claim.Ready() {
-		return refusal.New(refusal.DeadlinePassed, "The router was delayed past the deadline before it sent the request.", retryAfter)
+		return refusal.New(refusal.DeadlinePassed, "The router was held up past the deadline before it sent the request.", retryAfter)
 	}
 	a.sentAt = a.runner.now()
 	answer, err := a.runner.Client.Do(ctx, a.address, attempt.Request{
--- a/claim/keep.go
+++ b/claim/keep.go
@@ -82,7 +82,7 @@
 func (s *Store) loadBody(ctx context.Context, kept *schema.KeptAnswer) ([]byte, error) {
 	lost := &refusal.Error{
 		Reason: refusal.OutcomeLost, Outcome: refusal.Run,
-		Detail: "The request with this idempotency key was run; its answer is no longer stored.",
+		Detail: "The request with this idempotency key was run; its answer is no longer kept.",
 	}
 	if s.Objects == nil {
 		return nil, lost
--- a/claim/store.go
+++ b/claim/store.go
@@ -169,7 +169,7 @@
 
 func unavailable(cause error) error {
 	refused := refusal.New(refusal.ClaimsUnavailable,
-		"The table that prevents a second run of the request can't be reached.", retryAfterOutage)
+		"The request may run once at most, and the table that ensures it can't be reached.", retryAfterOutage)
 	refused.Cause = cause
 	return refused
 }
@@ -178,7 +178,7 @@
 // key another attempt has claimed.
 func (s *Store) resolveDuplicate(ctx context.Context, row *schema.ClaimRow, request Request) (*Answer, error) {
 	if !bytes.Equal(row.GetFingerprint(), request.fingerprint()) {
-		return nil, refusal.New(refusal.KeyReused, "The idempotency key was used for another request.", 0)
+		return nil, refusal.New(refusal.KeyReused, "The idempotency key stands for another request.", 0)
 	}
 	switch row.GetState() {
 	case schema.ClaimState_CLAIM_STATE_DONE:
@@ -188,7 +188,7 @@
 		if left > 0 {
 			return nil, &refusal.Error{
 				Reason: refusal.DuplicateInFlight, Outcome: refusal.Unknown,
-				Detail:     "The request with this idempotency key is still in progress.",
+				Detail:     "The request with this idempotency key is still under way.",
 				RetryAfter: min(left, maxRetryAfter),
 			}
 		}
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -33,7 +33,7 @@
 	case s.parts.Stopping.Load():
 		return "the router is shutting down"
 	case !s.parts.Notes.Ready():
-		return "the router has no release note yet"
+		return "the router holds no release note yet"
 	}
 	return ""
 }
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -40,12 +40,12 @@
 		parts: p, file: file, recorder: trace.NewRecorder(file), started: p.Timer.Now(), headerReady: make(chan struct{}),
 		incomplete: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "nutmeglock_trace_incomplete_total",
-			Help: "Ended requests omitted from the trace because their cost is unknown.",
+			Help: "Ended requests left out of the trace, since what they cost is not known.",
 		}),
 	}
 	p.Registry.MustRegister(t.incomplete, prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "nutmeglock_trace_lost_total",
-		Help: "Ended requests missing from the trace because its file could not be written in time.",
+		Help: "Ended requests that the trace lost, because its file did not take them in time.",
 	}, func() float64 { return float64(t.recorder.Dropped()) }))
 	p.Runner.Observers = append(p.Runner.Observers, t)
 	p.AddActor("trace", t.run)
--- a/deployment/knowledge.go
+++ b/deployment/knowledge.go
@@ -85,7 +85,7 @@
 func (m *mesh) answerKnowledgeRequest(_ context.Context, params json.RawMessage) (any, error) {
 	var request knowledgeRequest
 	if err := json.Unmarshal(params, &request); err != nil {
-		return nil, eris.Wrap(err, "decoding a request for knowledge")
+		return nil, eris.Wrap(err, "decoding a question")
 	}
 	var response knowledgeResponse
 	knowledge := m.state.knowledgeAfter(registry.Revision(request.UpstreamRevision))
--- a/note/check.go
+++ b/note/check.go
@@ -132,7 +132,7 @@
 			continue // Parsing the document has reported the missing id.
 		}
 		if path, ok := firstPaths[m.Entry]; ok {
-			c.doc.Add(m.path, document.Contradiction, strconv.Quote(m.ID), "each "+string(m.Kind)+" once; this one is listed at "+path+" too")
+			c.doc.Add(m.path, document.Contradiction, strconv.Quote(m.ID), "each "+string(m.Kind)+" once; this one stands at "+path+" too")
 			continue
 		}
 		firstPaths[m.Entry] = m.path
--- a/note/publisher.go
+++ b/note/publisher.go
@@ -56,7 +56,7 @@
 
 // Error names the number of attempts.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("not accepted: other release notes came first, or the table was stale, %d times", e.Attempts)
+	return fmt.Sprintf("not accepted: overtaken by other release notes, or read a stale table, %d times", e.Attempts)
 }
 
 // PublishResult is the result of a successful publish.
--- a/note/refuse.go
+++ b/note/refuse.go
@@ -21,7 +21,7 @@
 func tooOldError(base, version fleet.Version) error {
 	return &document.FaultsError{Faults: []document.Fault{{
 		File: "release note", Path: "based-on", Kind: document.OutOfBounds, Found: fmt.Sprint(base),
-		Allowed: fmt.Sprintf("a version at most %d behind the newest, which is %d; read the state again", maxRecordsBehind, version),
+		Allowed: fmt.Sprintf("a version at most %d behind the newest, which is %d; look at the state again", maxRecordsBehind, version),
 	}}}
 }
 
--- a/operator/failure.go
+++ b/operator/failure.go
@@ -85,13 +85,13 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return newFailure(http.StatusRequestEntityTooLarge, BodyTooLarge, "a release note has at most "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
+		return newFailure(http.StatusRequestEntityTooLarge, BodyTooLarge, "a release note takes at most "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
 	}
 	var httpErr *echo.HTTPError
 	if errors.As(err, &httpErr) {
 		return routingFailure(httpErr)
 	}
-	return newFailure(http.StatusInternalServerError, Internal, "internal error; the router's log has the cause")
+	return newFailure(http.StatusInternalServerError, Internal, "the router could not answer; its log says why")
 }
 
 func routingFailure(err *echo.HTTPError) *failure {
@@ -125,7 +125,7 @@
 
 func faultsFailure(err *document.FaultsError) *failure {
 	detail := &schema.OperatorError{
-		Reason: string(Invalid), Message: "the release note has faults and was not accepted", Dropped: uint32(err.Dropped),
+		Reason: string(Invalid), Message: "the release note was not accepted because of its faults", Dropped: uint32(err.Dropped),
 	}
 	for _, f := range err.Faults {
 		detail.Faults = append(detail.Faults, &schema.NoteFault{
@@ -137,7 +137,7 @@
 
 func clashFailure(err *note.ClashError) *failure {
 	detail := &schema.OperatorError{
-		Reason: string(Clashing), Message: "the release note was not accepted: others changed the same entries", BasedOn: uint64(err.BasedOn),
+		Reason: string(Clashing), Message: "the release note was not accepted: others touched the same entries", BasedOn: uint64(err.BasedOn),
 	}
 	for _, c := range err.Clashes {
 		detail.Clashes = append(detail.Clashes, &schema.NoteClash{
--- a/operator/key.go
+++ b/operator/key.go
@@ -61,7 +61,7 @@
 		if !ok || name == "" {
 			c.Response().Header().Set(echo.HeaderWWWAuthenticate, strings.TrimSpace(bearerPrefix))
 			return &failure{http.StatusUnauthorized, &schema.OperatorError{
-				Reason: string(Denied), Message: "an operator key from the router's settings is required, as Authorization: Bearer KEY",
+				Reason: string(Denied), Message: "present an operator key that the router's settings list, as Authorization: Bearer KEY",
 			}}
 		}
 		c.Set(authorContextKey, name)
--- a/operator/notes.go
+++ b/operator/notes.go
@@ -41,7 +41,7 @@
 		if f := failureFor(err); f.detail.GetReason() == string(BodyTooLarge) {
 			return nil, f
 		}
-		return nil, newFailure(http.StatusBadRequest, BadRequest, "the request body is incomplete")
+		return nil, newFailure(http.StatusBadRequest, BadRequest, "the request's body did not arrive whole")
 	}
 	return document.Parse[*schema.ReleaseNote](documentName, data), nil
 }
@@ -61,7 +61,7 @@
 		id = note.NewPublishID()
 	}
 	if !id.Valid() {
-		return newFailure(http.StatusBadRequest, BadRequest, PublishIDHeader+" must be 32 lower-case hex digits")
+		return newFailure(http.StatusBadRequest, BadRequest, PublishIDHeader+" takes 32 lower-case hex digits")
 	}
 	d, err := readNote(c)
 	if err != nil {
@@ -160,7 +160,7 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || n > maximum {
-		return 0, newFailure(http.StatusBadRequest, BadRequest, name+" must be a whole number of at most "+strconv.FormatUint(maximum, 10))
+		return 0, newFailure(http.StatusBadRequest, BadRequest, name+" takes a whole number of at most "+strconv.FormatUint(maximum, 10))
 	}
 	return n, nil
 }
--- a/router/answer.go
+++ b/router/answer.go
@@ -43,20 +43,20 @@
 	if errors.As(err, &broken) {
 		return &refusal.Error{
 			Reason: refusal.UpstreamFailed, Outcome: broken.Outcome,
-			Detail: "the response was cut off", Cause: err,
+			Detail: "the answer broke off", Cause: err,
 		}
 	}
 	var httpErr *echo.HTTPError
 	if errors.As(err, &httpErr) && httpErr.Code < http.StatusInternalServerError {
 		return &refusal.Error{
 			Reason: refusal.BadRequest, Outcome: refusal.NotRun,
-			Detail: "no such path or method", Cause: err,
+			Detail: "there is no such path or method here", Cause: err,
 		}
 	}
 	// The outcome is unknown: the request may have reached an upstream.
 	return &refusal.Error{
 		Reason: refusal.Internal, Outcome: refusal.Unknown,
-		Detail: "internal router error", Cause: err,
+		Detail: "the router failed", Cause: err,
 	}
 }
 
--- a/router/body.go
+++ b/router/body.go
@@ -41,7 +41,7 @@
 	default:
 		return &refusal.Error{
 			Reason: refusal.BadRequest, Outcome: refusal.NotRun,
-			Detail: "the body was cut off", Cause: err,
+			Detail: "the body broke off", Cause: err,
 		}
 	}
 }
--- a/router/caller.go
+++ b/router/caller.go
@@ -65,7 +65,7 @@
 func (r *Router) authenticate(req *http.Request) (*schema.Account, *refusal.Error) {
 	key, found := strings.CutPrefix(req.Header.Get(echo.HeaderAuthorization), bearerPrefix)
 	if !found || key == "" {
-		return nil, refusal.New(refusal.UnknownAccount, "the Authorization header has no bearer key", 0)
+		return nil, refusal.New(refusal.UnknownAccount, "the Authorization header holds no bearer key", 0)
 	}
 	account := r.Notes.Current().AccountByKey(key)
 	if account == nil {
@@ -108,7 +108,7 @@
 	ms, err := strconv.ParseUint(text, decimal, timeoutBits)
 	timeout := time.Duration(ms) * time.Millisecond
 	if err != nil || timeout < minTimeout || timeout > r.Limits.MaxDeadline {
-		detail := fmt.Sprintf("%s is %q; it must be a whole number of milliseconds from 1 to %d",
+		detail := fmt.Sprintf("%s is %q; allowed is a whole number of milliseconds from 1 to %d",
 			HeaderTimeout, text, r.Limits.MaxDeadline.Milliseconds())
 		return time.Time{}, refusal.New(refusal.BadRequest, detail, 0)
 	}
@@ -119,12 +119,12 @@
 func idempotencyKey(req *http.Request) (string, *refusal.Error) {
 	key := req.Header.Get(HeaderIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
-		detail := fmt.Sprintf("%s has %d characters; at most %d are allowed", HeaderIdempotencyKey, len(key), maxIdempotencyKeyBytes)
+		detail := fmt.Sprintf("%s has %d characters; allowed are at most %d", HeaderIdempotencyKey, len(key), maxIdempotencyKeyBytes)
 		return "", refusal.New(refusal.BadRequest, detail, 0)
 	}
 	for _, char := range key {
 		if char < firstPrintable || char > lastPrintable {
-			return "", refusal.New(refusal.BadRequest, HeaderIdempotencyKey+" contains a character that is not printable ASCII", 0)
+			return "", refusal.New(refusal.BadRequest, HeaderIdempotencyKey+" holds a character that is not printable ASCII", 0)
 		}
 	}
 	return key, nil
--- a/router/chat.go
+++ b/router/chat.go
@@ -28,7 +28,7 @@
 	}
 	var chat chatRequest
 	if err := json.Unmarshal(in.body, &chat); err != nil {
-		return refusal.New(refusal.BadRequest, "the body is not a valid chat-completions request: "+err.Error(), 0)
+		return refusal.New(refusal.BadRequest, "the body is no chat-completions JSON: "+err.Error(), 0)
 	}
 	if refused := chat.validate(); refused != nil {
 		return refused
@@ -48,11 +48,11 @@
 func (q chatRequest) validate() *refusal.Error {
 	switch {
 	case q.Model == "":
-		return refusal.New(refusal.BadRequest, "the body has no model", 0)
+		return refusal.New(refusal.BadRequest, "the body names no model", 0)
 	case len(q.Messages) == 0 || q.Messages[0] != '[':
-		return refusal.New(refusal.BadRequest, "the body has no messages array", 0)
+		return refusal.New(refusal.BadRequest, "the body has no list of messages", 0)
 	case q.maxOutputTokens() < 0:
-		return refusal.New(refusal.BadRequest, fmt.Sprintf("max_tokens is %d; it must not be negative", q.maxOutputTokens()), 0)
+		return refusal.New(refusal.BadRequest, fmt.Sprintf("max_tokens is %d; allowed is 0 and more", q.maxOutputTokens()), 0)
 	}
 	return nil
 }
--- a/router/resume.go
+++ b/router/resume.go
@@ -45,7 +45,7 @@
 	}
 	after, err := strconv.ParseUint(text, decimal, eventIDBits)
 	if err != nil {
-		detail := fmt.Sprintf("the last event id is %q; it must be a whole number", text)
+		detail := fmt.Sprintf("the last event is %q; allowed is a whole number", text)
 		return 0, refusal.New(refusal.BadRequest, detail, 0)
 	}
 	return stream.EventID(after), nil
--- a/router/router.go
+++ b/router/router.go
@@ -91,11 +91,11 @@
 	return func(c echo.Context) error {
 		if !r.active.begin() {
 			c.Response().Header().Set(echo.HeaderConnection, "close")
-			return refusal.New(refusal.Stopping, "this router is shutting down; retry through the load balancer", stoppingRetryAfter)
+			return refusal.New(refusal.Stopping, "this router is shutting down; come back through the balancer", stoppingRetryAfter)
 		}
 		defer r.active.end()
 		if r.Notes.Current() == nil {
-			return refusal.New(refusal.NotReady, "this router has no release note yet", notReadyRetryAfter)
+			return refusal.New(refusal.NotReady, "this router holds no release note yet", notReadyRetryAfter)
 		}
 		if size := headerSize(c.Request().Header); size > r.Limits.HeaderBytes {
 			return refusal.New(refusal.HeaderTooLarge, "the request header is longer than this router allows", 0)
--- a/scheduler/entry.go
+++ b/scheduler/entry.go
@@ -62,12 +62,12 @@
 		s.refreshAssignment(now)
 	}
 	if s.view == nil {
-		return refusal.New(refusal.NotReady, "no release note is in force at this router yet", time.Second)
+		return refusal.New(refusal.NotReady, "no release note is in force here yet", time.Second)
 	}
 	key := queueKey{fleet.Number(w.work.Service.GetNumber()), fleet.Number(w.work.Account.GetNumber())}
 	available := s.assignment.available[key.service]
 	if len(available) == 0 {
-		return refusal.New(refusal.NoUpstream, "the service has no available upstream", noUpstreamRetryAfter)
+		return refusal.New(refusal.NoUpstream, "the service has no upstream that takes work", noUpstreamRetryAfter)
 	}
 	q := l.queues[key]
 	if q == nil {
@@ -245,7 +245,7 @@
 	case s.view.ServiceByNumber(q.key.service) == nil:
 		return refusal.New(refusal.UnknownService, "the service was withdrawn", 0)
 	case len(s.assignment.available[q.key.service]) == 0:
-		return refusal.New(refusal.NoUpstream, "the service has no available upstream", noUpstreamRetryAfter)
+		return refusal.New(refusal.NoUpstream, "the service has no upstream that takes work", noUpstreamRetryAfter)
 	}
 	return nil
 }
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -32,7 +32,7 @@
 var (
 	ErrDown    = errors.New("the platform is down")
 	ErrLost    = errors.New("the reply was lost")
-	ErrLimited = errors.New("the platform's rate limit is exceeded")
+	ErrLimited = errors.New("the platform's rate limit is reached")
 )
 
 // Platform implements store.Table, store.Objects and store.VMs.
@@ -132,7 +132,7 @@
 
 // Error returns the requested commit and the last one whose changes were dropped.
 func (e *HistoryLostError) Error() string {
-	return fmt.Sprintf("changes after commit %d were dropped up to commit %d", e.After, e.DroppedThrough)
+	return fmt.Sprintf("changes after commit %d are dropped up to %d", e.After, e.DroppedThrough)
 }
 
 // DropHistory drops all changes so far. Watches that ask for them fail.
--- a/store/store.go
+++ b/store/store.go
@@ -137,4 +137,4 @@
 type NotFoundError struct{ Name string }
 
 // Error returns the object's name.
-func (e *NotFoundError) Error() string { return "object not found: " + e.Name }
+func (e *NotFoundError) Error() string { return "no object " + e.Name }
