--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -11,7 +11,7 @@
 	"nutmeglock.example/nutmeglock/placement"
 )
 
-// Properties are drawn from a fixed seed, so that each run checks the same.
+// A fixed seed makes each run check the same cases.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
@@ -59,9 +59,9 @@
 	})
 }
 
-// One beginning takes most of the load. Following the cache alone, all of it
-// waits at one upstream while the others idle; looking at load alone, every
-// upstream computes the beginning anew and other beginnings lose their cache.
+// One prefix makes up most of the load. With cache affinity alone, all requests would wait
+// at one upstream while the others idle; with load alone, every upstream would compute the
+// prefix and evict other prefixes.
 func TestPopularBeginningSpreadsOnlyUnderLoad(t *testing.T) {
 	t.Parallel()
 	place := func(policy placement.Policy, requests int) map[int]int {
@@ -73,7 +73,7 @@
 			for i := range candidates {
 				candidates[i] = placement.Candidate{Upstream: fleet.Number(i), InFlight: inFlight[i], Limit: 16, Affinity: cached[i]}
 			}
-			placement.Prefer(42, candidates)
+			placement.AddPreferredAffinity(42, candidates)
 			i, ok := policy.Pick(candidates)
 			if !ok {
 				break
@@ -95,11 +95,11 @@
 func TestDispatchersPreferTheSameUpstream(t *testing.T) {
 	t.Parallel()
 	chosen := make(map[fleet.Number]bool)
-	for beginning := uint64(1); beginning < 200; beginning++ {
+	for prefix := uint64(1); prefix < 200; prefix++ {
 		forward := []placement.Candidate{{Upstream: 1, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 3, Limit: 9}}
 		backward := []placement.Candidate{{Upstream: 3, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 1, Limit: 9}}
-		placement.Prefer(beginning, forward)
-		placement.Prefer(beginning, backward)
+		placement.AddPreferredAffinity(prefix, forward)
+		placement.AddPreferredAffinity(prefix, backward)
 		i, _ := placement.Affinity{}.Pick(forward)
 		j, _ := placement.Affinity{}.Pick(backward)
 		require.Equal(t, forward[i].Upstream, backward[j].Upstream)
--- a/store/memory/table.go
+++ b/store/memory/table.go
@@ -9,40 +9,40 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// retention is how long a replaced value of a row stays readable for stale reads.
+// retention is how long a replaced value of a row stays available to stale reads.
 const retention = 10 * time.Minute
 
-// sweepEvery is the number of commits between two sweeps of removed rows.
-const sweepEvery = 4096
+// sweepInterval is the number of commits between sweeps of removed rows.
+const sweepInterval = 4096
 
-// table keeps each row's recent values, so that a stale read can return them.
-// Its zero value is empty. A row's version is the number of the commit that
-// wrote it, so that it grows also over a removal.
+// table keeps the recent values of each row for stale reads. The zero value is
+// an empty table. A row's version is the number of the commit that wrote it, so
+// it keeps increasing when a removed row is written again.
 type table struct {
-	commits uint64
-	times   []commitTime
-	keys    []store.Key
-	history map[store.Key][]value
+	lastCommit  uint64
+	commitTimes []commitTime
+	keys        []store.Key
+	history     map[store.Key][]rowValue
 }
 
-type value struct {
-	commit  uint64
-	at      time.Time
-	data    []byte
-	removed bool
+type rowValue struct {
+	commit    uint64
+	writtenAt time.Time
+	data      []byte
+	removed   bool
 }
 
 type commitTime struct {
-	commit uint64
-	at     time.Time
+	commit      uint64
+	committedAt time.Time
 }
 
-// row returns the row as it was after a commit.
-func (t *table) row(at uint64, key store.Key) store.Row {
+// row returns a row as of the given commit.
+func (t *table) row(commit uint64, key store.Key) store.Row {
 	values := t.history[key]
 	for i := len(values) - 1; i >= 0; i-- {
 		v := values[i]
-		if v.commit > at {
+		if v.commit > commit {
 			continue
 		}
 		if v.removed {
@@ -53,36 +53,36 @@
 	return store.Row{Key: key}
 }
 
-func (t *table) read(at uint64, keys []store.Key) []store.Row {
+func (t *table) read(commit uint64, keys []store.Key) []store.Row {
 	rows := make([]store.Row, len(keys))
 	for i, key := range keys {
-		rows[i] = t.row(at, key)
+		rows[i] = t.row(commit, key)
 	}
 	return rows
 }
 
-func (t *table) scan(at uint64, prefix, after store.Key, limit int) []store.Row {
+func (t *table) scan(commit uint64, prefix, after store.Key, limit int) []store.Row {
 	rows := []store.Row{}
 	start, _ := slices.BinarySearch(t.keys, max(prefix, after))
 	for _, key := range t.keys[start:] {
-		if len(rows) >= limit || !hasPrefix(key, prefix) {
+		if len(rows) >= limit || !keyHasPrefix(key, prefix) {
 			break
 		}
-		if row := t.row(at, key); key > after && row.Version != 0 {
+		if row := t.row(commit, key); key > after && row.Version != 0 {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// changes returns the rows of a prefix that a commit after the given one wrote
-// or removed, in the order of their commits. Those removed have no value.
+// changes returns the rows under a prefix that were written or removed after
+// the given commit, in commit order. Removed rows have no value.
 func (t *table) changes(after uint64, prefix store.Key) []Change {
 	var changes []Change
 	for _, key := range t.keys {
 		values := t.history[key]
 		last := values[len(values)-1]
-		if last.commit <= after || !hasPrefix(key, prefix) {
+		if last.commit <= after || !keyHasPrefix(key, prefix) {
 			continue
 		}
 		row := store.Row{Key: key, Version: store.RowVersion(last.commit)}
@@ -97,17 +97,17 @@
 
 func (t *table) commit(now time.Time, txn store.Txn) error {
 	for _, check := range txn.Checks {
-		found := t.row(t.commits, check.Key).Version
+		found := t.row(t.lastCommit, check.Key).Version
 		if found != check.Version {
 			return &store.ConflictError{Key: check.Key, Expected: check.Version, Found: found}
 		}
 	}
-	t.commits++
-	t.times = append(t.times, commitTime{commit: t.commits, at: now})
+	t.lastCommit++
+	t.commitTimes = append(t.commitTimes, commitTime{commit: t.lastCommit, committedAt: now})
 	for _, write := range txn.Writes {
 		t.write(now, write)
 	}
-	if t.commits%sweepEvery == 0 {
+	if t.lastCommit%sweepInterval == 0 {
 		t.sweep(now)
 	}
 	return nil
@@ -115,54 +115,54 @@
 
 func (t *table) write(now time.Time, write store.Write) {
 	if t.history == nil {
-		t.history = map[store.Key][]value{}
+		t.history = map[store.Key][]rowValue{}
 	}
 	if _, known := t.history[write.Key]; !known {
 		i, _ := slices.BinarySearch(t.keys, write.Key)
 		t.keys = slices.Insert(t.keys, i, write.Key)
 	}
-	values := dropOld(t.history[write.Key], now)
-	t.history[write.Key] = append(values, value{
-		commit: t.commits, at: now, data: slices.Clone(write.Value), removed: write.Delete,
+	values := dropExpired(t.history[write.Key], now)
+	t.history[write.Key] = append(values, rowValue{
+		commit: t.lastCommit, writtenAt: now, data: slices.Clone(write.Value), removed: write.Delete,
 	})
 }
 
-// dropOld drops the values that were replaced longer ago than retention.
-func dropOld(values []value, now time.Time) []value {
-	for len(values) > 1 && now.Sub(values[1].at) > retention {
+// dropExpired drops the values that were replaced more than retention ago.
+func dropExpired(values []rowValue, now time.Time) []rowValue {
+	for len(values) > 1 && now.Sub(values[1].writtenAt) > retention {
 		values = values[1:]
 	}
 	return values
 }
 
-// sweep drops rows that were removed, and the times of commits, longer ago than retention.
+// sweep drops rows removed more than retention ago, and commit times older than that.
 func (t *table) sweep(now time.Time) {
 	t.keys = slices.DeleteFunc(t.keys, func(key store.Key) bool {
 		values := t.history[key]
 		last := values[len(values)-1]
-		if !last.removed || now.Sub(last.at) <= retention {
+		if !last.removed || now.Sub(last.writtenAt) <= retention {
 			return false
 		}
 		delete(t.history, key)
 		return true
 	})
-	for len(t.times) > 1 && now.Sub(t.times[1].at) > retention {
-		t.times = t.times[1:]
+	for len(t.commitTimes) > 1 && now.Sub(t.commitTimes[1].committedAt) > retention {
+		t.commitTimes = t.commitTimes[1:]
 	}
 }
 
-// staleCommit returns the commit that a stale read sees: a given one, a number of commits
-// back, or the last one that is as old as the fault's delay.
+// staleCommit returns the commit whose state a stale read returns: the one that
+// the fault names, a number of commits back, or the latest as old as its delay.
 func (t *table) staleCommit(f fault.Fault, now time.Time) uint64 {
 	if f.Commit > 0 {
-		return min(t.commits, uint64(f.Commit))
+		return min(t.lastCommit, uint64(f.Commit))
 	}
 	if f.Commits > 0 {
-		return t.commits - min(t.commits, uint64(f.Commits))
+		return t.lastCommit - min(t.lastCommit, uint64(f.Commits))
 	}
 	seen := uint64(0)
-	for _, c := range t.times {
-		if now.Sub(c.at) >= f.Delay() {
+	for _, c := range t.commitTimes {
+		if now.Sub(c.committedAt) >= f.Delay() {
 			seen = c.commit
 		}
 	}
