--- a/admission/admission.go
+++ b/admission/admission.go
@@ -19,16 +19,16 @@
 
 // Queue describes the requests that wait at this router when another arrives.
 type Queue struct {
-	// Account is the number of waiting requests of the same account and service.
-	Account int
+	// AccountWaiting is the number of waiting requests of the same account and service.
+	AccountWaiting int
 	// AccountBound is the limit of Account.
 	AccountBound int
-	// Total and TotalBound are the same for all accounts together.
-	Total      int
-	TotalBound int
-	// Drain is the highest rate, in requests per second, that is consistent with the
+	// TotalWaiting and TotalBound are the same for all accounts together.
+	TotalWaiting int
+	TotalBound   int
+	// DrainRate is the highest rate, in requests per second, that is consistent with the
 	// recent starts of this account's requests; zero if it is unknown.
-	Drain float64
+	DrainRate float64
 }
 
 // Policy admits requests. Admit returns nil, or a refusal with a retry time. A refused
@@ -67,18 +67,18 @@
 	switch {
 	case remaining <= 0:
 		return refusal.New(refusal.DeadlinePassed, "the deadline had passed when the request arrived", 0)
-	case queue.Account >= queue.AccountBound:
-		wait := timeToStart(queue.Account-queue.AccountBound+1+queue.AccountBound/retryQueuePart, queue.Drain)
+	case queue.AccountWaiting >= queue.AccountBound:
+		wait := timeToStart(queue.AccountWaiting-queue.AccountBound+1+queue.AccountBound/retryQueuePart, queue.DrainRate)
 		return refusal.New(refusal.AccountQueueFull, "too many requests of the account wait", addJitter(wait, now, queue))
-	case queue.Total >= queue.TotalBound:
-		wait := timeToStart(queue.Account/retryQueuePart+1, queue.Drain)
+	case queue.TotalWaiting >= queue.TotalBound:
+		wait := timeToStart(queue.AccountWaiting/retryQueuePart+1, queue.DrainRate)
 		return refusal.New(refusal.RouterQueueFull, "too many requests wait at this router", addJitter(wait, now, queue))
 	}
-	if queue.Drain <= 0 {
+	if queue.DrainRate <= 0 {
 		return nil
 	}
 	// One more than the queue, for the request itself.
-	turn := timeToStart(queue.Account+1, queue.Drain)
+	turn := timeToStart(queue.AccountWaiting+1, queue.DrainRate)
 	if turn <= remaining {
 		return nil
 	}
@@ -101,8 +101,8 @@
 func addJitter(wait time.Duration, now time.Time, queue Queue) time.Duration {
 	var buffer [24]byte
 	binary.BigEndian.PutUint64(buffer[0:], uint64(now.UnixNano()))
-	binary.BigEndian.PutUint64(buffer[8:], uint64(queue.Account))
-	binary.BigEndian.PutUint64(buffer[16:], uint64(queue.Total))
+	binary.BigEndian.PutUint64(buffer[8:], uint64(queue.AccountWaiting))
+	binary.BigEndian.PutUint64(buffer[16:], uint64(queue.TotalWaiting))
 	fraction := float64(xxhash.Sum64(buffer[:])>>11) / (1 << 53)
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	return wait + time.Duration(jitter*fraction*float64(wait))
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -22,14 +22,14 @@
 		atLeast  time.Duration
 		atMost   time.Duration
 	}{
-		{"room and time", time.Minute, admission.Queue{Account: 9, AccountBound: 10, TotalBound: 10, Drain: 1}, "", 0, 0},
-		{"rate unknown", time.Second, admission.Queue{Account: 9, AccountBound: 10, TotalBound: 10}, "", 0, 0},
+		{"room and time", time.Minute, admission.Queue{AccountWaiting: 9, AccountBound: 10, TotalBound: 10, DrainRate: 1}, "", 0, 0},
+		{"rate unknown", time.Second, admission.Queue{AccountWaiting: 9, AccountBound: 10, TotalBound: 10}, "", 0, 0},
 		{"deadline passed", 0, admission.Queue{AccountBound: 1, TotalBound: 1}, refusal.DeadlinePassed, 0, 0},
-		{"account full", time.Minute, admission.Queue{Account: 40, AccountBound: 40, TotalBound: 100, Drain: 1}, refusal.AccountQueueFull, 11 * time.Second, 14 * time.Second},
-		{"account full, rate unknown", time.Minute, admission.Queue{Account: 40, AccountBound: 40, TotalBound: 100}, refusal.AccountQueueFull, 5 * time.Second, 7 * time.Second},
-		{"router full", time.Minute, admission.Queue{Account: 3, AccountBound: 40, Total: 100, TotalBound: 100, Drain: 10}, refusal.RouterQueueFull, time.Second, 2 * time.Second},
-		{"turn after the deadline", 10 * time.Second, admission.Queue{Account: 29, AccountBound: 40, TotalBound: 100, Drain: 2}, refusal.DeadlineBeforeTurn, 5 * time.Second, 7 * time.Second},
-		{"stalled", 10 * time.Second, admission.Queue{Account: 29, AccountBound: 40, TotalBound: 100, Drain: 1e-300}, refusal.DeadlineBeforeTurn, time.Minute, 75 * time.Second},
+		{"account full", time.Minute, admission.Queue{AccountWaiting: 40, AccountBound: 40, TotalBound: 100, DrainRate: 1}, refusal.AccountQueueFull, 11 * time.Second, 14 * time.Second},
+		{"account full, rate unknown", time.Minute, admission.Queue{AccountWaiting: 40, AccountBound: 40, TotalBound: 100}, refusal.AccountQueueFull, 5 * time.Second, 7 * time.Second},
+		{"router full", time.Minute, admission.Queue{AccountWaiting: 3, AccountBound: 40, TotalWaiting: 100, TotalBound: 100, DrainRate: 10}, refusal.RouterQueueFull, time.Second, 2 * time.Second},
+		{"turn after the deadline", 10 * time.Second, admission.Queue{AccountWaiting: 29, AccountBound: 40, TotalBound: 100, DrainRate: 2}, refusal.DeadlineBeforeTurn, 5 * time.Second, 7 * time.Second},
+		{"stalled", 10 * time.Second, admission.Queue{AccountWaiting: 29, AccountBound: 40, TotalBound: 100, DrainRate: 1e-300}, refusal.DeadlineBeforeTurn, time.Minute, 75 * time.Second},
 	}
 	for _, c := range cases {
 		refused := admission.Bounded{}.Admit(epoch, epoch.Add(c.deadline), c.queue)
@@ -52,13 +52,13 @@
 func TestSaturationIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	simulate := func(policy admission.Policy) (lateStarts, refusals int) {
-		var drain admission.Drain
+		var drain admission.DrainMeter
 		var queue []time.Time
 		for tick := range 600 {
 			now := epoch.Add(time.Duration(tick) * 100 * time.Millisecond)
 			deadline := now.Add(10 * time.Second)
 			refused := policy.Admit(now, deadline, admission.Queue{
-				Account: len(queue), AccountBound: 1000, TotalBound: 1000, Drain: drain.Most(now),
+				AccountWaiting: len(queue), AccountBound: 1000, TotalBound: 1000, DrainRate: drain.MaxRate(now),
 			})
 			if refused != nil {
 				refusals++
@@ -70,9 +70,9 @@
 					lateStarts++
 				}
 				queue = queue[1:]
-				drain.Started(now)
+				drain.AddStart(now)
 			}
-			drain.Waits(now, len(queue) > 0)
+			drain.SetWaiting(now, len(queue) > 0)
 		}
 		return lateStarts, refusals
 	}
@@ -90,7 +90,7 @@
 	waits := make(map[time.Duration]bool)
 	for i := range 200 {
 		now := epoch.Add(time.Duration(i) * time.Millisecond)
-		refused := admission.Bounded{}.Admit(now, now.Add(time.Minute), admission.Queue{Account: 256, AccountBound: 256, TotalBound: 4096, Drain: 8})
+		refused := admission.Bounded{}.Admit(now, now.Add(time.Minute), admission.Queue{AccountWaiting: 256, AccountBound: 256, TotalBound: 4096, DrainRate: 8})
 		waits[refused.RetryAfter.Truncate(100*time.Millisecond)] = true
 	}
 	require.Greater(t, len(waits), 15)
@@ -98,19 +98,19 @@
 
 func TestDrainMeasuresOnlyWhileWorkWaits(t *testing.T) {
 	t.Parallel()
-	var drain admission.Drain
+	var drain admission.DrainMeter
 	require.Zero(t, drain.Rate(epoch))
 	now := epoch
-	drain.Waits(now, true)
+	drain.SetWaiting(now, true)
 	for range 100 {
 		now = now.Add(250 * time.Millisecond)
-		drain.Started(now)
+		drain.AddStart(now)
 	}
 	require.InEpsilon(t, 4, drain.Rate(now), 0.05)
-	drain.Waits(now, false)
+	drain.SetWaiting(now, false)
 	now = now.Add(time.Hour)
 	require.InEpsilon(t, 4, drain.Rate(now), 0.05, "idle time doesn't count")
-	drain.Waits(now, true)
+	drain.SetWaiting(now, true)
 	now = now.Add(90 * time.Second)
 	require.Less(t, drain.Rate(now), 0.5, "a stall does")
 	require.Positive(t, drain.Rate(now.Add(time.Hour)))
@@ -121,16 +121,16 @@
 // deadline, while slots are free.
 func TestHighestRateHasAMarginWithFewStarts(t *testing.T) {
 	t.Parallel()
-	var drain admission.Drain
-	drain.Waits(epoch, true)
-	require.Zero(t, drain.Most(epoch.Add(4*time.Second)), "the rate is unknown")
+	var drain admission.DrainMeter
+	drain.SetWaiting(epoch, true)
+	require.Zero(t, drain.MaxRate(epoch.Add(4*time.Second)), "the rate is unknown")
 	now := epoch.Add(6 * time.Second)
-	drain.Started(now)
+	drain.AddStart(now)
 	require.InDelta(t, 0.18, drain.Rate(now), 0.01)
-	require.InDelta(t, 0.68, drain.Most(now), 0.01)
+	require.InDelta(t, 0.68, drain.MaxRate(now), 0.01)
 	for range 1000 {
 		now = now.Add(100 * time.Millisecond)
-		drain.Started(now)
+		drain.AddStart(now)
 	}
-	require.InEpsilon(t, drain.Rate(now), drain.Most(now), 1e-9, "no margin with many starts")
+	require.InEpsilon(t, drain.Rate(now), drain.MaxRate(now), 1e-9, "no margin with many starts")
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -24,39 +24,39 @@
 	confidentStarts = 20
 )
 
-// Drain measures the rate at which one account's requests are started while some wait.
+// DrainMeter measures the rate at which one account's requests are started while some wait.
 // Time without waiting requests doesn't count, since the rate of arrivals doesn't show
 // how fast a queue drains. A stall does count: the rate falls while requests wait and
 // none is started. Its zero value is ready to use.
-type Drain struct {
+type DrainMeter struct {
 	starts         float64
 	waitingSeconds float64 // seconds with waiting requests, decayed like starts
 	updatedAt      time.Time
 	isWaiting      bool
 }
 
-// Waits sets whether any of the account's requests wait from now on.
-func (d *Drain) Waits(now time.Time, isWaiting bool) {
+// SetWaiting sets whether any of the account's requests wait from now on.
+func (d *DrainMeter) SetWaiting(now time.Time, isWaiting bool) {
 	d.advance(now)
 	d.isWaiting = isWaiting
 }
 
-// Started counts a request that was started.
-func (d *Drain) Started(now time.Time) {
+// AddStart counts a request that was started.
+func (d *DrainMeter) AddStart(now time.Time) {
 	d.advance(now)
 	d.starts++
 }
 
 // Rate returns the starts per second of waiting time, or zero while that is unknown.
-func (d *Drain) Rate(now time.Time) float64 {
+func (d *DrainMeter) Rate(now time.Time) float64 {
 	d.advance(now)
 	return d.perWaitingSecond(d.starts)
 }
 
-// Most returns the highest rate that is consistent with the observed starts, or zero
+// MaxRate returns the highest rate that is consistent with the observed starts, or zero
 // while that is unknown. It is meant for refusals: a request is refused only if its turn
 // would come too late even at this rate.
-func (d *Drain) Most(now time.Time) float64 {
+func (d *DrainMeter) MaxRate(now time.Time) float64 {
 	d.advance(now)
 	doubt := max(1-d.starts/confidentStarts, 0)
 	return d.perWaitingSecond(d.starts + doubt*rateDeviations*math.Sqrt(d.starts+1))
@@ -64,7 +64,7 @@
 
 // perWaitingSecond returns the number of starts divided by the time in which requests
 // waited, or zero while that time is too short.
-func (d *Drain) perWaitingSecond(starts float64) float64 {
+func (d *DrainMeter) perWaitingSecond(starts float64) float64 {
 	if d.waitingSeconds < minObservation.Seconds() {
 		return 0
 	}
@@ -73,7 +73,7 @@
 	return max(starts/d.waitingSeconds, 1/(10*drainTimeConstant.Seconds()))
 }
 
-func (d *Drain) advance(now time.Time) {
+func (d *DrainMeter) advance(now time.Time) {
 	elapsed := now.Sub(d.updatedAt).Seconds()
 	if d.updatedAt.IsZero() || elapsed < 0 {
 		elapsed = 0
--- a/admission/line.go
+++ b/admission/line.go
@@ -28,7 +28,7 @@
 	maxQueueRetryAfter = 2 * time.Second
 )
 
-// Lines limits how many requests of each account wait at a router for turns that come
+// QueueLimiter limits how many requests of each account wait at a router for turns that come
 // within a fraction of a second. Its zero value is ready to use. It is safe for
 // concurrent use.
 //
@@ -37,26 +37,26 @@
 // patience ends. Callers would learn late what was known at once, and a small router
 // would spend its processor time on them and read the requests of all others seconds
 // late.
-type Lines[K comparable] struct {
+type QueueLimiter[K comparable] struct {
 	mu     sync.Mutex
 	queues map[K]*accountQueue
 }
 
 type accountQueue struct {
 	waiting int
-	asks    rate.Recent
-	starts  rate.Recent
+	asks    rate.DecayingSum
+	starts  rate.DecayingSum
 }
 
 // perSecond returns a recent rate in events per second.
-func perSecond(r *rate.Recent, now time.Time) float64 {
+func perSecond(r *rate.DecayingSum, now time.Time) float64 {
 	return r.At(now, rateTimeConstant) / rateTimeConstant.Seconds()
 }
 
 // IsFull reports whether the queue is too long for a request with the given patience to
 // get its turn in time, or the account asks too often, and if so when the caller should
 // retry.
-func (l *Lines[K]) IsFull(now time.Time, key K, patience time.Duration) (time.Duration, bool) {
+func (l *QueueLimiter[K]) IsFull(now time.Time, key K, patience time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := l.queues[key]
@@ -74,7 +74,7 @@
 }
 
 // Enter counts a request that begins to wait.
-func (l *Lines[K]) Enter(now time.Time, key K) {
+func (l *QueueLimiter[K]) Enter(now time.Time, key K) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.queues == nil {
@@ -88,7 +88,7 @@
 }
 
 // Leave counts a request that stops waiting; started is true if it got its turn.
-func (l *Lines[K]) Leave(now time.Time, key K, started bool) {
+func (l *QueueLimiter[K]) Leave(now time.Time, key K, started bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := l.queues[key]
--- a/admission/line_test.go
+++ b/admission/line_test.go
@@ -16,7 +16,7 @@
 // router would keep every other caller waiting for seconds.
 func TestFloodIsRefusedBeforeItWaits(t *testing.T) {
 	t.Parallel()
-	var lines admission.Lines[string]
+	var lines admission.QueueLimiter[string]
 	now := time.Unix(0, 0)
 	type waiting struct{ since time.Time }
 	var queue []waiting
@@ -51,7 +51,7 @@
 // that it serves.
 func TestFloodAsksAtALimitedRate(t *testing.T) {
 	t.Parallel()
-	var lines admission.Lines[string]
+	var lines admission.QueueLimiter[string]
 	now := time.Unix(0, 0)
 	asks, starts := 0, 0
 	for range 3000 {
@@ -75,7 +75,7 @@
 // refused because many arrive at once.
 func TestServedBurstIsNotRefused(t *testing.T) {
 	t.Parallel()
-	var lines admission.Lines[string]
+	var lines admission.QueueLimiter[string]
 	now := time.Unix(0, 0)
 	for range 500 {
 		now = now.Add(time.Millisecond)
--- a/admission/machine_test.go
+++ b/admission/machine_test.go
@@ -15,7 +15,7 @@
 func TestEmptiedQueueAdmitsAfterAnySequence(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		var lines admission.Lines[string]
+		var lines admission.QueueLimiter[string]
 		now := time.Unix(1_800_000_000, 0)
 		key := func(t *rapid.T) string { return rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "account") }
 		waiting := map[string]int{}
--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -36,8 +36,8 @@
 	// Header is copied without hop-by-hop fields and credentials.
 	Header http.Header
 	Body   []byte
-	// Stream is the id of the stream at a model engine; empty for plain services.
-	Stream string
+	// StreamID is the id of the stream at a model engine; empty for plain services.
+	StreamID string
 	// Idempotent is true if a second run does no harm. Other requests get a
 	// connection of their own, so that none fails on an idle connection that the
 	// upstream is about to close.
@@ -53,18 +53,18 @@
 	// Body streams the answer's body. A read fails with *Error if the answer is
 	// incomplete. The caller must close it.
 	Body io.ReadCloser
-	// FirstByte is the time from the start of the exchange until the header was read.
-	FirstByte time.Duration
+	// TimeToHeader is the time from the start of the exchange until the header was read.
+	TimeToHeader time.Duration
 }
 
-// Refused is the reason for which an upstream refused a request without running
+// UpstreamRefusal is the reason for which an upstream refused a request without running
 // it; empty if it did not.
-type Refused string
+type UpstreamRefusal string
 
 // Values of RefusedHeader.
 const (
-	Draining Refused = "draining"
-	Full     Refused = "full"
+	Draining UpstreamRefusal = "draining"
+	Full     UpstreamRefusal = "full"
 )
 
 // Error is a failed exchange.
@@ -104,6 +104,6 @@
 	case !e.Facts.Connected:
 		return retry.ConnectFailed
 	default:
-		return retry.BrokenBefore
+		return retry.BrokenBeforeAnswer
 	}
 }
--- a/attempt/client.go
+++ b/attempt/client.go
@@ -82,7 +82,7 @@
 	}
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
-		Body: &answerBody{ReadCloser: response.Body, address: address}, FirstByte: time.Since(start),
+		Body: &answerBody{ReadCloser: response.Body, address: address}, TimeToHeader: time.Since(start),
 	}, nil
 }
 
@@ -106,7 +106,7 @@
 	}
 	dialer := &net.Dialer{
 		Timeout:         c.ConnectTimeout,
-		Control:         func(_, _ string, raw syscall.RawConn) error { return socket.BoundSilence(raw, silence) },
+		Control:         func(_, _ string, raw syscall.RawConn) error { return socket.SetUserTimeout(raw, silence) },
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
 	}
 	if dialer.Timeout == 0 {
@@ -135,15 +135,15 @@
 // the request may run at most once, or if net/http would consider it replayable, for
 // which an Idempotency-Key and an empty body are enough.
 func (c *Client) transportFor(request Request) *http.Transport {
-	if !request.Idempotent || (len(request.Body) == 0 && !UsuallyEmpty(request.Method)) {
+	if !request.Idempotent || (len(request.Body) == 0 && !IsBodyless(request.Method)) {
 		return c.singleUse
 	}
 	return c.keepAlive
 }
 
-// UsuallyEmpty reports whether requests with a method usually have no body, so that
+// IsBodyless reports whether requests with a method usually have no body, so that
 // an empty body is sent without a Content-Length.
-func UsuallyEmpty(method string) bool {
+func IsBodyless(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
 		return true
@@ -168,12 +168,12 @@
 		Body:          nonRewindableBody{bytes.NewReader(request.Body)},
 		ContentLength: int64(len(request.Body)),
 	}).WithContext(ctx)
-	if len(request.Body) == 0 && !UsuallyEmpty(request.Method) {
+	if len(request.Body) == 0 && !IsBodyless(request.Method) {
 		out.Body = http.NoBody
 	}
 	out.Header.Set(RequestIDHeader, string(request.ID))
-	if request.Stream != "" {
-		out.Header.Set(StreamIDHeader, request.Stream)
+	if request.StreamID != "" {
+		out.Header.Set(StreamIDHeader, request.StreamID)
 	}
 	return out, nil
 }
@@ -213,11 +213,11 @@
 	}
 }
 
-func refusalOf(answer *http.Response) Refused {
+func refusalOf(answer *http.Response) UpstreamRefusal {
 	if answer.StatusCode != http.StatusServiceUnavailable && answer.StatusCode != http.StatusTooManyRequests {
 		return ""
 	}
-	return Refused(answer.Header.Get(RefusedHeader))
+	return UpstreamRefusal(answer.Header.Get(RefusedHeader))
 }
 
 func drainAndClose(body io.ReadCloser) {
--- a/attempt/facts.go
+++ b/attempt/facts.go
@@ -18,7 +18,7 @@
 	// AnswerHeaderRead is true once the whole answer header was read.
 	AnswerHeaderRead bool
 	// Refused is set if the upstream refused the request without running it.
-	Refused Refused
+	Refused UpstreamRefusal
 }
 
 // Outcome returns whether the upstream ran the request, as far as the facts prove it.
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -131,11 +131,11 @@
 	mu        sync.Mutex
 	upstreams []*schema.Upstream
 	next      int
-	done      []dispatch.Done
+	done      []dispatch.Completion
 	progress  []fleet.Tokens
 }
 
-func (s *fakeSource) Acquire(context.Context, dispatch.Work) (dispatch.Slot, error) {
+func (s *fakeSource) Acquire(context.Context, dispatch.Request) (dispatch.Slot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	upstream := s.upstreams[s.next%len(s.upstreams)]
@@ -150,13 +150,13 @@
 
 func (s *fakeSlot) Upstream() *schema.Upstream { return s.upstream }
 
-func (s *fakeSlot) Progress(cost fleet.Tokens) {
+func (s *fakeSlot) ReportCost(cost fleet.Tokens) {
 	s.source.mu.Lock()
 	defer s.source.mu.Unlock()
 	s.source.progress = append(s.source.progress, cost)
 }
 
-func (s *fakeSlot) Done(done dispatch.Done) {
+func (s *fakeSlot) Release(done dispatch.Completion) {
 	s.source.mu.Lock()
 	defer s.source.mu.Unlock()
 	s.source.done = append(s.source.done, done)
@@ -178,14 +178,14 @@
 }
 
 func newRunner(source *fakeSource) *call.Runner {
-	return &call.Runner{Source: source, Retry: &retry.Budget{Attempts: 4}, Client: &attempt.Client{}, Timer: instantTimer{}}
+	return &call.Runner{Source: source, Retry: &retry.Budget{MaxAttempts: 4}, Client: &attempt.Client{}, Timer: instantTimer{}}
 }
 
 func chatRequest() call.Request {
 	return call.Request{
 		ID: "r-1", Account: &schema.Account{Id: "halonen"}, Service: &schema.Service{Id: "findings", Kind: "model"},
 		Method: http.MethodPost, Path: "/v1/chat/completions", Body: []byte(`{"stream":true}`), Idempotent: true,
-		Estimate: 500, Deadline: time.Now().Add(time.Minute),
+		EstimatedCost: 500, Deadline: time.Now().Add(time.Minute),
 	}
 }
 
@@ -208,9 +208,9 @@
 	require.Equal(t, fullStream(10), w.Body.String())
 	require.Len(t, *reports, 1)
 	report := (*reports)[0]
-	require.Empty(t, report.Refused)
-	require.Equal(t, []int64{400, 8}, []int64{report.Input, report.Output})
-	require.Positive(t, report.FirstToken)
+	require.Empty(t, report.RefusalReason)
+	require.Equal(t, []int64{400, 8}, []int64{report.InputTokens, report.OutputTokens})
+	require.Positive(t, report.TimeToFirstToken)
 	require.Len(t, source.done, 1)
 	require.Equal(t, dispatch.Answered, source.done[0].Result)
 	require.Equal(t, fleet.Tokens(400/4+8), source.done[0].Cost)
@@ -233,7 +233,7 @@
 
 	require.NoError(t, newRunner(source).Run(t.Context(), httptest.NewRecorder(), chatRequest()))
 
-	require.GreaterOrEqual(t, source.done[0].FirstToken, prefill)
+	require.GreaterOrEqual(t, source.done[0].FirstTokenLatency, prefill)
 }
 
 // The connection to an engine breaks within a stream, more often than the number
@@ -310,7 +310,7 @@
 		runner.Wait()
 		if resumable {
 			require.Empty(t, e.cancelled)
-			require.Equal(t, request.Estimate, source.done[0].Cost)
+			require.Equal(t, request.EstimatedCost, source.done[0].Cost)
 		} else {
 			require.Equal(t, []string{e.stream}, e.cancelled)
 		}
@@ -335,7 +335,7 @@
 	requireRefused(t, runner.Run(ctx, httptest.NewRecorder(), request), refusal.CallerGone, refusal.Unknown)
 
 	runner.Wait()
-	require.Equal(t, []dispatch.Done{{Result: dispatch.Answered, Cost: 8000 / 4 / 4}}, source.done)
+	require.Equal(t, []dispatch.Completion{{Result: dispatch.Answered, Cost: 8000 / 4 / 4}}, source.done)
 }
 
 // A caller requests a long stream and stops reading, but keeps its connection
--- a/call/cost.go
+++ b/call/cost.go
@@ -25,9 +25,9 @@
 }
 
 func (m *costMeter) cost() fleet.Tokens {
-	if fleet.Kind(m.service.GetKind()) == fleet.Model {
+	if fleet.ServiceKind(m.service.GetKind()) == fleet.Model {
 		weights := estimate.Weights{Input: m.service.GetInputWeight(), Output: m.service.GetOutputWeight()}
 		return weights.Cost(m.input, m.output)
 	}
-	return estimate.Call(m.service.GetCallCost())
+	return estimate.CallCost(m.service.GetCallCost())
 }
--- a/call/count.go
+++ b/call/count.go
@@ -8,7 +8,7 @@
 
 func (r *Runner) countService(request *Request, cost fleet.Tokens) {
 	if r.Metrics != nil {
-		r.Metrics.Service.WithLabelValues(request.Account.GetId()).Add(float64(cost))
+		r.Metrics.ServiceTokens.WithLabelValues(request.Account.GetId()).Add(float64(cost))
 	}
 }
 
--- a/call/link.go
+++ b/call/link.go
@@ -83,7 +83,7 @@
 
 func (b *resumeBackoff) policyAllows() bool {
 	return b.runner.Retry.Allow(b.runner.now(), retry.Attempt{
-		Count: 1, Outcome: refusal.Run, Resumable: true, AnswerStarted: true, Deadline: b.deadline,
+		Number: 1, Outcome: refusal.Run, Resumable: true, AnswerStarted: true, Deadline: b.deadline,
 	})
 }
 
--- a/call/once.go
+++ b/call/once.go
@@ -40,11 +40,11 @@
 	claimCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	acquired, answer, err := e.runner.Claims.Claim(claimCtx, claim.Request{
-		Account: fleet.AccountID(e.request.Account.GetId()), Key: e.request.Key, Method: e.request.Method,
+		Account: fleet.AccountID(e.request.Account.GetId()), Key: e.request.IdempotencyKey, Method: e.request.Method,
 		Path: e.request.Path, Body: e.request.Body, Deadline: e.request.Deadline,
 	})
 	if err != nil || answer != nil {
-		slot.Done(dispatch.Done{Result: dispatch.Unused})
+		slot.Release(dispatch.Completion{Result: dispatch.Unused})
 	}
 	if err != nil {
 		return false, e.refusalFor(ctx, err)
@@ -101,5 +101,5 @@
 		e.claim.Release(ctx)
 		return
 	}
-	e.claim.Lose(ctx)
+	e.claim.MarkLost(ctx)
 }
--- a/call/once_test.go
+++ b/call/once_test.go
@@ -32,7 +32,7 @@
 
 func keyedRequest() call.Request {
 	request := orderRequest()
-	request.Key = "k"
+	request.IdempotencyKey = "k"
 	return request
 }
 
@@ -128,7 +128,7 @@
 
 	table.Faults.Set()
 	requireRefused(t, two.Run(t.Context(), httptest.NewRecorder(), keyedRequest()), refusal.DuplicateInFlight, refusal.Unknown)
-	one.Claims.Settle(t.Context())
+	one.Claims.RetryWrites(t.Context())
 	require.NoError(t, two.Run(t.Context(), httptest.NewRecorder(), keyedRequest()))
 	require.Equal(t, 1, runs())
 }
@@ -140,7 +140,7 @@
 	table *memory.Platform
 }
 
-func (c *failingSource) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Slot, error) {
+func (c *failingSource) Acquire(ctx context.Context, work dispatch.Request) (dispatch.Slot, error) {
 	c.table.Faults.Set(fault.Fault{Kind: fault.Slow, Operation: memory.OperationCommit, Times: 1}, fault.Fault{Kind: fault.Down})
 	return c.fakeSource.Acquire(ctx, work)
 }
--- a/call/plain_test.go
+++ b/call/plain_test.go
@@ -91,7 +91,7 @@
 
 		require.Equal(t, c.runs, runs(), name)
 		require.Len(t, *reports, 1, name)
-		require.Equal(t, c.reason, (*reports)[0].Refused, name)
+		require.Equal(t, c.reason, (*reports)[0].RefusalReason, name)
 		if c.reason == "" {
 			require.NoError(t, err, name)
 			require.Equal(t, "booked", w.Body.String(), name)
@@ -137,7 +137,7 @@
 // fullSource is a Source that never has a free slot.
 type fullSource struct{}
 
-func (fullSource) Acquire(ctx context.Context, _ dispatch.Work) (dispatch.Slot, error) {
+func (fullSource) Acquire(ctx context.Context, _ dispatch.Request) (dispatch.Slot, error) {
 	<-ctx.Done()
 	return nil, refusal.New(refusal.CallerGone, "gone", 0)
 }
--- a/call/report.go
+++ b/call/report.go
@@ -14,28 +14,28 @@
 type Report struct {
 	Account fleet.AccountID
 	Service fleet.ServiceID
-	// Model is true for a request to a model service.
-	Model         bool
+	// IsModel is true for a request to a model service.
+	IsModel       bool
 	NonIdempotent bool
 	Arrived       time.Time
-	// Deadline is the time from the arrival to the request's deadline.
-	Deadline time.Duration
-	// Input and Output are the tokens of a request to a model so far; zero if
+	// Timeout is the time from the arrival to the request's deadline.
+	Timeout time.Duration
+	// InputTokens and Output are the tokens of a request to a model so far; zero if
 	// nothing was sent to an upstream.
-	Input  int64
-	Output int64
-	// Queue is the time from the arrival to the first slot, zero if there was none.
-	Queue time.Duration
-	// FirstToken is the time from the arrival to the first event of a stream, or
+	InputTokens  int64
+	OutputTokens int64
+	// QueueTime is the time from the arrival to the first slot, zero if there was none.
+	QueueTime time.Duration
+	// TimeToFirstToken is the time from the arrival to the first event of a stream, or
 	// to the header of a plain service's answer. It is zero for a model's answer
 	// that is not streamed.
-	FirstToken time.Duration
-	// Run is the duration of the last attempt at its upstream.
-	Run time.Duration
-	// Total is the time from the arrival to the end.
-	Total time.Duration
-	// Refused is the reason why the answer is missing or incomplete, else empty.
-	Refused refusal.Reason
+	TimeToFirstToken time.Duration
+	// UpstreamTime is the duration of the last attempt at its upstream.
+	UpstreamTime time.Duration
+	// TotalTime is the time from the arrival to the end.
+	TotalTime time.Duration
+	// RefusalReason is the reason why the answer is missing or incomplete, else empty.
+	RefusalReason refusal.Reason
 }
 
 // Observer receives a report of each request that ended.
@@ -60,12 +60,12 @@
 	report := e.partialReport
 	report.Account = fleet.AccountID(e.request.Account.GetId())
 	report.Service = fleet.ServiceID(e.request.Service.GetId())
-	report.Model = e.request.isModel()
+	report.IsModel = e.request.isModel()
 	report.NonIdempotent = !e.request.Idempotent
 	report.Arrived = e.arrived
-	report.Deadline = e.request.Deadline.Sub(e.arrived)
-	report.Total = e.runner.now().Sub(e.arrived)
-	report.Refused = reasonOf(ctx, err)
+	report.Timeout = e.request.Deadline.Sub(e.arrived)
+	report.TotalTime = e.runner.now().Sub(e.arrived)
+	report.RefusalReason = reasonOf(ctx, err)
 	e.runner.Observers.Ended(report)
 }
 
--- a/call/request.go
+++ b/call/request.go
@@ -35,28 +35,28 @@
 	Body   []byte
 	// Idempotent is false if a second run would do harm.
 	Idempotent bool
-	// Key is the caller's idempotency key, empty if there is none.
-	Key string
-	// Estimate is the expected cost.
-	Estimate fleet.Tokens
+	// IdempotencyKey is the caller's idempotency key, empty if there is none.
+	IdempotencyKey string
+	// EstimatedCost is the expected cost.
+	EstimatedCost fleet.Tokens
 	// Prefix identifies the beginning of the prompt, for cache affinity.
 	Prefix   []uint64
 	Deadline time.Time
 }
 
-func (r *Request) isModel() bool { return fleet.Kind(r.Service.GetKind()) == fleet.Model }
+func (r *Request) isModel() bool { return fleet.ServiceKind(r.Service.GetKind()) == fleet.Model }
 
 // needsClaim reports whether the request needs a claim. Without a key, a repeat
 // could not be matched with the claim.
-func (r *Request) needsClaim() bool { return !r.Idempotent && r.Key != "" }
+func (r *Request) needsClaim() bool { return !r.Idempotent && r.IdempotencyKey != "" }
 
 func (r *Request) resumable() bool {
 	return strings.EqualFold(r.Header.Get(ResumableHeader), "true")
 }
 
-func (r *Request) dispatchWork(avoid []fleet.UpstreamID) dispatch.Work {
-	return dispatch.Work{
-		Request: r.ID, Account: r.Account, Service: r.Service, Estimate: r.Estimate,
-		Prefix: r.Prefix, Deadline: r.Deadline, Avoid: avoid,
+func (r *Request) dispatchWork(avoid []fleet.UpstreamID) dispatch.Request {
+	return dispatch.Request{
+		ID: r.ID, Account: r.Account, Service: r.Service, Estimate: r.EstimatedCost,
+		Prefixes: r.Prefix, Deadline: r.Deadline, AvoidedUpstreams: avoid,
 	}
 }
--- a/call/resume.go
+++ b/call/resume.go
@@ -12,9 +12,9 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// Resumption is a caller's request to resume an interrupted stream that this or
+// ResumeRequest is a caller's request to resume an interrupted stream that this or
 // another router started.
-type Resumption struct {
+type ResumeRequest struct {
 	ID      fleet.RequestID
 	Account *schema.Account
 	// Token is the text of the resume token.
@@ -28,7 +28,7 @@
 // bad-resume-token and resume-expired. It takes no slot, because the stream is
 // already running and was charged by the router that started it. If it is
 // interrupted again, the stream stays resumable while its engine keeps it.
-func (r *Runner) Resume(ctx context.Context, w http.ResponseWriter, resumption Resumption) error {
+func (r *Runner) Resume(ctx context.Context, w http.ResponseWriter, resumption ResumeRequest) error {
 	if r.Tokens == nil {
 		return refusal.New(refusal.BadResumeToken, "This router issues no resume tokens.", 0)
 	}
@@ -43,7 +43,7 @@
 		Stream: token.GetStream(), After: resumption.After,
 		Source: &engineSource{client: r.Client, request: resumption.ID, address: token.GetAddress(), stream: token.GetStream()},
 	}
-	relay.Again = func(ctx context.Context, _ error) bool { return backoff.allow(ctx, relay.After) }
+	relay.MayReconnect = func(ctx context.Context, _ error) bool { return backoff.allow(ctx, relay.After) }
 	sink := &resumeSink{out: newEventWriter(newDeadlineWriter(w, resumption.Deadline)), token: resumption.Token}
 	err = relay.Open(ctx, sink)
 	switch {
@@ -63,7 +63,7 @@
 	refused := &refusal.Error{Outcome: refusal.Run, Cause: err}
 	var (
 		gone   *stream.GoneError
-		splice *stream.SpliceError
+		splice *stream.WrongStreamError
 		order  *stream.OrderError
 	)
 	switch {
--- a/call/resume_test.go
+++ b/call/resume_test.go
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	first := &leavingCaller{httptest.NewRecorder(), 3, cancel}
 	require.Error(t, one.Run(ctx, first, request))
-	resumption := call.Resumption{
+	resumption := call.ResumeRequest{
 		ID: "r-9", Account: request.Account, After: 3, Deadline: time.Now().Add(time.Minute),
 		Token: first.Header().Get(call.ResumeTokenHeader),
 	}
--- a/call/runner.go
+++ b/call/runner.go
@@ -98,14 +98,14 @@
 	if err := e.checkClaims(); err != nil {
 		return err
 	}
-	e.runner.Retry.First(e.arrived)
+	e.runner.Retry.RecordFirstAttempt(e.arrived)
 	for {
 		slot, err := e.runner.Source.Acquire(ctx, e.request.dispatchWork(e.avoid))
 		if err != nil {
 			return e.refusalFor(ctx, err)
 		}
 		if e.attempts == 0 {
-			e.partialReport.Queue = e.runner.now().Sub(e.arrived)
+			e.partialReport.QueueTime = e.runner.now().Sub(e.arrived)
 		}
 		if e.request.needsClaim() && e.claim == nil {
 			var replayed bool
@@ -139,12 +139,12 @@
 	if ctx.Err() != nil || !errors.As(err, &failed) {
 		return false
 	}
-	if !e.request.Idempotent && e.request.Key == "" {
+	if !e.request.Idempotent && e.request.IdempotencyKey == "" {
 		return false
 	}
 	now := e.runner.now()
 	allowed := e.runner.Retry.Allow(now, retry.Attempt{
-		Count: e.attempts, Outcome: failed.Facts.Outcome(), Idempotent: e.request.Idempotent,
+		Number: e.attempts, Outcome: failed.Facts.Outcome(), Idempotent: e.request.Idempotent,
 		Deadline: e.request.Deadline,
 	})
 	if allowed {
--- a/call/storm_test.go
+++ b/call/storm_test.go
@@ -46,7 +46,7 @@
 		first := ""
 		for range rapid.IntRange(1, 8).Draw(t, "tries") {
 			table.Faults.Set(fault.Fault{
-				Kind: tableFault.Draw(t, "table"), Times: rapid.IntRange(1, 4).Draw(t, "times"), DelayMs: 1, Commits: 1,
+				Kind: tableFault.Draw(t, "table"), Times: rapid.IntRange(1, 4).Draw(t, "times"), DelayMs: 1, CommitsBehind: 1,
 			})
 			service.Faults.Set(fault.Fault{Kind: serviceFault.Draw(t, "service"), Times: 1})
 			before := service.Runs()["k"]
@@ -64,7 +64,7 @@
 				first = answer
 			}
 			if rapid.Bool().Draw(t, "settle") {
-				runner.Claims.Settle(context.Background())
+				runner.Claims.RetryWrites(context.Background())
 			}
 		}
 	})
--- a/call/streamed.go
+++ b/call/streamed.go
@@ -23,7 +23,7 @@
 	}
 	backoff := &resumeBackoff{runner: a.runner, deadline: a.request.Deadline}
 	relay := &stream.Relay{Stream: a.streamID, Source: a.engineSource()}
-	relay.Again = func(ctx context.Context, _ error) bool { return a.answerStarted && backoff.allow(ctx, relay.After) }
+	relay.MayReconnect = func(ctx context.Context, _ error) bool { return a.answerStarted && backoff.allow(ctx, relay.After) }
 	sink := &streamSink{upstreamAttempt: a, answer: answer, out: newEventWriter(a.w)}
 	err := relay.Run(ctx, &stream.Connection{Stream: streamID, Body: answer.Body}, sink)
 	if err != nil {
@@ -84,7 +84,7 @@
 	if s.claim == nil {
 		return s.out.write(event, more)
 	}
-	if len(s.storedBody) <= claim.MaxKept {
+	if len(s.storedBody) <= claim.MaxStoredBody {
 		s.storedBody = append(s.storedBody, event.Raw...)
 	}
 	if s.callerErr == nil {
@@ -95,7 +95,7 @@
 
 // recordCost adds the cost of an event and reports the total to the slot.
 func (s *streamSink) recordCost(event stream.Event) {
-	if event.Data == nil || event.Last() {
+	if event.Data == nil || event.IsLast() {
 		return
 	}
 	if s.firstToken == 0 {
@@ -106,5 +106,5 @@
 	} else {
 		s.meter.output++
 	}
-	s.slot.Progress(s.meter.cost())
+	s.slot.ReportCost(s.meter.cost())
 }
--- a/call/try.go
+++ b/call/try.go
@@ -38,13 +38,13 @@
 }
 
 func (a *upstreamAttempt) exchange(ctx context.Context) error {
-	if a.claim != nil && !a.claim.Ready() {
+	if a.claim != nil && !a.claim.Valid() {
 		return refusal.New(refusal.DeadlinePassed, "The router was held up past the deadline before it sent the request.", retryAfter)
 	}
 	a.sentAt = a.runner.now()
 	answer, err := a.runner.Client.Do(ctx, a.address, attempt.Request{
 		ID: a.request.ID, Method: a.request.Method, Path: a.request.Path, Header: a.request.Header,
-		Body: a.request.Body, Stream: a.streamID, Idempotent: a.request.Idempotent,
+		Body: a.request.Body, StreamID: a.streamID, Idempotent: a.request.Idempotent,
 	})
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 		return a.relayStream(ctx, answer)
 	}
 	if !a.request.isModel() {
-		a.firstToken = answer.FirstByte
+		a.firstToken = answer.TimeToHeader
 	}
 	return a.relayWhole(ctx, answer)
 }
@@ -62,18 +62,18 @@
 // finish releases the slot, and cancels a stream that still runs at the upstream
 // unless its caller may resume it.
 func (a *upstreamAttempt) finish(ctx context.Context, err error) {
-	done := dispatch.Done{Result: a.result(ctx, err), FirstToken: a.firstToken}
+	done := dispatch.Completion{Result: a.result(ctx, err), FirstTokenLatency: a.firstToken}
 	if done.Result == dispatch.Answered || outcomeOf(err) == refusal.Run {
 		done.Cost = a.meter.cost()
 	}
 	abandoned := err != nil && a.streamID != "" && outcomeOf(err) != refusal.NotRun
 	switch {
 	case abandoned && a.callerMayResume(ctx):
-		done.Cost = max(done.Cost, a.request.Estimate)
+		done.Cost = max(done.Cost, a.request.EstimatedCost)
 	case abandoned:
 		a.runner.cancelStream(a.request.ID, a.address, a.streamID)
 	}
-	a.slot.Done(done)
+	a.slot.Release(done)
 	a.runner.countService(a.request, done.Cost)
 	a.recordAttempt()
 }
@@ -83,12 +83,12 @@
 	if a.sentAt.IsZero() {
 		return
 	}
-	a.partialReport.Run = a.runner.now().Sub(a.sentAt)
+	a.partialReport.UpstreamTime = a.runner.now().Sub(a.sentAt)
 	if a.firstToken > 0 {
-		a.partialReport.FirstToken = a.sentAt.Add(a.firstToken).Sub(a.arrived)
+		a.partialReport.TimeToFirstToken = a.sentAt.Add(a.firstToken).Sub(a.arrived)
 	}
 	if a.request.isModel() {
-		a.partialReport.Input, a.partialReport.Output = a.meter.input, a.meter.output
+		a.partialReport.InputTokens, a.partialReport.OutputTokens = a.meter.input, a.meter.output
 	}
 }
 
--- a/capacity/bench_test.go
+++ b/capacity/bench_test.go
@@ -104,7 +104,7 @@
 
 func reportService(k *keeper.Keeper, now time.Time, n, accounts int, amount fleet.Tokens) {
 	router := fleet.RouterID(fmt.Sprint("router-", n/accounts%6))
-	key := keeper.Key{Account: fleet.Number(n%accounts + 1), Service: 1_000_000}
+	key := keeper.Key{Account: fleet.ShortID(n%accounts + 1), Service: 1_000_000}
 	k.Report(now, router, 1, share.Report[keeper.Key]{Key: key, Cumulative: amount})
 }
 
@@ -132,15 +132,15 @@
 	}
 }
 
-type fairDispatcher = dispatcher.Dispatcher[*share.Fair[fleet.Number], inflight.Fixed, placement.Affinity]
+type fairDispatcher = dispatcher.Dispatcher[*share.Fair[fleet.ShortID], inflight.Fixed, placement.CacheAffinity]
 
 func newDispatcher(now time.Time, upstreams, waiting int) *fairDispatcher {
-	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.Affinity]{
-		Order:   func() *share.Fair[fleet.Number] { return &share.Fair[fleet.Number]{} },
-		Limiter: func(slots int) inflight.Fixed { return inflight.Fixed(slots) },
+	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.CacheAffinity]{
+		SharePolicy: func() *share.Fair[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} },
+		Limiter:     func(slots int) inflight.Fixed { return inflight.Fixed(slots) },
 	})
 	state := newFleetState(0, upstreams)
-	d.Own(now, state.GetUpstreams(), map[fleet.ServiceID]fleet.Number{"findings": 1_000_000}, false)
+	d.SetUpstreams(now, state.GetUpstreams(), map[fleet.ServiceID]fleet.ShortID{"findings": 1_000_000}, false)
 	for n := range waiting {
 		askForSlot(d, now, n)
 	}
@@ -148,7 +148,7 @@
 }
 
 func askForSlot(d *fairDispatcher, now time.Time, account int) {
-	d.Ask(now, fleet.RouterID(fmt.Sprint("router-", account%6)), 0, &schema.Ask{
+	d.HandleAsk(now, fleet.RouterID(fmt.Sprint("router-", account%6)), 0, &schema.Ask{
 		Service: 1_000_000, Account: uint32(account + 1), Waiting: 100, Estimate: 320,
 	})
 }
@@ -159,8 +159,8 @@
 	limiter := &inflight.Adaptive{Max: 32}
 	for b.Loop() {
 		now = now.Add(time.Second)
-		limiter.Reported(now, inflight.Load{Running: 16, At: now}, 16)
-		limiter.Ended(now, inflight.Sample{Result: dispatch.Answered, FirstToken: time.Second, InFlight: 16})
+		limiter.UpdateLoad(now, inflight.Load{Running: 16, MeasuredAt: now}, 16)
+		limiter.RecordResult(now, inflight.Sample{Result: dispatch.Answered, FirstTokenLatency: time.Second, InFlight: 16})
 	}
 }
 
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -112,12 +112,12 @@
 	row   *schema.ClaimRow
 }
 
-// Ready reports whether the request may be sent now. It must be called right
+// Valid reports whether the request may be sent now. It must be called right
 // before each sending.
 //
 // The lease is checked against both clocks: the monotonic clock may stand still
 // while a VM is suspended, and the wall clock can be set back.
-func (c *Claim) Ready() bool {
+func (c *Claim) Valid() bool {
 	now := c.store.now()
 	return !c.ended && now.Before(c.leaseEnd) && now.Round(0).Before(c.leaseEnd.Round(0))
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -75,7 +75,7 @@
 		p := newTwoRouters()
 		first, _, err := p.one.Claim(t.Context(), p.request())
 		require.NoError(t, err)
-		require.True(t, first.Ready())
+		require.True(t, first.Valid())
 		header := map[string][]string{"Content-Type": {"text/plain"}, "Set-Cookie": {"secret"}}
 		first.Finish(t.Context(), claim.Answer{Status: 201, Header: header, Body: []byte(body)})
 
@@ -165,7 +165,7 @@
 	p := newTwoRouters(replyLost, noFault, stale)
 	got, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
-	require.True(t, got.Ready())
+	require.True(t, got.Valid())
 }
 
 // The first claim gets no reply, and the router gives up and reports not-run.
@@ -174,8 +174,8 @@
 func TestFirstClaimTakesEffectLate(t *testing.T) {
 	t.Parallel()
 	for name, between := range map[string]func(p *twoRouters){
-		"before it is settled": func(p *twoRouters) { p.table.applyPending(0); p.one.Settle(context.Background()) },
-		"after it is settled":  func(p *twoRouters) { p.one.Settle(context.Background()); p.table.applyPending(0) },
+		"before it is settled": func(p *twoRouters) { p.table.applyPending(0); p.one.RetryWrites(context.Background()) },
+		"after it is settled":  func(p *twoRouters) { p.one.RetryWrites(context.Background()); p.table.applyPending(0) },
 	} {
 		for _, released := range []bool{false, true} {
 			p := newTwoRouters(late, down)
@@ -209,7 +209,7 @@
 	require.NoError(t, err)
 
 	p.table.applyPending(0)
-	p.one.Settle(t.Context())
+	p.one.RetryWrites(t.Context())
 
 	second.Finish(t.Context(), claim.Answer{Status: 200})
 	_, answer, err := p.one.Claim(t.Context(), p.request())
@@ -225,10 +225,10 @@
 	first, _, err := p.one.Claim(t.Context(), p.request())
 	require.NoError(t, err)
 	first.Finish(t.Context(), claim.Answer{Status: 200, Body: []byte("booked")})
-	require.False(t, first.Ready())
+	require.False(t, first.Valid())
 
-	p.one.Settle(t.Context())
-	p.one.Settle(t.Context())
+	p.one.RetryWrites(t.Context())
+	p.one.RetryWrites(t.Context())
 
 	_, answer, err := p.two.Claim(t.Context(), p.request())
 	require.NoError(t, err)
--- a/claim/collect.go
+++ b/claim/collect.go
@@ -49,7 +49,7 @@
 	Send(to fleet.RouterID, batch *schema.Batch)
 }
 
-// Collected is a store.Table that, in a large fleet, forwards the write of a
+// ForwardingTable is a store.Table that, in a large fleet, forwards the write of a
 // claim to a collector: a router that commits the writes of many routers in
 // groups.
 //
@@ -62,18 +62,18 @@
 //
 // All fields but Timer must be set, and Receive must be called with each batch
 // from a peer. It is safe for concurrent use.
-type Collected struct {
+type ForwardingTable struct {
 	store.Table
 	Self  fleet.RouterID
 	Peers Peers
 	// Group commits this router's own writes while the fleet is small, or if a
 	// collector does not answer.
-	Group *Group
+	Group *GroupCommitter
 	// Timer is the clock; nil means the system clock.
 	Timer timer.Service
 
 	initCollectorGroup sync.Once
-	collectorGroup     Group
+	collectorGroup     GroupCommitter
 	peerWrites         atomic.Int64
 	mu                 sync.Mutex
 	lastID             uint64
@@ -93,7 +93,7 @@
 const firstIDBits = 48
 
 // Commit applies a transaction. It fails with the errors of store.Table.
-func (c *Collected) Commit(ctx context.Context, txn store.Txn) error {
+func (c *ForwardingTable) Commit(ctx context.Context, txn store.Txn) error {
 	write, ok := newClaimWrite(txn)
 	if !ok {
 		return c.Group.Commit(ctx, txn)
@@ -118,14 +118,14 @@
 func secondCommitError(err error) error {
 	var unreachable *store.UnavailableError
 	if errors.As(err, &unreachable) {
-		return &store.IndefiniteError{Operation: unreachable.Operation, Cause: err}
+		return &store.UnknownOutcomeError{Operation: unreachable.Operation, Cause: err}
 	}
 	return err
 }
 
 // forward sends a write to a collector and returns its verdict, or nil if none
 // arrives in time.
-func (c *Collected) forward(ctx context.Context, to fleet.RouterID, write *schema.ClaimWrite) *schema.ClaimVerdict {
+func (c *ForwardingTable) forward(ctx context.Context, to fleet.RouterID, write *schema.ClaimWrite) *schema.ClaimVerdict {
 	verdicts := make(chan *schema.ClaimVerdict, 1)
 	write.Id = c.addPending(pendingWrite{to, verdicts})
 	defer c.removePending(write.GetId())
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *Collected) addPending(write pendingWrite) (id uint64) {
+func (c *ForwardingTable) addPending(write pendingWrite) (id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == nil {
@@ -152,7 +152,7 @@
 	return c.lastID
 }
 
-func (c *Collected) removePending(id uint64) {
+func (c *ForwardingTable) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
@@ -160,7 +160,7 @@
 
 // Receive handles the claim writes and verdicts in a batch from a peer. It does
 // not block.
-func (c *Collected) Receive(from fleet.RouterID, batch *schema.Batch) {
+func (c *ForwardingTable) Receive(from fleet.RouterID, batch *schema.Batch) {
 	for _, verdict := range batch.GetClaimVerdicts() {
 		c.deliver(from, verdict)
 	}
@@ -176,7 +176,7 @@
 
 // deliver passes a verdict to the write that waits for it, if it comes from the
 // collector that the write was sent to.
-func (c *Collected) deliver(from fleet.RouterID, verdict *schema.ClaimVerdict) {
+func (c *ForwardingTable) deliver(from fleet.RouterID, verdict *schema.ClaimVerdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	write, ok := c.pending[verdict.GetId()]
@@ -188,7 +188,7 @@
 }
 
 // commitForPeer commits a write of another router and sends it the verdict.
-func (c *Collected) commitForPeer(from fleet.RouterID, write *schema.ClaimWrite) {
+func (c *ForwardingTable) commitForPeer(from fleet.RouterID, write *schema.ClaimWrite) {
 	defer c.peerWrites.Add(-1)
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
@@ -202,7 +202,7 @@
 	c.sendVerdict(from, verdict)
 }
 
-func (c *Collected) sendVerdict(to fleet.RouterID, verdict *schema.ClaimVerdict) {
+func (c *ForwardingTable) sendVerdict(to fleet.RouterID, verdict *schema.ClaimVerdict) {
 	c.Peers.Send(to, &schema.Batch{ClaimVerdicts: []*schema.ClaimVerdict{verdict}})
 }
 
@@ -255,13 +255,13 @@
 	case schema.ClaimEffect_CLAIM_EFFECT_NONE:
 		return &store.UnavailableError{Operation: "commit", Cause: cause}
 	default:
-		return &store.IndefiniteError{Operation: "commit", Cause: cause}
+		return &store.UnknownOutcomeError{Operation: "commit", Cause: cause}
 	}
 }
 
 // groupAsCollector returns the group for the writes that this router commits as
 // a collector.
-func (c *Collected) groupAsCollector() *Group {
+func (c *ForwardingTable) groupAsCollector() *GroupCommitter {
 	c.initCollectorGroup.Do(func() {
 		c.collectorGroup.Table, c.collectorGroup.Delay, c.collectorGroup.Timer = c.Table, collectorDelay, c.Timer
 	})
@@ -270,7 +270,7 @@
 
 // collector returns the router that commits writes of a claim, or "" in a small
 // fleet.
-func (c *Collected) collector(claim []byte) fleet.RouterID {
+func (c *ForwardingTable) collector(claim []byte) fleet.RouterID {
 	routers := append(slices.Clone(c.Peers.Routers()), c.Self)
 	if len(routers) <= smallFleetSize {
 		return ""
@@ -280,7 +280,7 @@
 	return rendezvous.Pick(rendezvous.KeyOfNumber("claim-collector", period*collectorCount+slot), routers)
 }
 
-func (c *Collected) now() time.Time {
+func (c *ForwardingTable) now() time.Time {
 	if c.Timer == nil {
 		return time.Now()
 	}
--- a/claim/group.go
+++ b/claim/group.go
@@ -20,7 +20,7 @@
 	commitTimeout = 2 * time.Second
 )
 
-// Group is a store.Table that commits several transactions as one (group
+// GroupCommitter is a store.Table that commits several transactions as one (group
 // commit), because the table allows only several hundred commits a second,
 // whatever their size. Reads go to Table directly. Table must be set. It is safe
 // for concurrent use.
@@ -28,7 +28,7 @@
 // Only one commit is in progress at a time, so that a slow table gets larger
 // groups, not more of them. If a group fails with a conflict, the transaction on
 // the conflicting row fails and the others are committed again without it.
-type Group struct {
+type GroupCommitter struct {
 	store.Table
 	// Delay is how long the first transaction of a group waits for others to join;
 	// zero means 5 ms.
@@ -53,7 +53,7 @@
 // Commit applies a transaction together with others. It fails with the errors
 // of store.Table, and with *store.IndefiniteError if ctx ends while its group
 // is being committed.
-func (g *Group) Commit(ctx context.Context, txn store.Txn) error {
+func (g *GroupCommitter) Commit(ctx context.Context, txn store.Txn) error {
 	pending := &pendingTxn{txn: txn, done: make(chan error, 1)}
 	g.join(pending)
 	select {
@@ -64,10 +64,10 @@
 	if g.leave(pending) {
 		return &store.UnavailableError{Operation: "commit", Cause: ctx.Err()}
 	}
-	return &store.IndefiniteError{Operation: "commit", Cause: ctx.Err()}
+	return &store.UnknownOutcomeError{Operation: "commit", Cause: ctx.Err()}
 }
 
-func (g *Group) join(pending *pendingTxn) {
+func (g *GroupCommitter) join(pending *pendingTxn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.waiting = append(g.waiting, pending)
@@ -79,7 +79,7 @@
 
 // leave removes a waiting transaction. It reports false if the transaction's
 // group was already taken.
-func (g *Group) leave(pending *pendingTxn) bool {
+func (g *GroupCommitter) leave(pending *pendingTxn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	index := slices.Index(g.waiting, pending)
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (g *Group) schedule() {
+func (g *GroupCommitter) schedule() {
 	clock := g.Timer
 	if clock == nil {
 		clock = timer.System{}
@@ -103,7 +103,7 @@
 }
 
 // run commits one group and schedules the next if transactions are waiting.
-func (g *Group) run() {
+func (g *GroupCommitter) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	g.commit(ctx, g.takeNext())
@@ -116,7 +116,7 @@
 
 // takeNext removes the next group from the waiting transactions. Two
 // transactions on the same row can't share a commit, so the second stays.
-func (g *Group) takeNext() []*pendingTxn {
+func (g *GroupCommitter) takeNext() []*pendingTxn {
 	limit := g.MaxTransactions
 	if limit == 0 {
 		limit = defaultMaxTransactions
@@ -157,7 +157,7 @@
 	}
 }
 
-func (g *Group) commit(ctx context.Context, group []*pendingTxn) {
+func (g *GroupCommitter) commit(ctx context.Context, group []*pendingTxn) {
 	for len(group) > 0 {
 		err := g.Table.Commit(ctx, mergeTxns(group))
 		var conflict *store.ConflictError
--- a/claim/group_test.go
+++ b/claim/group_test.go
@@ -34,7 +34,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := memory.New(timer.System{})
 		require.NoError(t, table.Commit(t.Context(), insertTxn("held")))
-		group := &claim.Group{Table: table}
+		group := &claim.GroupCommitter{Table: table}
 		keys := []store.Key{"a", "held", "b", "twice", "twice", "c"}
 		conflicts := map[store.Key]int{}
 		var (
@@ -63,7 +63,7 @@
 // muted routers receive batches, but what they send is lost.
 type network struct {
 	mu          sync.Mutex
-	routers     map[fleet.RouterID]*claim.Collected
+	routers     map[fleet.RouterID]*claim.ForwardingTable
 	unreachable map[fleet.RouterID]bool
 	muted       map[fleet.RouterID]bool
 	bytes       map[fleet.RouterID]int
@@ -105,15 +105,15 @@
 
 func newNetwork(table store.Table, routers int) (*network, []*claim.Store) {
 	n := &network{
-		routers:     map[fleet.RouterID]*claim.Collected{},
+		routers:     map[fleet.RouterID]*claim.ForwardingTable{},
 		unreachable: map[fleet.RouterID]bool{}, muted: map[fleet.RouterID]bool{}, bytes: map[fleet.RouterID]int{},
 	}
 	stores := make([]*claim.Store, 0, routers)
 	for i := range routers {
 		id := fleet.RouterID(fmt.Sprintf("router-%03d", i))
-		collected := &claim.Collected{
+		collected := &claim.ForwardingTable{
 			Table: table, Self: id, Peers: networkPeers{n, id},
-			Group: &claim.Group{Table: table},
+			Group: &claim.GroupCommitter{Table: table},
 		}
 		n.routers[id] = collected
 		stores = append(stores, &claim.Store{Table: collected, Router: id})
@@ -144,9 +144,9 @@
 
 		// With the table down as well, the effect of the collector's commit is unknown.
 		table.Faults.Set(fault.Fault{Kind: fault.Down})
-		collected, ok := stores[0].Table.(*claim.Collected)
+		collected, ok := stores[0].Table.(*claim.ForwardingTable)
 		require.True(t, ok)
-		var indefinite *store.IndefiniteError
+		var indefinite *store.UnknownOutcomeError
 		require.ErrorAs(t, collected.Commit(t.Context(), insertTxn("claims/00")), &indefinite)
 	})
 }
--- a/claim/keep.go
+++ b/claim/keep.go
@@ -18,8 +18,8 @@
 const (
 	// MaxInlineBody is the largest body that is stored in the row itself, in bytes.
 	MaxInlineBody = 4 << 10
-	// MaxKept is the largest body that is stored at all, in bytes.
-	MaxKept = 1 << 20
+	// MaxStoredBody is the largest body that is stored at all, in bytes.
+	MaxStoredBody = 1 << 20
 	// objectDigits is the number of hex digits in an object's name. It limits the
 	// objects to 16^5, because the object store never deletes any. Old answers get
 	// overwritten, which the body's hash in the row detects.
@@ -42,7 +42,7 @@
 		kept.Body = answer.Body
 		return kept, nil
 	}
-	if len(answer.Body) > MaxKept || s.Objects == nil {
+	if len(answer.Body) > MaxStoredBody || s.Objects == nil {
 		return nil, errTooLarge
 	}
 	sum := sha256.Sum256(answer.Body)
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -145,7 +145,7 @@
 // released meanwhile.
 func (m *fleetModel) send(t *rapid.T) {
 	call := m.drawCall(t, func(call *claimedCall) bool { return !call.sent })
-	if !call.claim.Ready() {
+	if !call.claim.Valid() {
 		call.notRun = true
 		call.claim.Release(context.Background())
 		return
@@ -175,7 +175,7 @@
 func (m *fleetModel) answerLost(t *rapid.T) {
 	call := m.drawCall(t, func(call *claimedCall) bool { return call.sent && !call.ended })
 	call.ended = true
-	call.claim.Lose(context.Background())
+	call.claim.MarkLost(context.Background())
 }
 
 func (m *fleetModel) killRouter(t *rapid.T) {
@@ -192,7 +192,7 @@
 }
 
 func (m *fleetModel) settle(t *rapid.T) {
-	m.stores[rapid.IntRange(0, len(m.stores)-1).Draw(t, "router")].Settle(context.Background())
+	m.stores[rapid.IntRange(0, len(m.stores)-1).Draw(t, "router")].RetryWrites(context.Background())
 }
 
 func (m *fleetModel) sweep(t *rapid.T) {
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -29,7 +29,7 @@
 func (c *Claim) Finish(ctx context.Context, answer Answer) {
 	kept, err := c.store.storeAnswer(ctx, c, answer)
 	if err != nil {
-		c.Lose(ctx)
+		c.MarkLost(ctx)
 		return
 	}
 	c.end(ctx, schema.ClaimState_CLAIM_STATE_DONE, kept)
@@ -40,9 +40,9 @@
 	c.end(ctx, schema.ClaimState_CLAIM_STATE_NOT_RUN, nil)
 }
 
-// Lose records that the request may have been run and has no answer. Without
+// MarkLost records that the request may have been run and has no answer. Without
 // it a repeat would be refused as a duplicate in flight until the deadline.
-func (c *Claim) Lose(ctx context.Context) {
+func (c *Claim) MarkLost(ctx context.Context) {
 	c.end(ctx, schema.ClaimState_CLAIM_STATE_LOST, nil)
 }
 
@@ -135,9 +135,9 @@
 	}
 }
 
-// Settle retries each final write that failed, once. Sweeper.Start calls it
+// RetryWrites retries each final write that failed, once. Sweeper.Start calls it
 // every few seconds.
-func (s *Store) Settle(ctx context.Context) {
+func (s *Store) RetryWrites(ctx context.Context) {
 	now := s.now()
 	for _, final := range s.backlog.takeAll() {
 		if now.After(final.giveUpAt) || s.tryFinalWrite(ctx, final) {
--- a/claim/store.go
+++ b/claim/store.go
@@ -40,7 +40,7 @@
 // than MaxInlineBody are not kept. It is safe for concurrent use.
 type Store struct {
 	Table   store.Table
-	Objects store.Objects
+	Objects store.ObjectStore
 	// Router determines the row at which this router's Sweeper starts.
 	Router fleet.RouterID
 	// Timer is the clock; nil means the system clock.
@@ -236,6 +236,6 @@
 }
 
 func isIndefinite(err error) bool {
-	var indefinite *store.IndefiniteError
+	var indefinite *store.UnknownOutcomeError
 	return errors.As(err, &indefinite)
 }
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -43,7 +43,7 @@
 // Start calls Tick and the store's Settle periodically until stop is called.
 func (w *Sweeper) Start(timers timer.Service) (stop func()) {
 	sweeping := timers.Every(sweepInterval, func(time.Time) { runWithTimeout(w.Tick) })
-	settling := timers.Every(settleInterval, func(time.Time) { runWithTimeout(w.Store.Settle) })
+	settling := timers.Every(settleInterval, func(time.Time) { runWithTimeout(w.Store.RetryWrites) })
 	return func() {
 		sweeping.Cancel()
 		settling.Cancel()
--- a/claim/table_test.go
+++ b/claim/table_test.go
@@ -83,7 +83,7 @@
 
 func (t *faultyTable) Commit(_ context.Context, txn store.Txn) error {
 	t.commits++
-	lost := &store.IndefiniteError{Operation: "commit", Cause: errFault}
+	lost := &store.UnknownOutcomeError{Operation: "commit", Cause: errFault}
 	switch t.drawFault(true) {
 	case down:
 		return &store.UnavailableError{Operation: "commit", Cause: errFault}
--- a/command/admin.go
+++ b/command/admin.go
@@ -104,7 +104,7 @@
 // exitError prints why a request failed and returns an error with the exit code
 // for it. file is the file of the release note, if any.
 func exitError(c *cli.Command, file string, err error) error {
-	var answerErr *operator.AnswerError
+	var answerErr *operator.ResponseError
 	var unreachable *operator.UnreachableError
 	var unsettled *note.UnsettledError
 	var faults *document.FaultsError
@@ -155,12 +155,12 @@
 }
 
 // printAnswerError prints a router's error, its faults or clashes, and a hint.
-func printAnswerError(c *cli.Command, file string, err *operator.AnswerError) {
+func printAnswerError(c *cli.Command, file string, err *operator.ResponseError) {
 	printError(c, err.Error())
 	for _, f := range err.Detail.GetFaults() {
 		printError(c, document.Fault{
 			File: file, Position: document.Position{Line: int(f.GetLine()), Column: int(f.GetColumn())},
-			Path: f.GetPath(), Kind: document.Kind(f.GetKind()), Found: f.GetFound(), Allowed: f.GetAllowed(),
+			Path: f.GetPath(), Kind: document.FaultKind(f.GetKind()), Found: f.GetFound(), Allowed: f.GetAllowed(),
 		}.String())
 	}
 	for _, clash := range err.Detail.GetClashes() {
--- a/command/checksettings.go
+++ b/command/checksettings.go
@@ -45,6 +45,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = settings.Read(file, data)
+	_, err = settings.Parse(file, data)
 	return err
 }
--- a/command/experiment.go
+++ b/command/experiment.go
@@ -32,7 +32,7 @@
 				return err
 			}
 			if selected.isDefault {
-				return writeReport(c, experiment.Default())
+				return writeReport(c, experiment.RunDefault())
 			}
 			return writeReport(c, experiment.Run(selected.Options))
 		},
--- a/command/explain.go
+++ b/command/explain.go
@@ -29,7 +29,7 @@
 			if e.Found() > 0 {
 				return nil
 			}
-			if err := e.Suggest(); err != nil {
+			if err := e.PrintSummaries(); err != nil {
 				return err
 			}
 			return cli.Exit(fmt.Sprintf("explain: no log line of request %s; the totals above, if any, may include it", e.Request), ExitFailed)
--- a/command/replay.go
+++ b/command/replay.go
@@ -96,11 +96,11 @@
 }
 
 func writeSynthetic(c *cli.Command) error {
-	for _, synthetic := range experiment.Synthetics() {
+	for _, synthetic := range experiment.SyntheticTraces() {
 		if synthetic.Deployment.Name != c.String("synthetic") {
 			continue
 		}
-		header, records := synthetic.Trace()
+		header, records := synthetic.Generate()
 		return writeTo(c, c.Args().First(), func(w io.Writer) error { return trace.Write(w, header, records) })
 	}
 	return eris.Errorf("there is no synthetic trace %q", c.String("synthetic"))
--- a/command/run.go
+++ b/command/run.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	defer fleet.Close()
-	url := "http://" + fleet.Routers[0].Callers.String() + "/v1/chat/completions"
+	url := "http://" + fleet.RouterAddresses[0].Callers.String() + "/v1/chat/completions"
 	printLine(c, "Three routers are ready. Send a request to one of them:\n")
 	printLine(c, curlCommand(url))
 	answer, err := sendFirstRequest(startCtx, url)
--- a/command/standin.go
+++ b/command/standin.go
@@ -58,16 +58,16 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return serveStandIn(ctx, c, engine.New(engine.Options{
-				TimeScale:    c.Float("time-scale"),
-				StepBase:     c.Duration("step-base"),
-				StepSlope:    c.Duration("step-slope"),
-				MaxBatch:     c.Int("max-batch"),
-				CacheBlocks:  c.Int("cache-blocks"),
-				ReportLag:    c.Duration("report-lag"),
-				EventLag:     c.Duration("event-lag"),
-				EventGap:     c.Int("event-gap"),
-				Retention:    c.Duration("retention"),
-				CheckFencing: c.Bool("check-fencing"),
+				TimeScale:         c.Float("time-scale"),
+				StepBase:          c.Duration("step-base"),
+				StepPerRequest:    c.Duration("step-slope"),
+				MaxBatch:          c.Int("max-batch"),
+				CacheBlocks:       c.Int("cache-blocks"),
+				ReportLag:         c.Duration("report-lag"),
+				EventLag:          c.Duration("event-lag"),
+				DropEveryNthEvent: c.Int("event-gap"),
+				Retention:         c.Duration("retention"),
+				CheckFencing:      c.Bool("check-fencing"),
 			}))
 		},
 	}
@@ -107,8 +107,8 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			store := memory.New(timer.System{})
-			store.SetLag(c.Duration("vm-lag"))
-			store.SetLimits(c.Float("reads"), c.Float("writes"))
+			store.SetVMListLag(c.Duration("vm-lag"))
+			store.SetRateLimits(c.Float("reads"), c.Float("writes"))
 			return serveStandIn(ctx, c, standin.New(store))
 		},
 	}
--- a/daemon/administration.go
+++ b/daemon/administration.go
@@ -15,8 +15,8 @@
 func (administrationExtension) Extend(p *Parts) error {
 	handler := operator.New(operator.Options{
 		Keys: p.Settings.GetOperatorKeys(), Store: p.NoteStore,
-		Publisher: note.NewPublisher(note.PublisherOptions{Store: p.NoteStore, Holder: p.Notes, Timer: p.Timer}),
-		Holder:    p.Notes, State: p.State, Log: p.Log,
+		Publisher: note.NewPublisher(note.PublisherOptions{Store: p.NoteStore, Replica: p.Notes, Timer: p.Timer}),
+		Replica:   p.Notes, State: p.State, Log: p.Log,
 		Metrics:  promhttp.HandlerFor(p.Registry, promhttp.HandlerOpts{}),
 		Registry: p.Registry,
 	})
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -34,8 +34,8 @@
 		Notes: p.Notes, Runner: p.Runner, Observers: p.Runner.Observers,
 		Estimator: estimator{p.Estimator}, Timer: p.Timer, Metrics: p.Metrics, Log: p.Log,
 		Limits: router.Limits{
-			BodyBytes:       settings.MaxBody(p.Settings),
-			HeaderBytes:     settings.MaxHeader(p.Settings),
+			MaxBodyBytes:    settings.MaxBodyBytes(p.Settings),
+			MaxHeaderBytes:  settings.MaxHeaderBytes(p.Settings),
 			BodyTimeout:     settings.BodyTimeout(p.Settings),
 			DefaultDeadline: settings.DefaultDeadline(p.Settings),
 			MaxDeadline:     settings.MaxDeadline(p.Settings),
@@ -59,7 +59,7 @@
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerLimitFactor * settings.MaxHeader(p.Settings),
+		MaxHeaderBytes:    headerLimitFactor * settings.MaxHeaderBytes(p.Settings),
 		ErrorLog:          slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug),
 	}
 }
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -27,9 +27,9 @@
 	if err != nil {
 		return err
 	}
-	collected := &claim.Collected{
+	collected := &claim.ForwardingTable{
 		Table: p.Platform, Self: p.Self, Peers: p.Peers,
-		Group: &claim.Group{Table: p.Platform, Delay: claimBatchDelay},
+		Group: &claim.GroupCommitter{Table: p.Platform, Delay: claimBatchDelay},
 	}
 	p.Peers.OnBatch(collected.Receive)
 	store := &claim.Store{Table: collected, Objects: p.Platform, Router: p.Self, Timer: p.Timer}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -37,8 +37,8 @@
 // Platform provides the table service, the object store and the VM list.
 type Platform interface {
 	store.Table
-	store.Objects
-	store.VMs
+	store.ObjectStore
+	store.VMLister
 }
 
 // Daemon runs one router.
--- a/daemon/estimator.go
+++ b/daemon/estimator.go
@@ -14,13 +14,13 @@
 // without output, such as an engine's refusal of a bad request: counted as short
 // outputs, they would make the next estimates too low.
 func (e estimator) Ended(report call.Report) {
-	if report.Refused == "" && report.Output > 0 {
-		e.Estimator.Ended(estimate.Key{Account: report.Account, Service: report.Service}, report.Output)
+	if report.RefusalReason == "" && report.OutputTokens > 0 {
+		e.Estimator.Ended(estimate.Key{Account: report.Account, Service: report.Service}, report.OutputTokens)
 	}
 }
 
-func (e estimator) Model(account *schema.Account, service *schema.Service, bodyBytes, maxTokens int) fleet.Tokens {
+func (e estimator) EstimateChat(account *schema.Account, service *schema.Service, bodyBytes, maxTokens int) fleet.Tokens {
 	key := estimate.Key{Account: fleet.AccountID(account.GetId()), Service: fleet.ServiceID(service.GetId())}
 	weights := estimate.Weights{Input: service.GetInputWeight(), Output: service.GetOutputWeight()}
-	return weights.Cost(estimate.InputTokens(int64(bodyBytes)), e.Output(key, int64(maxTokens)))
+	return weights.Cost(estimate.InputTokens(int64(bodyBytes)), e.PredictOutput(key, int64(maxTokens)))
 }
--- a/daemon/extensions.go
+++ b/daemon/extensions.go
@@ -31,8 +31,8 @@
 		return nil
 	}
 	client := platform.NewStore(p.Settings.GetPlatform().GetUrl(), settings.PlatformTimeout(p.Settings), func(sent, received int) {
-		p.Metrics.Control(metric.Sent, metric.Platform, sent)
-		p.Metrics.Control(metric.Received, metric.Platform, received)
+		p.Metrics.CountControlMessage(metric.Sent, metric.Platform, sent)
+		p.Metrics.CountControlMessage(metric.Received, metric.Platform, received)
 	})
 	p.Platform = client
 	return nil
--- a/daemon/notes.go
+++ b/daemon/notes.go
@@ -14,7 +14,7 @@
 
 func (notesExtension) Extend(p *Parts) error {
 	p.NoteStore = note.NewStore(p.Platform, p.Platform)
-	p.Notes = note.NewHolder(note.HolderOptions{
+	p.Notes = note.NewReplica(note.ReplicaOptions{
 		Self: p.Self, Store: p.NoteStore, Peers: p.Peers, Timer: p.Timer, Log: p.Log,
 		Announce: func(to []fleet.RouterID, version fleet.Version) {
 			p.Metrics.NoteVersion.Set(float64(version))
@@ -28,7 +28,7 @@
 	}
 	p.Peers.OnBatch(func(from fleet.RouterID, batch *schema.Batch) {
 		if version := fleet.Version(batch.GetNoteVersion()); version > 0 {
-			p.Notes.Heard(from, version)
+			p.Notes.HandleAnnouncement(from, version)
 		}
 	})
 	// A router that was disconnected or has just started may have missed
--- a/daemon/parts.go
+++ b/daemon/parts.go
@@ -62,7 +62,7 @@
 
 	Platform  Platform
 	Peers     *peer.Peers
-	Notes     *note.Holder
+	Notes     *note.Replica
 	NoteStore *note.Store
 	// SlotSource assigns slots at upstreams to requests. An extension can
 	// replace it to share capacity by another policy.
--- a/daemon/sharing.go
+++ b/daemon/sharing.go
@@ -55,8 +55,8 @@
 func newScheduler(p *Parts) *scheduler.Scheduler {
 	switch settings.Sharing(p.Settings) {
 	case sharingFirstCome:
-		options := schedulerOptions[*share.FirstCome[fleet.Number]](p)
-		options.Order = func() *share.FirstCome[fleet.Number] { return &share.FirstCome[fleet.Number]{} }
+		options := schedulerOptions[*share.FirstCome[fleet.ShortID]](p)
+		options.SharePolicy = func() *share.FirstCome[fleet.ShortID] { return &share.FirstCome[fleet.ShortID]{} }
 		return scheduler.New(options)
 	case sharingStatic:
 		options := fairOptions(p)
@@ -67,17 +67,17 @@
 	}
 }
 
-func fairOptions(p *Parts) scheduler.Options[*share.Fair[fleet.Number], *inflight.Adaptive, placement.Affinity] {
-	options := schedulerOptions[*share.Fair[fleet.Number]](p)
-	options.Order = func() *share.Fair[fleet.Number] { return &share.Fair[fleet.Number]{} }
+func fairOptions(p *Parts) scheduler.Options[*share.Fair[fleet.ShortID], *inflight.Adaptive, placement.CacheAffinity] {
+	options := schedulerOptions[*share.Fair[fleet.ShortID]](p)
+	options.SharePolicy = func() *share.Fair[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
 	return options
 }
 
-func schedulerOptions[O share.Order[fleet.Number]](p *Parts) scheduler.Options[O, *inflight.Adaptive, placement.Affinity] {
-	return scheduler.Options[O, *inflight.Adaptive, placement.Affinity]{
+func schedulerOptions[O share.Policy[fleet.ShortID]](p *Parts) scheduler.Options[O, *inflight.Adaptive, placement.CacheAffinity] {
+	return scheduler.Options[O, *inflight.Adaptive, placement.CacheAffinity]{
 		Self: p.Self, Incarnation: p.Incarnation, Notes: p.Notes, Peers: p.Peers, VMs: p.Platform,
 		Timer: p.Timer, Metrics: p.Metrics, Logger: p.Log,
-		Client:          newPollClient(),
+		PollClient:      newPollClient(),
 		Limiter:         func(slots int) *inflight.Adaptive { return &inflight.Adaptive{Max: slots} },
 		Admission:       admission.Bounded{},
 		MaxWaiting:      settings.MaxWaiting(p.Settings),
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -58,7 +58,7 @@
 		state.Waiting += uint32(queue.Waiting)
 	}
 	for _, upstream := range snapshot.Upstreams {
-		state.InFlight += uint32(upstream.Here)
+		state.InFlight += uint32(upstream.LocalInFlight)
 	}
 	return state
 }
@@ -116,7 +116,7 @@
 	for id, count := range snapshot.InFlight {
 		loadOf(id).InFlight = uint32(count)
 	}
-	for id, served := range s.parts.Metrics.ServiceByAccount() {
+	for id, served := range s.parts.Metrics.ServiceTokensByAccount() {
 		loadOf(fleet.AccountID(id)).Service = int64(served)
 	}
 	return loads
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -86,7 +86,7 @@
 	slices.Sort(routers)
 	t.routerIndex = slices.Index(routers, t.parts.Self)
 	t.header = trace.Header{
-		About: "recorded by router " + string(t.parts.Self), Begun: t.started.UTC(),
+		Origin: "recorded by router " + string(t.parts.Self), StartTime: t.started.UTC(),
 		Fleet: trace.Fleet{Routers: len(routers)},
 	}
 	if view := t.parts.Notes.Current(); view != nil {
@@ -99,28 +99,28 @@
 
 // countUpstreams adds a service's upstreams to the trace header.
 func (t *tracer) countUpstreams(service *schema.Service, upstreams int) {
-	if fleet.Kind(service.GetKind()) == fleet.Model {
-		t.header.Fleet.Models += upstreams
+	if fleet.ServiceKind(service.GetKind()) == fleet.Model {
+		t.header.Fleet.ModelUpstreams += upstreams
 	} else {
-		t.header.Fleet.Plain += upstreams
+		t.header.Fleet.PlainUpstreams += upstreams
 	}
 }
 
 func (t *tracer) newRecord(report call.Report) trace.Record {
 	record := trace.Record{
-		At: report.Arrived.Sub(t.started).Milliseconds(), Account: report.Account, Service: report.Service,
-		Kind: fleet.Plain, Router: t.routerIndex, NonIdempotent: report.NonIdempotent,
-		Deadline: report.Deadline.Milliseconds(), Outcome: trace.Answered, Queue: report.Queue.Milliseconds(),
-		FirstToken: report.FirstToken.Milliseconds(), Total: report.Total.Milliseconds(),
+		ArrivalMs: report.Arrived.Sub(t.started).Milliseconds(), Account: report.Account, Service: report.Service,
+		Kind: fleet.Plain, RouterIndex: t.routerIndex, NonIdempotent: report.NonIdempotent,
+		TimeoutMs: report.Timeout.Milliseconds(), Outcome: trace.Answered, QueueMs: report.QueueTime.Milliseconds(),
+		FirstTokenMs: report.TimeToFirstToken.Milliseconds(), TotalMs: report.TotalTime.Milliseconds(),
 	}
-	if report.Refused != "" {
-		record.Outcome = string(report.Refused)
+	if report.RefusalReason != "" {
+		record.Outcome = string(report.RefusalReason)
 	}
-	if report.Model {
+	if report.IsModel {
 		record.Kind = fleet.Model
-		record.Input, record.Output = int(report.Input), int(report.Output)
+		record.InputTokens, record.OutputTokens = int(report.InputTokens), int(report.OutputTokens)
 	} else {
-		record.Run = report.Run.Milliseconds()
+		record.RunMs = report.UpstreamTime.Milliseconds()
 	}
 	return record
 }
--- a/deployment/absurd_test.go
+++ b/deployment/absurd_test.go
@@ -95,7 +95,7 @@
 	var list []registry.Change
 	for i := range upstreams {
 		list = append(list, registry.Change{Revision: registry.Revision(i + 1), Upstream: registry.Upstream{
-			ID: fleet.UpstreamID(fmt.Sprintf("u%d", i)), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 2, Life: 1,
+			ID: fleet.UpstreamID(fmt.Sprintf("u%d", i)), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 2, StartTime: 1,
 		}})
 	}
 	n.state.ReplaceUpstreams(list, registry.Revision(upstreams+1), "test")
@@ -107,8 +107,8 @@
 	if pool == nil {
 		return
 	}
-	ticket, err := pool.Ask(time.Now(), turn.Demand{Account: "ada", Input: 1000})
-	if err == nil && ticket.GiveUp(time.Now()) == nil {
+	ticket, err := pool.Submit(time.Now(), turn.Request{Account: "ada", Input: 1000})
+	if err == nil && ticket.Cancel(time.Now()) == nil {
 		ticket.End(time.Now(), turn.Unsent)
 	}
 }
--- a/deployment/codec.go
+++ b/deployment/codec.go
@@ -29,8 +29,8 @@
 func encodeRoute(r *route.Route) *schema.Route {
 	out := &schema.Route{
 		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: string(r.Kind),
-		TimeoutMs: schema.Millis(r.Timeout), TargetMs: schema.Millis(r.Target), MaxPauseMs: schema.Millis(r.MaxPause),
-		Attempts: uint32(r.Attempts), Public: r.Public, Resumable: r.Resumable, Cached: r.Cached,
+		TimeoutMs: schema.Millis(r.Timeout), TargetMs: schema.Millis(r.LatencyTarget), MaxPauseMs: schema.Millis(r.MaxPause),
+		Attempts: uint32(r.MaxAttempts), Public: r.Public, Resumable: r.Resumable, Cached: r.PromptCaching,
 	}
 	for _, s := range r.Shares {
 		out.Shares = append(out.Shares, &schema.RouteShare{Service: string(s.Service), Weight: uint32(s.Weight)})
@@ -64,8 +64,8 @@
 func decodeRoute(in *schema.Route) route.Route {
 	out := route.Route{
 		Name: in.GetName(), Host: in.GetHost(), Prefix: in.GetPrefix(), Kind: route.Kind(in.GetKind()),
-		Timeout: schema.Duration(in.GetTimeoutMs()), Target: schema.Duration(in.GetTargetMs()), MaxPause: schema.Duration(in.GetMaxPauseMs()),
-		Attempts: int(in.GetAttempts()), Public: in.GetPublic(), Resumable: in.GetResumable(), Cached: in.GetCached(),
+		Timeout: schema.Duration(in.GetTimeoutMs()), LatencyTarget: schema.Duration(in.GetTargetMs()), MaxPause: schema.Duration(in.GetMaxPauseMs()),
+		MaxAttempts: int(in.GetAttempts()), Public: in.GetPublic(), Resumable: in.GetResumable(), PromptCaching: in.GetCached(),
 	}
 	for _, s := range in.GetShares() {
 		out.Shares = append(out.Shares, route.Share{Service: fleet.ServiceID(s.GetService()), Weight: int(s.GetWeight())})
--- a/deployment/crashes.go
+++ b/deployment/crashes.go
@@ -31,7 +31,7 @@
 // other routers.
 type crashMonitor struct {
 	self    fleet.RouterID
-	tracker quarantine.Watch
+	tracker quarantine.Tracker
 	// otherRouters returns the other routers that are connected.
 	otherRouters func() []fleet.RouterID
 	send         func(to fleet.RouterID, batch *schema.Batch)
@@ -60,7 +60,7 @@
 
 // Refuses returns for how long a request is refused, zero if it isn't.
 func (c *crashMonitor) Refuses(now time.Time, request quarantine.Fingerprint) time.Duration {
-	return c.tracker.Refuses(now, request)
+	return c.tracker.RefusedFor(now, request)
 }
 
 // IsOnProbation reports whether a request was refused recently.
@@ -70,7 +70,7 @@
 
 // Served records that an upstream has answered a request.
 func (c *crashMonitor) Served(now time.Time, request quarantine.Fingerprint) {
-	if v, ok := c.tracker.Served(now, request); ok {
+	if v, ok := c.tracker.RecordServed(now, request); ok {
 		c.broadcast(v)
 	}
 }
@@ -95,7 +95,7 @@
 // checkUpstreamGuarded runs checkUpstream. After a panic it drops the upstream's pending check,
 // so that the next broken request starts a new one.
 func (c *crashMonitor) checkUpstreamGuarded(upstream registry.Upstream) {
-	if c.guard.Run(recovery.Crash, func() { c.checkUpstream(upstream) }, "upstream", upstream.ID) {
+	if c.guard.Run(recovery.CrashReport, func() { c.checkUpstream(upstream) }, "upstream", upstream.ID) {
 		c.takePendingCheck(turn.InstanceOf(upstream))
 	}
 }
@@ -135,12 +135,12 @@
 // connections without a crash.
 func (c *crashMonitor) isLeaving(instance turn.Instance) bool {
 	known, ok := c.upstreamEntry(instance.ID)
-	return ok && known.Upstream.Life == instance.Life && (known.Gone || known.Upstream.Draining)
+	return ok && known.Upstream.StartTime == instance.StartTime && (known.Removed || known.Upstream.Draining)
 }
 
 // isDownOrRestarted reports whether an upstream can't be reached or has started anew.
 func (c *crashMonitor) isDownOrRestarted(upstream registry.Upstream) bool {
-	if known, ok := c.upstreamEntry(upstream.ID); ok && known.Upstream.Life != upstream.Life {
+	if known, ok := c.upstreamEntry(upstream.ID); ok && known.Upstream.StartTime != upstream.StartTime {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
@@ -151,10 +151,10 @@
 // reportCrash reports a crash under a request to the routers that count its crashes.
 func (c *crashMonitor) reportCrash(b brokenRequest, upstream turn.Instance) {
 	now := time.Now()
-	report, verdict := c.tracker.Crashed(now, quarantine.Crash{
-		Request: b.request, Upstream: upstream, Began: now.Sub(b.startedAt), Ended: now.Sub(b.brokenAt),
+	report, verdict := c.tracker.RecordCrash(now, quarantine.Crash{
+		Request: b.request, Upstream: upstream, StartedAgo: now.Sub(b.startedAt), CrashedAgo: now.Sub(b.brokenAt),
 	})
-	if verdict.Standing == quarantine.Refused {
+	if verdict.Status == quarantine.Refused {
 		c.broadcast(verdict)
 		return
 	}
@@ -178,7 +178,7 @@
 
 // countCrash counts a reported crash, and broadcasts the verdict if there is one.
 func (c *crashMonitor) countCrash(now time.Time, crash quarantine.Crash) {
-	if v, ok := c.tracker.Report(now, crash); ok {
+	if v, ok := c.tracker.CountCrash(now, crash); ok {
 		c.broadcast(v)
 	}
 }
@@ -202,7 +202,7 @@
 	}
 	for _, received := range batch.GetRequestVerdicts() {
 		v := decodeVerdict(received)
-		objection, objects, changed := c.tracker.Receive(now, v)
+		objection, objects, changed := c.tracker.ApplyVerdict(now, v)
 		switch {
 		case objects:
 			c.broadcast(objection)
@@ -216,7 +216,7 @@
 // connected.
 func (c *crashMonitor) sendRefusedRequests(router fleet.RouterID) {
 	batch := &schema.Batch{}
-	for _, v := range c.tracker.Refused(time.Now()) {
+	for _, v := range c.tracker.ActiveVerdicts(time.Now()) {
 		batch.RequestVerdicts = append(batch.RequestVerdicts, encodeVerdict(v))
 	}
 	if len(batch.GetRequestVerdicts()) > 0 {
@@ -225,12 +225,12 @@
 }
 
 func (c *crashMonitor) logVerdict(v quarantine.Verdict, from fleet.RouterID) {
-	switch v.Standing {
+	switch v.Status {
 	case quarantine.Refused:
-		c.log.Warn("request quarantined", "fingerprint", v.Request, "from", from, "left-s", v.Left.Seconds(), "first-crash-ms", v.Since.Milliseconds())
+		c.log.Warn("request quarantined", "fingerprint", v.Request, "from", from, "left-s", v.Remaining.Seconds(), "first-crash-ms", v.FirstCrashAgo.Milliseconds())
 	case quarantine.Suspected:
-		c.log.Info("request suspected of crashing upstreams", "fingerprint", v.Request, "from", from, "first-crash-ms", v.Since.Milliseconds())
-	case quarantine.Unremarkable:
+		c.log.Info("request suspected of crashing upstreams", "fingerprint", v.Request, "from", from, "first-crash-ms", v.FirstCrashAgo.Milliseconds())
+	case quarantine.NotSuspected:
 		c.log.Info("request cleared of crashing upstreams", "fingerprint", v.Request, "from", from)
 	}
 }
@@ -239,33 +239,33 @@
 	return &schema.CrashReport{
 		Request:  uint64(c.Request),
 		Upstream: turn.EncodeInstance(c.Upstream),
-		BeganMs:  schema.Millis(c.Began), EndedMs: schema.Millis(c.Ended),
-		Served: c.Served > 0, ServedMs: schema.Millis(c.Served),
+		BeganMs:  schema.Millis(c.StartedAgo), EndedMs: schema.Millis(c.CrashedAgo),
+		Served: c.ServedAgo > 0, ServedMs: schema.Millis(c.ServedAgo),
 	}
 }
 
 func decodeCrash(in *schema.CrashReport) quarantine.Crash {
 	out := quarantine.Crash{
-		Request:  quarantine.Fingerprint(in.GetRequest()),
-		Upstream: turn.DecodeInstance(in.GetUpstream()),
-		Began:    schema.Duration(in.GetBeganMs()), Ended: schema.Duration(in.GetEndedMs()),
+		Request:    quarantine.Fingerprint(in.GetRequest()),
+		Upstream:   turn.DecodeInstance(in.GetUpstream()),
+		StartedAgo: schema.Duration(in.GetBeganMs()), CrashedAgo: schema.Duration(in.GetEndedMs()),
 	}
 	if in.GetServed() {
-		out.Served = max(schema.Duration(in.GetServedMs()), time.Millisecond)
+		out.ServedAgo = max(schema.Duration(in.GetServedMs()), time.Millisecond)
 	}
 	return out
 }
 
 func encodeVerdict(v quarantine.Verdict) *schema.RequestVerdict {
 	return &schema.RequestVerdict{
-		Request: uint64(v.Request), Standing: uint32(v.Standing), SinceMs: schema.Millis(v.Since),
-		TermMs: schema.Millis(v.Term), LeftMs: schema.Millis(v.Left),
+		Request: uint64(v.Request), Standing: uint32(v.Status), SinceMs: schema.Millis(v.FirstCrashAgo),
+		TermMs: schema.Millis(v.Term), LeftMs: schema.Millis(v.Remaining),
 	}
 }
 
 func decodeVerdict(in *schema.RequestVerdict) quarantine.Verdict {
 	return quarantine.Verdict{
-		Request: quarantine.Fingerprint(in.GetRequest()), Standing: quarantine.Standing(in.GetStanding()),
-		Since: schema.Duration(in.GetSinceMs()), Term: schema.Duration(in.GetTermMs()), Left: schema.Duration(in.GetLeftMs()),
+		Request: quarantine.Fingerprint(in.GetRequest()), Status: quarantine.Status(in.GetStanding()),
+		FirstCrashAgo: schema.Duration(in.GetSinceMs()), Term: schema.Duration(in.GetTermMs()), Remaining: schema.Duration(in.GetLeftMs()),
 	}
 }
--- a/deployment/crashes_test.go
+++ b/deployment/crashes_test.go
@@ -40,7 +40,7 @@
 
 func testUpstream(i int) registry.Upstream {
 	return registry.Upstream{
-		ID: fleet.UpstreamID(fmt.Sprintf("u%d", i)), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 8, Life: 1,
+		ID: fleet.UpstreamID(fmt.Sprintf("u%d", i)), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 8, StartTime: 1,
 	}
 }
 
@@ -82,7 +82,7 @@
 		n.reachable[testUpstream(i).Address] = true
 		n.breakConnection(i)
 		restarted := testUpstream(i)
-		restarted.Life++
+		restarted.StartTime++
 		n.state.ApplyUpstreams([]registry.Change{{Upstream: restarted, Revision: registry.Revision(1 + i)}}, "test")
 		time.Sleep(maxCheckTime)
 	}
--- a/deployment/listener.go
+++ b/deployment/listener.go
@@ -16,11 +16,11 @@
 type yieldingListener struct {
 	net.Listener
 	raw         syscall.RawConn
-	acceptQueue *overload.Standing
+	acceptQueue *overload.StandingQueue
 }
 
 // newYieldingListener returns a listener that reports to acceptQueue whether connections wait.
-func newYieldingListener(inner net.Listener, acceptQueue *overload.Standing) (net.Listener, error) {
+func newYieldingListener(inner net.Listener, acceptQueue *overload.StandingQueue) (net.Listener, error) {
 	l := &yieldingListener{Listener: inner, acceptQueue: acceptQueue}
 	conn, ok := inner.(syscall.Conn)
 	if !ok {
@@ -43,4 +43,6 @@
 	return conn, err
 }
 
-func (l *yieldingListener) hasPendingConnection() bool { return l.raw != nil && socket.Waiting(l.raw) }
+func (l *yieldingListener) hasPendingConnection() bool {
+	return l.raw != nil && socket.AcceptPending(l.raw)
+}
--- a/deployment/listener_test.go
+++ b/deployment/listener_test.go
@@ -56,7 +56,7 @@
 		require.NoError(t, err)
 		defer conn.Close()
 	}
-	listener, err := deployment.NewYieldingListener(inner, &overload.Standing{})
+	listener, err := deployment.NewYieldingListener(inner, &overload.StandingQueue{})
 	require.NoError(t, err)
 	ctx, answered := context.WithCancel(t.Context())
 	go func() {
@@ -79,7 +79,7 @@
 	t.Parallel()
 	inner, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var queue overload.Standing
+	var queue overload.StandingQueue
 	listener, err := deployment.NewYieldingListener(inner, &queue)
 	require.NoError(t, err)
 	for range 3 {
@@ -91,10 +91,10 @@
 		conn, err := listener.Accept()
 		require.NoError(t, err)
 		defer conn.Close()
-		require.Positive(t, queue.For(time.Now().Add(time.Second)))
+		require.Positive(t, queue.Duration(time.Now().Add(time.Second)))
 	}
 	go func() { _, _ = listener.Accept() }()
-	empty := func() bool { return queue.For(time.Now().Add(time.Second)) == 0 }
+	empty := func() bool { return queue.Duration(time.Now().Add(time.Second)) == 0 }
 	require.Eventually(t, empty, 5*time.Second, time.Millisecond)
 	require.NoError(t, inner.Close())
 }
--- a/deployment/members.go
+++ b/deployment/members.go
@@ -19,12 +19,12 @@
 	ID fleet.RouterID
 	// Address is the address that other routers connect to.
 	Address string
-	// Gone is set if the entry was removed.
-	Gone bool
+	// Removed is set if the entry was removed.
+	Removed bool
 }
 
-// Members is the fleet's list of routers, stored at the platform.
-type Members interface {
+// MemberStore is the fleet's list of routers, stored at the platform.
+type MemberStore interface {
 	follow.Feed[Member, registry.Revision]
 	// Register writes an entry.
 	Register(ctx context.Context, m Member) error
@@ -142,7 +142,7 @@
 	for _, m := range rows {
 		switch {
 		case m.ID == s.self:
-		case m.Gone:
+		case m.Removed:
 			s.markLeft(m.ID)
 		default:
 			s.addresses[m.ID] = m.Address
@@ -150,7 +150,7 @@
 		}
 	}
 	s.dropExpired(time.Now())
-	s.peers.Target(maps.Clone(s.addresses))
+	s.peers.SetTargets(maps.Clone(s.addresses))
 	s.state.SetRouterCount(len(s.addresses) + 1)
 }
 
@@ -192,7 +192,7 @@
 // ends.
 func (r *Router) register(ctx context.Context) error {
 	own := Member{ID: r.options.Self, Address: r.options.PeerAddress}
-	written := retryUntilSuccess(ctx, func(ctx context.Context) error { return r.options.Members.Register(ctx, own) },
+	written := retryUntilSuccess(ctx, func(ctx context.Context) error { return r.options.MemberStore.Register(ctx, own) },
 		func(err error) { r.options.Log.Warn("not registered", "error", err) })
 	if written {
 		r.options.Log.Info("registered", "address", own.Address)
@@ -206,6 +206,6 @@
 func (r *Router) withdraw() {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
-	err := r.options.Members.Withdraw(ctx, r.options.Self)
+	err := r.options.MemberStore.Withdraw(ctx, r.options.Self)
 	r.options.Log.Info("withdrawn", "error", err)
 }
--- a/deployment/mesh.go
+++ b/deployment/mesh.go
@@ -46,17 +46,17 @@
 type mesh struct {
 	state *State
 	peers *peer.Peers
-	homes *home.Homes
+	homes *home.Coordinator
 	// group decides whether this router follows the store on behalf of others.
 	group *follow.Group
 	// overload detects a shortage of processor time by how long goroutines wait to run.
 	overload   overload.Detector
-	scheduling overload.Scheduling
+	scheduling overload.SchedulingLatency
 	// latency is the latest measured scheduling latency in nanoseconds.
 	latency atomic.Int64
 	shedder overload.Shedder[fleet.AccountID]
 	// acceptQueue measures the queue of connections that wait to be accepted.
-	acceptQueue overload.Standing
+	acceptQueue overload.StandingQueue
 	// requestsInFlight returns the number of callers' requests in flight; nil if unknown.
 	requestsInFlight func() int
 	// crashMonitor finds requests that crash upstreams, and quarantinePersister stores its
@@ -82,7 +82,7 @@
 // newMesh returns a mesh. checkReachable returns an error if an upstream can't be reached.
 func newMesh(state *State, options peer.Options, checkReachable func(ctx context.Context, address string) error) *mesh {
 	m := &mesh{state: state, peers: peer.New(options), log: options.Logger}
-	m.homes = &home.Homes{Self: options.Self, Send: m.peers.Send, Pool: state.Pool, Log: options.Logger, Guard: options.Guard}
+	m.homes = &home.Coordinator{Self: options.Self, Send: m.peers.Send, Pool: state.Pool, Log: options.Logger, Guard: options.Guard}
 	m.group = &follow.Group{Self: options.Self}
 	m.crashMonitor = crashMonitor{
 		self: options.Self, otherRouters: m.peers.Routers, send: m.peers.Send, upstreamEntry: state.Upstream, checkReachable: checkReachable,
@@ -105,10 +105,10 @@
 
 // announcement returns the versions that this router holds and its relation to the store.
 func (m *mesh) announcement() *schema.Announcement {
-	own := m.group.Own()
+	own := m.group.OwnStatus()
 	return &schema.Announcement{
 		ConfigurationVersion: m.configurationVersion(), UpstreamRevision: m.upstreamRevision(),
-		Follows: own.Follows, StoreLost: own.Lost,
+		Follows: own.Follows, StoreLost: own.StoreLost,
 	}
 }
 
@@ -125,7 +125,7 @@
 // announceUpdate announces an update that has taken effect here. A router that doesn't follow
 // the store doesn't announce updates from other routers, which have announced them to all.
 func (m *mesh) announceUpdate(source string) {
-	if source == storeSource || m.group.Rest() == 0 {
+	if source == storeSource || m.group.PollInterval() == 0 {
 		m.announce()
 	}
 }
@@ -149,7 +149,7 @@
 // updateFollowersLostStore records whether any router that follows the store can read it. While
 // none can, entries that vanish may return.
 func (m *mesh) updateFollowersLostStore() {
-	lost := m.group.IsBlind()
+	lost := m.group.FollowersLostStore()
 	m.mu.Lock()
 	changed := m.followersLostStore != lost
 	m.followersLostStore = lost
@@ -171,9 +171,9 @@
 	routers := m.peers.Routers()
 	m.homes.SetRouters(routers)
 	m.group.SetRouters(routers)
-	m.state.setGrouped(m.homes.Decide())
+	m.state.setGrouped(m.homes.IsActive())
 	if !c.Connected {
-		m.homes.Lost(c.Router)
+		m.homes.HandleDisconnect(c.Router)
 		m.configurationPuller.forget(c.Router)
 		m.upstreamPuller.forget(c.Router)
 		return
@@ -187,12 +187,12 @@
 
 // receive handles a batch of messages from another router.
 func (m *mesh) receive(from fleet.RouterID, batch *schema.Batch) {
-	m.homes.Hear(from, batch)
+	m.homes.HandleBatch(from, batch)
 	m.crashMonitor.receive(from, batch)
 	if a := batch.GetAnnouncement(); a != nil {
 		m.handleAnnouncement(from, a)
 	}
-	if m.homes.Decide() {
+	if m.homes.IsActive() {
 		return // the reports were sent before the fleet became large
 	}
 	for _, work := range batch.GetLoads() {
@@ -201,7 +201,7 @@
 }
 
 func (m *mesh) handleAnnouncement(from fleet.RouterID, a *schema.Announcement) {
-	m.group.Hear(from, follow.Standing{Follows: a.GetFollows(), Lost: a.GetStoreLost()})
+	m.group.SetPeerStatus(from, follow.Status{Follows: a.GetFollows(), StoreLost: a.GetStoreLost()})
 	m.updateFollowersLostStore()
 	m.configurationPuller.handleAnnouncement(from, a.GetConfigurationVersion(), m.pullDelay())
 	m.upstreamPuller.handleAnnouncement(from, a.GetUpstreamRevision(), m.pullDelay())
@@ -214,7 +214,7 @@
 // announceIfGrouped announces newer versions to a router that announced older ones. In a
 // small fleet, each router has already announced them to all.
 func (m *mesh) announceIfGrouped(router fleet.RouterID, own *schema.Announcement) {
-	if m.homes.Decide() {
+	if m.homes.IsActive() {
 		m.peers.Send(router, &schema.Batch{Announcement: own})
 	}
 }
@@ -222,7 +222,7 @@
 // pullDelay returns how long to wait for an announced update to arrive from the store. A
 // router that doesn't follow the store asks another router after a short random delay.
 func (m *mesh) pullDelay() time.Duration {
-	if m.group.Rest() > 0 {
+	if m.group.PollInterval() > 0 {
 		return rand.N(maxNonFollowerPullDelay)
 	}
 	return followerPullDelay
@@ -243,12 +243,12 @@
 		select {
 		case <-gossipTicker.C:
 			m.logAdmission()
-			if m.homes.Decide() {
+			if m.homes.IsActive() {
 				m.gossip()
 			}
 		case now := <-reportTimer.C:
 			m.checkOverload(now)
-			if !m.homes.Decide() {
+			if !m.homes.IsActive() {
 				m.report(now, m.peers.Routers())
 			}
 			reportTimer.Reset(reportInterval)
@@ -265,7 +265,7 @@
 	m.latency.Store(int64(latency))
 	// A queue that is non-empty for long may still be short, so it counts as a moderate wait
 	// at most.
-	wait := max(latency, min(m.acceptQueue.For(now), maxQueueWait))
+	wait := max(latency, min(m.acceptQueue.Duration(now), maxQueueWait))
 	if m.shedder.Observe(now, wait) {
 		m.log.Warn("shedding changed", "shedding", m.shedder.IsShedding(), "wait-ms", wait.Milliseconds())
 	}
@@ -279,7 +279,7 @@
 		return
 	}
 	m.log.Warn("overload changed", "overloaded", m.overload.IsOverloaded(), "wait-ms", wait.Milliseconds(),
-		"mean-wait-ms", m.overload.Wait().Milliseconds())
+		"mean-wait-ms", m.overload.MeanWait().Milliseconds())
 }
 
 // schedulingLatency returns the latest wait for the processor that one goroutine in ten
@@ -293,8 +293,8 @@
 		return
 	}
 	m.log.Info("admission limited", "rate", admission.Rate, "requests", admission.Requests, "admitted", admission.Admitted,
-		"in-hand", m.requestsInFlight(), "queue-ms", m.acceptQueue.For(time.Now()).Milliseconds(),
-		"mean-wait-ms", m.overload.Wait().Milliseconds(), "memory-mb", overload.Memory()>>20)
+		"in-hand", m.requestsInFlight(), "queue-ms", m.acceptQueue.Duration(time.Now()).Milliseconds(),
+		"mean-wait-ms", m.overload.MeanWait().Milliseconds(), "memory-mb", overload.Memory()>>20)
 }
 
 // report sends a load report if it differs from the last one or the last one is old.
--- a/deployment/mesh_test.go
+++ b/deployment/mesh_test.go
@@ -78,7 +78,7 @@
 // connect connects the node to other routers by their addresses.
 func (n *node) connect(t *testing.T, addresses map[fleet.RouterID]string) {
 	t.Helper()
-	n.mesh.Peers().Target(addresses)
+	n.mesh.Peers().SetTargets(addresses)
 	require.Eventually(t, func() bool { return len(n.mesh.Peers().Routers()) == len(addresses) }, 5*time.Second, time.Millisecond)
 }
 
--- a/deployment/quarantines.go
+++ b/deployment/quarantines.go
@@ -8,9 +8,9 @@
 	"nutmeglock.example/nutmeglock/quarantine"
 )
 
-// Quarantines stores at the platform which requests are refused because they crash upstreams,
+// QuarantineStore stores at the platform which requests are refused because they crash upstreams,
 // so that they are still refused after all routers have restarted.
-type Quarantines interface {
+type QuarantineStore interface {
 	// Load returns the stored entries.
 	Load(ctx context.Context) ([]quarantine.Entry, error)
 	// Save stores an entry and replaces an earlier one for the same request.
@@ -25,13 +25,13 @@
 // quarantinePersister loads the stored quarantine entries when the router starts, and stores the
 // verdicts of this router.
 type quarantinePersister struct {
-	store    Quarantines
-	tracker  *quarantine.Watch
+	store    QuarantineStore
+	tracker  *quarantine.Tracker
 	log      *slog.Logger
 	verdicts chan quarantine.Verdict
 }
 
-func (p *quarantinePersister) setUp(store Quarantines, tracker *quarantine.Watch, log *slog.Logger) {
+func (p *quarantinePersister) setUp(store QuarantineStore, tracker *quarantine.Tracker, log *slog.Logger) {
 	p.store = store
 	p.tracker = tracker
 	p.log = log
@@ -41,7 +41,7 @@
 // enqueue queues a verdict of this router to be stored. It doesn't block: if the queue is full,
 // the verdict isn't stored.
 func (p *quarantinePersister) enqueue(v quarantine.Verdict) {
-	if p.verdicts == nil || v.Standing == quarantine.Suspected {
+	if p.verdicts == nil || v.Status == quarantine.Suspected {
 		return
 	}
 	select {
@@ -86,8 +86,8 @@
 }
 
 func (p *quarantinePersister) save(ctx context.Context, v quarantine.Verdict) error {
-	if v.Standing == quarantine.Unremarkable {
+	if v.Status == quarantine.NotSuspected {
 		return p.store.Drop(ctx, v.Request)
 	}
-	return p.store.Save(ctx, quarantine.Entry{Request: v.Request, Until: time.Now().Add(v.Left), Term: v.Term})
+	return p.store.Save(ctx, quarantine.Entry{Request: v.Request, Until: time.Now().Add(v.Remaining), Term: v.Term})
 }
--- a/deployment/router.go
+++ b/deployment/router.go
@@ -66,13 +66,13 @@
 	MetricsAddress string
 	// ReadyPath is the path of the balancer's readiness check.
 	ReadyPath string
-	Dialect   forward.Dialect
-	// Echoed returns the request ID that an upstream's answer carries, empty if it has none.
-	Echoed         func(http.Header) fleet.RequestID
-	Configurations follow.Feed[route.Configuration, registry.Revision]
-	Upstreams      follow.Feed[registry.Change, registry.Revision]
-	Members        Members
-	Quarantines    Quarantines
+	Codec     forward.HeaderCodec
+	// EchoedID returns the request ID that an upstream's answer carries, empty if it has none.
+	EchoedID          func(http.Header) fleet.RequestID
+	ConfigurationFeed follow.Feed[route.Configuration, registry.Revision]
+	UpstreamFeed      follow.Feed[registry.Change, registry.Revision]
+	MemberStore       MemberStore
+	QuarantineStore   QuarantineStore
 	// PeerAddress is the address that other routers connect to. FleetKey is the shared key by
 	// which routers authenticate each other as members of one fleet.
 	PeerAddress string
@@ -81,15 +81,15 @@
 	// retries of the whole fleet beyond that.
 	RetryRatio float64
 	RetryBurst float64
-	// Recovery is the time after a disturbance of the store within which its updates have to
+	// RecoveryTime is the time after a disturbance of the store within which its updates have to
 	// be in force; zero means follow.DefaultRecovery.
-	Recovery time.Duration
+	RecoveryTime time.Duration
 	// MaxConnections is the number of callers' connections above which each answer closes its
 	// connection.
 	MaxConnections int
-	// Grace is the time from the request to stop until the process has to end.
-	Grace time.Duration
-	Log   *slog.Logger
+	// StopGrace is the time from the request to stop until the process has to end.
+	StopGrace time.Duration
+	Log       *slog.Logger
 }
 
 // Router serves the callers of a deployment. Create it with New.
@@ -127,24 +127,24 @@
 	processMetrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	r := &Router{options: options, metricsHandler: metric.Handler(routerMetrics, processMetrics), metrics: metric.New(routerMetrics), startedAt: time.Now(), registered: make(chan struct{})}
 	r.failures = make(chan error, 1)
-	r.guard = &recovery.Guard{Log: logging.WithPriority(options.Log, logging.Panic), Count: r.metrics.Panics.Inc, End: r.fail}
+	r.guard = &recovery.Guard{Log: logging.WithPriority(options.Log, logging.Panic), OnPanic: r.metrics.Panics.Inc, Shutdown: r.fail}
 	r.state = NewState(StateOptions{
 		DataCenter: options.DataCenter, RetryRatio: options.RetryRatio, RetryBurst: options.RetryBurst, Log: options.Log,
 		Guard: r.guard, OnChange: r.handleStateChange,
 	})
-	r.client = &upstream.Client{Echoed: options.Echoed, Opened: r.metrics.Connections.Inc}
+	r.client = &upstream.Client{EchoedID: options.EchoedID, OnOpen: r.metrics.UpstreamConnections.Inc}
 	r.handler = &forward.Handler{
-		Dialect: options.Dialect, State: r.state, Client: r.client, Metrics: r.metrics,
-		Log: logging.WithPriority(options.Log, logging.Failure), Routine: logging.WithPriority(options.Log, logging.Request),
-		Crowded: r.shouldCloseConnections, Guard: r.guard,
+		Codec: options.Codec, State: r.state, Client: r.client, Metrics: r.metrics,
+		Log: logging.WithPriority(options.Log, logging.Failure), RoutineLog: logging.WithPriority(options.Log, logging.Request),
+		TooManyConnections: r.shouldCloseConnections, Guard: r.guard,
 	}
 	if err := r.connectPeers(ctx); err != nil {
 		return nil, err
 	}
-	r.mesh.requestsInFlight = r.handler.InHand
-	r.handler.Takes = r.mesh.shedder.Takes
-	r.handler.Shed = r.mesh.homes.Shed
-	r.handler.Latency = r.mesh.schedulingLatency
+	r.mesh.requestsInFlight = r.handler.InFlight
+	r.handler.HasCapacity = r.mesh.shedder.Admit
+	r.handler.OnShed = r.mesh.homes.AddShed
+	r.handler.SchedulingLatency = r.mesh.schedulingLatency
 	r.handler.Quarantine = &r.mesh.crashMonitor
 	r.addFollowers()
 	return r, r.listen(ctx)
@@ -184,14 +184,14 @@
 		Self: r.options.Self, DataCenter: r.options.DataCenter, Incarnation: fleet.IncarnationAt(time.Now()),
 		Address: r.options.PeerAddress, Key: r.options.FleetKey, Listener: listener,
 		Metrics: r.metrics, Logger: r.options.Log, Guard: r.guard, MaxBackoff: maxPeerBackoff,
-	}, r.client.Check)
-	r.mesh.quarantinePersister.setUp(r.options.Quarantines, &r.mesh.crashMonitor.tracker, r.options.Log)
+	}, r.client.CheckReachable)
+	r.mesh.quarantinePersister.setUp(r.options.QuarantineStore, &r.mesh.crashMonitor.tracker, r.options.Log)
 	members := &memberSink{self: r.options.Self, peers: r.mesh.peers, state: r.state}
 	r.mesh.peers.OnChange(members.handleConnectionChange)
-	memberList := &memberFollower{startedAt: r.startedAt, isLarge: r.mesh.homes.Decide, registered: r.registered}
+	memberList := &memberFollower{startedAt: r.startedAt, isLarge: r.mesh.homes.IsActive, registered: r.registered}
 	memberList.Follower = follow.Follower[Member, registry.Revision]{
-		Name: "routers", Feed: r.options.Members, Sink: members, Log: r.options.Log,
-		Wait: memberPollWait, Rest: memberList.pollInterval,
+		Name: "routers", Feed: r.options.MemberStore, Sink: members, Log: r.options.Log,
+		Wait: memberPollWait, PollInterval: memberList.pollInterval,
 	}
 	r.actors = append(r.actors,
 		actor{"router connections", r.mesh.peers.Run}, actor{"reports", r.mesh.Run},
@@ -202,12 +202,12 @@
 // addFollowers adds the actors that keep the state up to date, and those that run periodically.
 func (r *Router) addFollowers() {
 	configurations := &follow.Follower[route.Configuration, registry.Revision]{
-		Name: "configuration", Feed: r.options.Configurations, Sink: configurationSink{r.state}, Log: r.options.Log,
-		Wait: follow.WaitFor(r.options.Recovery), Rest: r.pollInterval,
+		Name: "configuration", Feed: r.options.ConfigurationFeed, Sink: configurationSink{r.state}, Log: r.options.Log,
+		Wait: follow.MaxWait(r.options.RecoveryTime), PollInterval: r.pollInterval,
 	}
 	upstreams := &follow.Follower[registry.Change, registry.Revision]{
-		Name: "upstreams", Feed: r.options.Upstreams, Sink: upstreamSink{r.state, r.mesh}, Log: r.options.Log,
-		Wait: follow.WaitFor(r.options.Recovery), Rest: r.pollInterval,
+		Name: "upstreams", Feed: r.options.UpstreamFeed, Sink: upstreamSink{r.state, r.mesh}, Log: r.options.Log,
+		Wait: follow.MaxWait(r.options.RecoveryTime), PollInterval: r.pollInterval,
 	}
 	r.actors = append(r.actors,
 		actor{"configuration follower", configurations.Run},
@@ -224,7 +224,7 @@
 	if r.state.Ready() && time.Since(r.startedAt) < startupPollInterval {
 		return startupPollInterval
 	}
-	return r.mesh.group.Rest()
+	return r.mesh.group.PollInterval()
 }
 
 func (r *Router) listen(ctx context.Context) error {
@@ -238,7 +238,7 @@
 	for _, l := range []struct {
 		name, address string
 		server        *http.Server
-		acceptQueue   *overload.Standing
+		acceptQueue   *overload.StandingQueue
 	}{
 		{"callers", r.options.CallerAddress, callers, &r.mesh.acceptQueue},
 		{"readiness", r.options.ReadyAddress, r.newServer(readiness), nil},
@@ -255,7 +255,7 @@
 
 // openListener listens on an address. If acceptQueue isn't nil, requests in flight take
 // precedence over new connections.
-func openListener(ctx context.Context, address string, acceptQueue *overload.Standing) (net.Listener, error) {
+func openListener(ctx context.Context, address string, acceptQueue *overload.StandingQueue) (net.Listener, error) {
 	listener, err := (&net.ListenConfig{KeepAlive: keepAliveDisabled}).Listen(ctx, "tcp", address)
 	if err != nil || acceptQueue == nil {
 		return listener, err
@@ -368,7 +368,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cutOffTime)
 	defer cancel()
 	if err := r.handler.Wait(ctx); err != nil {
-		r.options.Log.Warn("requests still in flight", "in-hand", r.handler.InHand(), "error", err)
+		r.options.Log.Warn("requests still in flight", "in-hand", r.handler.InFlight(), "error", err)
 	}
 }
 
--- a/deployment/state.go
+++ b/deployment/state.go
@@ -39,7 +39,7 @@
 	directory     registry.Directory
 	pools         map[fleet.ServiceID]*turn.Pool
 	// homes grant the turns in a large fleet; nil until the mesh is created.
-	homes *home.Homes
+	homes *home.Coordinator
 	// grouped is set while homes grant the turns, for which upstreams are divided into groups.
 	grouped      bool
 	retryBudgets map[fleet.ServiceID]*retry.Budget
@@ -86,15 +86,15 @@
 
 // Turn waits for a request's turn at a service. It returns *turn.RefusedError if the turn
 // can't come in time, or the error of ctx.
-func (s *State) Turn(ctx context.Context, service fleet.ServiceID, demand turn.Demand) (home.Ticket, error) {
+func (s *State) Turn(ctx context.Context, service fleet.ServiceID, demand turn.Request) (home.Ticket, error) {
 	pool := s.Pool(service)
 	switch {
 	case pool == nil:
 		return nil, &turn.RefusedError{NoUpstream: true, RetryAfter: unknownServiceRetryAfter}
 	case s.homes == nil:
-		return home.Await(ctx, pool, demand)
+		return home.AwaitLocal(ctx, pool, demand)
 	}
-	return s.homes.Turn(ctx, service, pool, demand)
+	return s.homes.RequestTurn(ctx, service, pool, demand)
 }
 
 // setGrouped sets whether homes grant the turns.
@@ -136,13 +136,13 @@
 	defer s.mu.Unlock()
 	s.routerCount = max(count, 1)
 	for _, budget := range s.retryBudgets {
-		budget.Resize(s.options.RetryBurst / float64(s.routerCount))
+		budget.SetBurst(s.options.RetryBurst / float64(s.routerCount))
 	}
 }
 
 // Ready reports whether the router can serve, that is, knows a configuration and the list of
 // upstreams.
-func (s *State) Ready() bool { return s.Table() != nil && s.directory.Known() }
+func (s *State) Ready() bool { return s.Table() != nil && s.directory.IsLoaded() }
 
 // Configure puts a configuration in force if it is newer than the current one, and reports
 // whether it did. An older one may arrive late in a slow reply or from another router;
@@ -187,17 +187,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.applyChanges(s.directory.Receive(time.Now(), changes, complete), source)
+	s.applyChanges(s.directory.ApplyFromPeer(time.Now(), changes, complete), source)
 }
 
 // SettledRevision returns the revision up to which all changes have taken effect here.
-func (s *State) SettledRevision() registry.Revision { return s.directory.Settled() }
+func (s *State) SettledRevision() registry.Revision { return s.directory.SettledRevision() }
 
 // SetUpstreamsUnavailable records that the list of upstreams can't be read.
 func (s *State) SetUpstreamsUnavailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directory.Lost()
+	s.directory.SetUnavailable()
 }
 
 // SetUpstreamsAvailable records that the list of upstreams can be read again. Entries that
@@ -205,13 +205,13 @@
 func (s *State) SetUpstreamsAvailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directory.Regained(time.Now())
+	s.directory.SetAvailable(time.Now())
 	s.scheduleRemoval()
 }
 
 // scheduleRemoval schedules removeDue for when the first lapsed entry is due, if there is one.
 func (s *State) scheduleRemoval() {
-	if due, ok := s.directory.Due(); ok {
+	if due, ok := s.directory.NextRemoval(); ok {
 		time.AfterFunc(time.Until(due)+time.Millisecond, func() { s.options.Guard.RunControl(s.removeDue) })
 	}
 }
@@ -220,7 +220,7 @@
 func (s *State) removeDue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.applyChanges(s.directory.Settle(time.Now()), "lapsed in an outage")
+	s.applyChanges(s.directory.RemoveDue(time.Now()), "lapsed in an outage")
 	s.scheduleRemoval()
 }
 
@@ -231,8 +231,8 @@
 	}
 	for _, c := range changes {
 		s.options.Log.Info("upstream changed", "upstream", c.Upstream.ID, "service", c.Upstream.Service,
-			"address", c.Upstream.Address, "life", c.Upstream.Life, "draining", c.Upstream.Draining,
-			"gone", c.Gone, "revision", c.Revision, "from", source)
+			"address", c.Upstream.Address, "life", c.Upstream.StartTime, "draining", c.Upstream.Draining,
+			"gone", c.Removed, "revision", c.Revision, "from", source)
 	}
 	s.refreshPools(time.Now())
 	s.notify(source)
@@ -260,11 +260,11 @@
 		for i := range upstreams {
 			s.readyAddresses[upstreams[i].Address] = true
 		}
-		pool.Set(now, upstreams, table.FirstEventTarget(service))
+		pool.SetUpstreams(now, upstreams, table.FirstEventTarget(service))
 	}
 	for service, pool := range s.pools {
 		if len(ready[service]) == 0 {
-			pool.Set(now, nil, table.FirstEventTarget(service))
+			pool.SetUpstreams(now, nil, table.FirstEventTarget(service))
 		}
 	}
 }
@@ -285,7 +285,7 @@
 }
 
 func (s *State) logOutlier(u registry.Upstream) {
-	s.options.Log.Warn("upstream taken out", "upstream", u.ID, "service", u.Service, "address", u.Address, "life", u.Life)
+	s.options.Log.Warn("upstream taken out", "upstream", u.ID, "service", u.Service, "address", u.Address, "life", u.StartTime)
 }
 
 // HasAddress reports whether address is that of an upstream that takes requests.
--- a/deployment/state_test.go
+++ b/deployment/state_test.go
@@ -23,8 +23,8 @@
 	return route.Configuration{
 		Version: version,
 		Routes: []route.Route{{
-			Name: "r", Host: "h", Prefix: "/a/", Kind: route.Streaming, Timeout: 12 * time.Second, Target: 800 * time.Millisecond,
-			MaxPause: 300 * time.Millisecond, Attempts: 2, Resumable: true, Cached: true, Shares: []route.Share{{Service: "s", Weight: 90}},
+			Name: "r", Host: "h", Prefix: "/a/", Kind: route.Streaming, Timeout: 12 * time.Second, LatencyTarget: 800 * time.Millisecond,
+			MaxPause: 300 * time.Millisecond, MaxAttempts: 2, Resumable: true, PromptCaching: true, Shares: []route.Share{{Service: "s", Weight: 90}},
 		}},
 		Services: []route.Service{{ID: "s", MaxConnections: 360, Slots: 64, CacheTokens: 664_478}},
 		Accounts: []route.Account{{ID: "ada", Keys: []string{"k1", "k2"}}},
@@ -56,8 +56,8 @@
 	c := testConfiguration(7)
 	require.Equal(t, c, deployment.DecodeConfiguration(deployment.EncodeConfiguration(c)))
 	change := registry.Change{
-		Upstream: registry.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", DataCenter: "z", Slots: 8, Life: 1782775556021, Draining: true},
-		Revision: 40, Gone: true,
+		Upstream: registry.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", DataCenter: "z", Slots: 8, StartTime: 1782775556021, Draining: true},
+		Revision: 40, Removed: true,
 	}
 	require.Equal(t, change, registry.Decode(registry.Encode(change)))
 }
--- a/deployment/work.go
+++ b/deployment/work.go
@@ -36,13 +36,13 @@
 	w := &schema.ServiceWork{Service: hashID(id)}
 	for key, load := range report.Upstreams {
 		w.Upstreams = append(w.Upstreams, &schema.UpstreamWork{
-			Upstream: uint32(key), Unread: uint32(max(load.Unread, 0)), InFlight: uint32(max(load.InFlight, 0)),
-			Waiting: uint32(max(load.Waiting, 0)), Read: load.Read,
+			Upstream: uint32(key), Unread: uint32(max(load.PendingPrefill, 0)), InFlight: uint32(max(load.InFlight, 0)),
+			Waiting: uint32(max(load.WaitingTokens, 0)), Read: load.NewPrefixes,
 		})
 	}
 	for key, account := range report.Accounts {
 		w.Accounts = append(w.Accounts, &schema.AccountService{
-			Account: uint32(key), Tokens: uint32(account.Served), Waiting: uint32(max(account.Waiting, 0)), Denied: uint32(account.Denied),
+			Account: uint32(key), Tokens: uint32(account.Served), Waiting: uint32(max(account.WaitingTokens, 0)), Denied: uint32(account.Refused),
 			Shed: uint32(account.Shed),
 		})
 	}
@@ -55,7 +55,7 @@
 func (s *State) observeServiceWork(from fleet.RouterID, w *schema.ServiceWork) {
 	for id, pool := range s.Pools() {
 		if hashID(id) == w.GetService() {
-			pool.Observe(time.Now(), from, decodeReport(w))
+			pool.ApplyReport(time.Now(), from, decodeReport(w))
 			return
 		}
 	}
@@ -64,16 +64,16 @@
 func decodeReport(w *schema.ServiceWork) turn.Report {
 	r := turn.Report{
 		Upstreams: make(map[turn.Key]turn.Load, len(w.GetUpstreams())),
-		Accounts:  make(map[turn.Key]turn.Standing, len(w.GetAccounts())),
+		Accounts:  make(map[turn.Key]turn.Usage, len(w.GetAccounts())),
 	}
 	for _, u := range w.GetUpstreams() {
 		r.Upstreams[turn.Key(u.GetUpstream())] = turn.Load{
-			Unread: int(u.GetUnread()), InFlight: int(u.GetInFlight()), Waiting: int(u.GetWaiting()), Read: u.GetRead(),
+			PendingPrefill: int(u.GetUnread()), InFlight: int(u.GetInFlight()), WaitingTokens: int(u.GetWaiting()), NewPrefixes: u.GetRead(),
 		}
 	}
 	for _, a := range w.GetAccounts() {
-		r.Accounts[turn.Key(a.GetAccount())] = turn.Standing{
-			Served: float64(a.GetTokens()), Waiting: int(a.GetWaiting()), Denied: float64(a.GetDenied()), Shed: float64(a.GetShed()),
+		r.Accounts[turn.Key(a.GetAccount())] = turn.Usage{
+			Served: float64(a.GetTokens()), WaitingTokens: int(a.GetWaiting()), Refused: float64(a.GetDenied()), Shed: float64(a.GetShed()),
 		}
 	}
 	return r
@@ -82,7 +82,7 @@
 // knowledgeAfter returns the changes of the list of upstreams after a revision, and the revision
 // up to which they are complete.
 func (s *State) knowledgeAfter(after registry.Revision) *schema.Knowledge {
-	out := &schema.Knowledge{UpstreamRevision: uint64(s.directory.Settled())}
+	out := &schema.Knowledge{UpstreamRevision: uint64(s.directory.SettledRevision())}
 	for _, c := range s.directory.Changes() {
 		if c.Revision > after {
 			out.Upstreams = append(out.Upstreams, registry.Encode(c))
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -11,21 +11,21 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Work describes a request that waits for a slot.
-type Work struct {
-	Request fleet.RequestID
+// Request describes a request that waits for a slot.
+type Request struct {
+	ID      fleet.RequestID
 	Account *schema.Account
 	Service *schema.Service
 	// Estimate is the expected cost. The actual cost is known only when the
 	// request ends.
 	Estimate fleet.Tokens
-	// Prefix holds the ids of the prompt's prefixes, each one block longer than the
+	// Prefixes holds the ids of the prompt's prefixes, each one block longer than the
 	// one before, for cache affinity. It is empty for plain services.
-	Prefix []uint64
+	Prefixes []uint64
 	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// Avoid lists the upstreams at which earlier attempts failed.
-	Avoid []fleet.UpstreamID
+	// AvoidedUpstreams lists the upstreams at which earlier attempts failed.
+	AvoidedUpstreams []fleet.UpstreamID
 }
 
 // Result is the outcome of an attempt at an upstream.
@@ -44,25 +44,25 @@
 	Unused
 )
 
-// Done is the report with which the holder of a slot releases it.
-type Done struct {
+// Completion is the report with which the holder of a slot releases it.
+type Completion struct {
 	Result Result
 	// Cost is the total cost of the request in weighted tokens.
 	Cost fleet.Tokens
-	// FirstToken is the time from sending the request to the first byte of the
+	// FirstTokenLatency is the time from sending the request to the first byte of the
 	// answer, zero if there was no answer.
-	FirstToken time.Duration
+	FirstTokenLatency time.Duration
 }
 
 // Slot is the permission to have one request in flight at an upstream.
 type Slot interface {
 	// Upstream returns the upstream to send the request to.
 	Upstream() *schema.Upstream
-	// Progress reports the cost of the request so far, so that a long answer is
+	// ReportCost reports the cost of the request so far, so that a long answer is
 	// charged while it streams. It does not block.
-	Progress(cost fleet.Tokens)
-	// Done releases the slot. It must be called once and does not block.
-	Done(done Done)
+	ReportCost(cost fleet.Tokens)
+	// Release releases the slot. It must be called once and does not block.
+	Release(done Completion)
 }
 
 // Source grants slots to requests.
@@ -70,5 +70,5 @@
 	// Acquire waits until the request is granted a slot. It returns a
 	// *refusal.Error at once if the request can't be served in time, and one of
 	// reason caller-gone if ctx ends.
-	Acquire(ctx context.Context, work Work) (Slot, error)
+	Acquire(ctx context.Context, work Request) (Slot, error)
 }
--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -30,12 +30,12 @@
 	sentAt time.Time
 }
 
-// Ask replaces the demand of an account at a router. Through is the highest id of
+// HandleAsk replaces the demand of an account at a router. Through is the highest id of
 // this dispatcher's grants that the router had received, so that a request is
 // not granted a second slot while the first grant is in transit.
-func (d *Dispatcher[O, L, P]) Ask(now time.Time, from fleet.RouterID, through GrantID, message *schema.Ask) {
-	account := fleet.Number(message.GetAccount())
-	s := d.service(fleet.Number(message.GetService()))
+func (d *Dispatcher[O, L, P]) HandleAsk(now time.Time, from fleet.RouterID, through GrantID, message *schema.Ask) {
+	account := fleet.ShortID(message.GetAccount())
+	s := d.service(fleet.ShortID(message.GetService()))
 	demand := s.demands[account]
 	if demand == nil {
 		demand = &accountDemand{asks: make(map[fleet.RouterID]*ask)}
@@ -73,20 +73,20 @@
 }
 
 // updateOrder passes the current demand of an account to the service's order.
-func (d *Dispatcher[O, L, P]) updateOrder(s *service[O, L], account fleet.Number, demand *accountDemand) {
-	total := share.Waiting{Weight: max(1, d.options.Weight(account)), Asked: 1}
+func (d *Dispatcher[O, L, P]) updateOrder(s *service[O, L], account fleet.ShortID, demand *accountDemand) {
+	total := share.Backlog{Weight: max(1, d.options.Weight(account)), Dispatchers: 1}
 	for _, a := range demand.asks {
 		if a.waiting == 0 {
 			continue
 		}
-		if total.Requests == 0 || a.oldestSince.Before(total.Since) {
-			total.Since = a.oldestSince
+		if total.Requests == 0 || a.oldestSince.Before(total.OldestSince) {
+			total.OldestSince = a.oldestSince
 			total.Estimate = a.estimate
 		}
 		total.Requests += a.waiting
-		total.Asked = max(total.Asked, a.dispatchers)
+		total.Dispatchers = max(total.Dispatchers, a.dispatchers)
 	}
-	s.order.Wait(account, total)
+	s.order.SetBacklog(account, total)
 	if len(demand.asks) == 0 {
 		delete(s.demands, account)
 	}
@@ -117,8 +117,8 @@
 	a.unseenGrants = append(a.unseenGrants, sentGrant{id, now})
 }
 
-// Unmet reports whether requests for a service are waiting at this dispatcher.
-func (d *Dispatcher[O, L, P]) Unmet(service fleet.Number) bool {
+// HasWaiting reports whether requests for a service are waiting at this dispatcher.
+func (d *Dispatcher[O, L, P]) HasWaiting(service fleet.ShortID) bool {
 	s := d.services[service]
 	if s == nil {
 		return false
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -43,15 +43,15 @@
 )
 
 // Options configure a Dispatcher. O, L and P are the types of its policies.
-type Options[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy] struct {
-	// Order returns a new policy for the order of a service's accounts.
-	Order func() O
+type Options[O share.Policy[fleet.ShortID], L inflight.Limiter, P placement.Policy] struct {
+	// SharePolicy returns a new policy for the order of a service's accounts.
+	SharePolicy func() O
 	// Limiter returns a new limiter for an upstream with that number of slots.
 	Limiter func(slots int) L
 	// Placement selects among the upstreams with a free slot.
 	Placement P
 	// Weight returns the weight of an account; nil means 1 for all.
-	Weight func(account fleet.Number) uint32
+	Weight func(account fleet.ShortID) uint32
 	// Warmup gradually raises the limit of an upstream that joins or recovers.
 	Warmup bool
 	// Nonce distinguishes the grant ids of this dispatcher from those of others.
@@ -69,17 +69,17 @@
 type Grant struct {
 	To       fleet.RouterID
 	ID       GrantID
-	Account  fleet.Number
-	Upstream fleet.Number
-	// Begin asks the router to report the beginning of the answer.
-	Begin bool
+	Account  fleet.ShortID
+	Upstream fleet.ShortID
+	// ReportBegin asks the router to report the beginning of the answer.
+	ReportBegin bool
 }
 
 // Dispatcher grants slots. It is not safe for concurrent use.
-type Dispatcher[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy] struct {
+type Dispatcher[O share.Policy[fleet.ShortID], L inflight.Limiter, P placement.Policy] struct {
 	options     Options[O, L, P]
-	services    map[fleet.Number]*service[O, L]
-	upstreams   map[fleet.Number]*upstream[L]
+	services    map[fleet.ShortID]*service[O, L]
+	upstreams   map[fleet.ShortID]*upstream[L]
 	grants      map[grantKey]*grant
 	grantCount  uint64
 	lastCharged time.Time
@@ -92,15 +92,15 @@
 	id     GrantID
 }
 
-type service[O share.Order[fleet.Number], L inflight.Limiter] struct {
+type service[O share.Policy[fleet.ShortID], L inflight.Limiter] struct {
 	order     O
-	demands   map[fleet.Number]*accountDemand
+	demands   map[fleet.ShortID]*accountDemand
 	upstreams []*upstream[L]
 }
 
 type upstream[L inflight.Limiter] struct {
-	number        fleet.Number
-	service       fleet.Number
+	number        fleet.ShortID
+	service       fleet.ShortID
 	slots         int
 	limiter       L
 	warmup        *warmup.Ramp // nil without warm-up
@@ -113,9 +113,9 @@
 }
 
 type grant struct {
-	account         fleet.Number
-	service         fleet.Number
-	upstream        fleet.Number
+	account         fleet.ShortID
+	service         fleet.ShortID
+	upstream        fleet.ShortID
 	grantedAt       time.Time
 	charged         fleet.Tokens
 	estimate        fleet.Tokens // outstanding in the order until the request ends
@@ -127,7 +127,7 @@
 }
 
 // New returns a Dispatcher without upstreams.
-func New[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) *Dispatcher[O, L, P] {
+func New[O share.Policy[fleet.ShortID], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) *Dispatcher[O, L, P] {
 	if options.TakeoverWait <= 0 {
 		options.TakeoverWait = DefaultTakeoverWait
 	}
@@ -138,12 +138,12 @@
 		options.AckTimeout = DefaultAckTimeout
 	}
 	if options.Weight == nil {
-		options.Weight = func(fleet.Number) uint32 { return 1 }
+		options.Weight = func(fleet.ShortID) uint32 { return 1 }
 	}
 	return &Dispatcher[O, L, P]{
 		options:   options,
-		services:  make(map[fleet.Number]*service[O, L]),
-		upstreams: make(map[fleet.Number]*upstream[L]),
+		services:  make(map[fleet.ShortID]*service[O, L]),
+		upstreams: make(map[fleet.ShortID]*upstream[L]),
 		grants:    make(map[grantKey]*grant),
 	}
 }
@@ -152,8 +152,8 @@
 // nonces only matter if one dispatcher takes over from the other.
 const nonceBits = 14
 
-// GrantIDOf returns the id of a dispatcher's grant with the given sequence number.
-func GrantIDOf(count uint64, nonce uint16) GrantID {
+// NewGrantID returns the id of a dispatcher's grant with the given sequence number.
+func NewGrantID(count uint64, nonce uint16) GrantID {
 	return GrantID(count<<nonceBits | uint64(nonce)&(1<<nonceBits-1))
 }
 
@@ -161,33 +161,33 @@
 func (id GrantID) Count() uint64 { return uint64(id) >> nonceBits }
 
 // GrantedBy reports whether a dispatcher with this nonce issued the grant.
-func (id GrantID) GrantedBy(nonce uint16) bool { return GrantIDOf(id.Count(), nonce) == id }
+func (id GrantID) GrantedBy(nonce uint16) bool { return NewGrantID(id.Count(), nonce) == id }
 
 func (d *Dispatcher[O, L, P]) nextID() GrantID {
 	d.grantCount++
-	return GrantIDOf(d.grantCount, d.options.Nonce)
+	return NewGrantID(d.grantCount, d.options.Nonce)
 }
 
-func (d *Dispatcher[O, L, P]) service(number fleet.Number) *service[O, L] {
+func (d *Dispatcher[O, L, P]) service(number fleet.ShortID) *service[O, L] {
 	s := d.services[number]
 	if s == nil {
-		s = &service[O, L]{order: d.options.Order(), demands: make(map[fleet.Number]*accountDemand)}
+		s = &service[O, L]{order: d.options.SharePolicy(), demands: make(map[fleet.ShortID]*accountDemand)}
 		d.services[number] = s
 	}
 	return s
 }
 
-// Own replaces the upstreams that this dispatcher is responsible for. If others
+// SetUpstreams replaces the upstreams that this dispatcher is responsible for. If others
 // is true, a new upstream gets no requests for TakeoverWait, because other routers
 // may have requests in flight there that they have not reported yet. Grants at a
 // removed upstream are kept until they are released or given up.
-func (d *Dispatcher[O, L, P]) Own(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.Number, others bool) {
-	keep := make(map[fleet.Number]bool, len(owned))
+func (d *Dispatcher[O, L, P]) SetUpstreams(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.ShortID, others bool) {
+	keep := make(map[fleet.ShortID]bool, len(owned))
 	for _, s := range d.services {
 		s.upstreams = s.upstreams[:0]
 	}
 	for _, u := range owned {
-		number := fleet.Number(u.GetNumber())
+		number := fleet.ShortID(u.GetNumber())
 		keep[number] = true
 		up := d.upstreams[number]
 		if up == nil {
@@ -205,8 +205,8 @@
 	}
 }
 
-func (d *Dispatcher[O, L, P]) addUpstream(now time.Time, u *schema.Upstream, service fleet.Number, others bool) *upstream[L] {
-	number := fleet.Number(u.GetNumber())
+func (d *Dispatcher[O, L, P]) addUpstream(now time.Time, u *schema.Upstream, service fleet.ShortID, others bool) *upstream[L] {
+	number := fleet.ShortID(u.GetNumber())
 	added := &upstream[L]{number: number, service: service, limiter: d.options.Limiter(int(u.GetSlots())), readyAt: now}
 	if d.options.Warmup {
 		added.warmup = &warmup.Ramp{}
@@ -223,7 +223,7 @@
 	return added
 }
 
-func (d *Dispatcher[O, L, P]) removeUpstream(number fleet.Number) {
+func (d *Dispatcher[O, L, P]) removeUpstream(number fleet.ShortID) {
 	delete(d.upstreams, number)
 	for _, g := range d.grants {
 		if g.upstream == number {
@@ -254,7 +254,7 @@
 
 // InFlight returns the number of requests in flight at an upstream, and whether
 // this dispatcher is responsible for it.
-func (d *Dispatcher[O, L, P]) InFlight(upstream fleet.Number) (int, bool) {
+func (d *Dispatcher[O, L, P]) InFlight(upstream fleet.ShortID) (int, bool) {
 	u := d.upstreams[upstream]
 	if u == nil {
 		return 0, false
@@ -264,7 +264,7 @@
 
 // Limit returns the maximum number of requests in flight at an upstream at now.
 // It is zero if the upstream accepts no work or is not this dispatcher's.
-func (d *Dispatcher[O, L, P]) Limit(now time.Time, upstream fleet.Number) int {
+func (d *Dispatcher[O, L, P]) Limit(now time.Time, upstream fleet.ShortID) int {
 	u := d.upstreams[upstream]
 	if u == nil || !u.takesWork(now) {
 		return 0
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -16,42 +16,42 @@
 )
 
 const (
-	serviceNumber = fleet.Number(1)
-	smallAccount  = fleet.Number(10)
-	floodAccount  = fleet.Number(11)
-	firstUpstream = fleet.Number(100)
+	serviceNumber = fleet.ShortID(1)
+	smallAccount  = fleet.ShortID(10)
+	floodAccount  = fleet.ShortID(11)
+	firstUpstream = fleet.ShortID(100)
 )
 
 var start = time.Unix(1_700_000_000, 0)
 
 // slotDispatcher is the part of a Dispatcher that does not depend on its policies.
 type slotDispatcher interface {
-	Own(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.Number, others bool)
-	Ask(now time.Time, from fleet.RouterID, through dispatcher.GrantID, message *schema.Ask)
+	SetUpstreams(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.ShortID, others bool)
+	HandleAsk(now time.Time, from fleet.RouterID, through dispatcher.GrantID, message *schema.Ask)
 	Grant(now time.Time) []dispatcher.Grant
 	Release(now time.Time, from fleet.RouterID, message *schema.Release)
-	Held(now time.Time, from fleet.RouterID, service fleet.Number, message *schema.Held)
-	Complete(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool)
-	Connected(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool, restarted bool)
-	Gone(now time.Time, router fleet.RouterID)
+	HandleHeld(now time.Time, from fleet.RouterID, service fleet.ShortID, message *schema.Held)
+	Reconcile(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool)
+	HandleConnect(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool, restarted bool)
+	HandleDisconnect(now time.Time, router fleet.RouterID)
 	Tick(now time.Time)
-	Reported(now time.Time, upstream fleet.Number, load inflight.Load)
-	InFlight(upstream fleet.Number) (int, bool)
+	UpdateLoad(now time.Time, upstream fleet.ShortID, load inflight.Load)
+	InFlight(upstream fleet.ShortID) (int, bool)
 }
 
 func fixedLimit(slots int) inflight.Fixed { return inflight.Fixed(slots) }
 
-func newFairOrder() *share.Fair[fleet.Number] { return &share.Fair[fleet.Number]{} }
+func newFairOrder() *share.Fair[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
 
 func newFairDispatcher() slotDispatcher {
-	return dispatcher.New(dispatcher.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]{
-		Order: newFairOrder, Limiter: fixedLimit,
+	return dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
+		SharePolicy: newFairOrder, Limiter: fixedLimit,
 	})
 }
 
 func newFirstComeDispatcher() slotDispatcher {
-	return dispatcher.New(dispatcher.Options[*share.FirstCome[fleet.Number], inflight.Fixed, placement.LeastLoaded]{
-		Order: func() *share.FirstCome[fleet.Number] { return &share.FirstCome[fleet.Number]{} }, Limiter: fixedLimit,
+	return dispatcher.New(dispatcher.Options[*share.FirstCome[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
+		SharePolicy: func() *share.FirstCome[fleet.ShortID] { return &share.FirstCome[fleet.ShortID]{} }, Limiter: fixedLimit,
 	})
 }
 
@@ -63,14 +63,14 @@
 			Id: fmt.Sprintf("u%d", i), Service: "s", Slots: uint32(slots), Number: uint32(firstUpstream) + uint32(i), Leaving: leaving,
 		})
 	}
-	d.Own(start, ups, map[fleet.ServiceID]fleet.Number{"s": serviceNumber}, false)
+	d.SetUpstreams(start, ups, map[fleet.ServiceID]fleet.ShortID{"s": serviceNumber}, false)
 }
 
-func newAsk(account fleet.Number, waiting int) *schema.Ask {
+func newAsk(account fleet.ShortID, waiting int) *schema.Ask {
 	return &schema.Ask{Service: uint32(serviceNumber), Account: uint32(account), Waiting: uint32(waiting), Estimate: 300}
 }
 
-func inFlight(d slotDispatcher, upstream fleet.Number) int {
+func inFlight(d slotDispatcher, upstream fleet.ShortID) int {
 	n, _ := d.InFlight(upstream)
 	return n
 }
@@ -98,11 +98,11 @@
 			for _, router := range []fleet.RouterID{"a", "b", "c"} {
 				m := newAsk(floodAccount, 500)
 				m.WaitedMs = 10_000
-				want.d.Ask(start, router, 0, m)
+				want.d.HandleAsk(start, router, 0, m)
 			}
 			served := 0
 			for range 100 {
-				want.d.Ask(start, "d", 1<<62, newAsk(smallAccount, 1))
+				want.d.HandleAsk(start, "d", 1<<62, newAsk(smallAccount, 1))
 				granted := want.d.Grant(start)
 				require.Len(t, granted, 1)
 				if granted[0].Account == smallAccount {
@@ -123,13 +123,13 @@
 	t.Parallel()
 	d := newFairDispatcher()
 	ownUpstreams(d, 1, 4, false)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 1))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 1))
 	granted := d.Grant(start)
 	require.Len(t, granted, 1)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 1))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 1))
 	require.Empty(t, d.Grant(start))
 	// An ask sent after the router received the grant is for another request.
-	d.Ask(start, "a", granted[0].ID, newAsk(smallAccount, 1))
+	d.HandleAsk(start, "a", granted[0].ID, newAsk(smallAccount, 1))
 	require.Len(t, d.Grant(start), 1)
 }
 
@@ -139,12 +139,12 @@
 	t.Parallel()
 	d := newFairDispatcher()
 	ownUpstreams(d, 1, 4, false)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 1))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 1))
 	require.Len(t, d.Grant(start), 1)
 	later := start.Add(dispatcher.DefaultAckTimeout)
-	d.Ask(later, "a", 0, newAsk(smallAccount, 1))
+	d.HandleAsk(later, "a", 0, newAsk(smallAccount, 1))
 	require.Len(t, d.Grant(later), 1)
-	d.Complete(later, "a", nil)
+	d.Reconcile(later, "a", nil)
 	require.Equal(t, 1, inFlight(d, firstUpstream))
 }
 
@@ -155,12 +155,12 @@
 	t.Parallel()
 	d := newFairDispatcher()
 	ownUpstreams(d, 1, 1, false)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 5))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 5))
 	granted := d.Grant(start)
 	d.Release(start, "a", &schema.Release{Id: granted[0].ID.Count(), Result: schema.Result_RESULT_UNUSED})
 	require.Empty(t, d.Grant(start))
 	require.Zero(t, inFlight(d, firstUpstream))
-	d.Ask(start, "a", granted[0].ID, newAsk(smallAccount, 1))
+	d.HandleAsk(start, "a", granted[0].ID, newAsk(smallAccount, 1))
 	require.Len(t, d.Grant(start), 1)
 }
 
@@ -170,19 +170,19 @@
 	t.Parallel()
 	d := newFairDispatcher()
 	ownUpstreams(d, 2, 2, false)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 2))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 2))
 	granted := d.Grant(start)
 	require.Len(t, granted, 2)
 	d.Release(start, "a", &schema.Release{Id: granted[0].ID.Count(), Result: schema.Result_RESULT_DRAINING})
-	d.Ask(start, "a", granted[1].ID, newAsk(smallAccount, 4))
+	d.HandleAsk(start, "a", granted[1].ID, newAsk(smallAccount, 4))
 	for _, g := range d.Grant(start) {
 		require.NotEqual(t, granted[0].Upstream, g.Upstream)
 	}
 	// Its load report says that it accepts work again.
-	d.Reported(start, granted[0].Upstream, inflight.Load{At: start.Add(time.Second)})
+	d.UpdateLoad(start, granted[0].Upstream, inflight.Load{MeasuredAt: start.Add(time.Second)})
 	require.NotEmpty(t, d.Grant(start))
 	ownUpstreams(d, 2, 2, true)
-	d.Ask(start, "a", 1<<62, newAsk(smallAccount, 4))
+	d.HandleAsk(start, "a", 1<<62, newAsk(smallAccount, 4))
 	require.Empty(t, d.Grant(start))
 }
 
@@ -192,15 +192,15 @@
 	t.Parallel()
 	d := newFairDispatcher()
 	ownUpstreams(d, 1, 4, false)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 3))
-	d.Ask(start, "b", 0, newAsk(floodAccount, 1))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 3))
+	d.HandleAsk(start, "b", 0, newAsk(floodAccount, 1))
 	require.Len(t, d.Grant(start), 4)
-	d.Gone(start.Add(time.Second), "a")
+	d.HandleDisconnect(start.Add(time.Second), "a")
 	require.Equal(t, 4, inFlight(d, firstUpstream))
 	// A report from before the loss must free nothing.
-	d.Reported(start.Add(2*time.Second), firstUpstream, inflight.Load{Running: 1, At: start.Add(time.Second / 2)})
+	d.UpdateLoad(start.Add(2*time.Second), firstUpstream, inflight.Load{Running: 1, MeasuredAt: start.Add(time.Second / 2)})
 	require.Equal(t, 4, inFlight(d, firstUpstream))
-	d.Reported(start.Add(2*time.Second), firstUpstream, inflight.Load{Running: 2, At: start.Add(2 * time.Second)})
+	d.UpdateLoad(start.Add(2*time.Second), firstUpstream, inflight.Load{Running: 2, MeasuredAt: start.Add(2 * time.Second)})
 	require.Equal(t, 2, inFlight(d, firstUpstream))
 }
 
@@ -210,9 +210,9 @@
 	t.Parallel()
 	d := newFairDispatcher()
 	ownUpstreams(d, 1, 3, false)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 3))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 3))
 	granted := d.Grant(start)
-	d.Gone(start, "a")
+	d.HandleDisconnect(start, "a")
 	back := start.Add(5 * time.Second)
 	held := &schema.Held{Upstream: uint32(firstUpstream)}
 	for _, g := range granted[:2] {
@@ -220,8 +220,8 @@
 		held.Accounts = append(held.Accounts, uint32(smallAccount))
 		held.Costs = append(held.Costs, 300)
 	}
-	d.Connected(back, "a", map[dispatcher.GrantID]bool{granted[0].ID: true, granted[1].ID: true}, false)
-	d.Held(back, "a", serviceNumber, held)
+	d.HandleConnect(back, "a", map[dispatcher.GrantID]bool{granted[0].ID: true, granted[1].ID: true}, false)
+	d.HandleHeld(back, "a", serviceNumber, held)
 	d.Tick(back.Add(time.Hour))
 	require.Equal(t, 2, inFlight(d, firstUpstream))
 }
@@ -234,9 +234,9 @@
 	ownUpstreams(d, 1, 2, false)
 	avoiding := newAsk(smallAccount, 1)
 	avoiding.Avoided = []uint32{uint32(firstUpstream)}
-	d.Ask(start, "a", 0, avoiding)
+	d.HandleAsk(start, "a", 0, avoiding)
 	require.Empty(t, d.Grant(start))
-	d.Ask(start, "b", 0, newAsk(floodAccount, 1))
+	d.HandleAsk(start, "b", 0, newAsk(floodAccount, 1))
 	granted := d.Grant(start)
 	require.Len(t, granted, 1)
 	require.Equal(t, floodAccount, granted[0].Account)
@@ -247,15 +247,15 @@
 // answer that begins, without waiting for answers to complete.
 func TestUpstreamThatJoinsIsWarmedUp(t *testing.T) {
 	t.Parallel()
-	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]{
-		Order: newFairOrder, Limiter: fixedLimit, Warmup: true,
+	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
+		SharePolicy: newFairOrder, Limiter: fixedLimit, Warmup: true,
 	})
 	ownUpstreams(d, 1, 16, false)
-	d.Ask(start, "a", 0, newAsk(smallAccount, 100))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 100))
 	granted := d.Grant(start)
 	require.Len(t, granted, 2)
-	require.True(t, granted[0].Begin)
-	d.Held(start, "a", serviceNumber, &schema.Held{
+	require.True(t, granted[0].ReportBegin)
+	d.HandleHeld(start, "a", serviceNumber, &schema.Held{
 		Upstream: uint32(firstUpstream), Ids: []uint64{uint64(granted[0].ID)}, Accounts: []uint32{uint32(smallAccount)}, Costs: []uint32{1},
 	})
 	require.Len(t, d.Grant(start), 1)
@@ -268,8 +268,8 @@
 // change of routers.
 func TestUpstreamThatChangesHandsIsNotWarmedUpAgain(t *testing.T) {
 	t.Parallel()
-	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]{
-		Order: newFairOrder, Limiter: fixedLimit, Warmup: true,
+	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
+		SharePolicy: newFairOrder, Limiter: fixedLimit, Warmup: true,
 	})
 	ownUpstreams(d, 1, 16, false)
 	held := &schema.Held{Upstream: uint32(firstUpstream)}
@@ -278,9 +278,9 @@
 		held.Accounts = append(held.Accounts, uint32(floodAccount))
 		held.Costs = append(held.Costs, 50)
 	}
-	d.Held(start, "b", serviceNumber, held)
+	d.HandleHeld(start, "b", serviceNumber, held)
 	require.Equal(t, 12, inFlight(d, firstUpstream))
-	d.Ask(start, "a", 0, newAsk(smallAccount, 100))
+	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 100))
 	require.Len(t, d.Grant(start), 2)
 	for _, id := range held.GetIds() {
 		d.Release(start, "b", &schema.Release{ForeignId: id, Cost: 60})
--- a/dispatcher/grant.go
+++ b/dispatcher/grant.go
@@ -54,11 +54,11 @@
 
 // grantOne grants a free slot to the next request in the order of the policy. It
 // returns false if no waiting request is allowed at a free upstream.
-func (d *Dispatcher[O, L, P]) grantOne(now time.Time, number fleet.Number, s *service[O, L], free []freeUpstream[L]) (Grant, bool) {
+func (d *Dispatcher[O, L, P]) grantOne(now time.Time, number fleet.ShortID, s *service[O, L], free []freeUpstream[L]) (Grant, bool) {
 	eligible := func(a *ask) bool {
 		return slices.ContainsFunc(free, func(f freeUpstream[L]) bool { return f.allowedFor(a) })
 	}
-	account, ok := s.order.Next(func(account fleet.Number) bool {
+	account, ok := s.order.Next(func(account fleet.ShortID) bool {
 		demand := s.demands[account]
 		if demand == nil {
 			return false
@@ -75,7 +75,7 @@
 	if !ok {
 		return Grant{}, false
 	}
-	g := Grant{To: router, ID: d.nextID(), Account: account, Upstream: u.number, Begin: u.isWarmingUp(now)}
+	g := Grant{To: router, ID: d.nextID(), Account: account, Upstream: u.number, ReportBegin: u.isWarmingUp(now)}
 	u.inFlight++
 	d.grants[grantKey{router, g.ID}] = &grant{
 		account: account, service: number, upstream: u.number,
@@ -116,9 +116,9 @@
 	return upstreams[i], true
 }
 
-// Idle returns the number of free slots of each service at this dispatcher.
-func (d *Dispatcher[O, L, P]) Idle(now time.Time) map[fleet.Number]int {
-	idle := make(map[fleet.Number]int)
+// FreeSlots returns the number of free slots of each service at this dispatcher.
+func (d *Dispatcher[O, L, P]) FreeSlots(now time.Time) map[fleet.ShortID]int {
+	idle := make(map[fleet.ShortID]int)
 	for number, s := range d.services {
 		for _, f := range d.freeUpstreams(now, s) {
 			idle[number] += f.limit - f.upstream.inFlight
@@ -127,9 +127,9 @@
 	return idle
 }
 
-// Busy returns the number of requests of a service in flight at upstreams that
+// ServiceLoad returns the number of requests of a service in flight at upstreams that
 // accept work, and the sum of these upstreams' limits.
-func (d *Dispatcher[O, L, P]) Busy(now time.Time, service fleet.Number) (inFlight, limit int) {
+func (d *Dispatcher[O, L, P]) ServiceLoad(now time.Time, service fleet.ShortID) (inFlight, limit int) {
 	s := d.services[service]
 	if s == nil {
 		return 0, 0
@@ -143,8 +143,8 @@
 	return inFlight, limit
 }
 
-// Filled reports whether an upstream that accepts work has no free slot.
-func (d *Dispatcher[O, L, P]) Filled(now time.Time, upstream fleet.Number) bool {
+// IsFull reports whether an upstream that accepts work has no free slot.
+func (d *Dispatcher[O, L, P]) IsFull(now time.Time, upstream fleet.ShortID) bool {
 	u := d.upstreams[upstream]
 	return u != nil && u.takesWork(now) && u.inFlight >= u.limit(now)
 }
--- a/dispatcher/machine_test.go
+++ b/dispatcher/machine_test.go
@@ -21,7 +21,7 @@
 // simulatedFleet is a dispatcher, a keeper and three routers. Messages between them
 // are lost, repeated and reordered.
 type simulatedFleet struct {
-	dispatcher *dispatcher.Dispatcher[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]
+	dispatcher *dispatcher.Dispatcher[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]
 	keeper     *keeper.Keeper
 	now        time.Time
 	routers    map[fleet.RouterID]*simulatedRouter
@@ -32,7 +32,7 @@
 
 // simulatedRouter is the state of one router.
 type simulatedRouter struct {
-	waiting     map[fleet.Number]int
+	waiting     map[fleet.ShortID]int
 	held        map[dispatcher.GrantID]dispatcher.Grant
 	seenThrough dispatcher.GrantID
 }
@@ -44,20 +44,20 @@
 	ask         *schema.Ask
 	seenThrough dispatcher.GrantID
 	release     *schema.Release
-	report      *share.Report[fleet.Number]
+	report      *share.Report[fleet.ShortID]
 	total       *share.Total
-	account     fleet.Number
+	account     fleet.ShortID
 }
 
 func newSimulatedFleet(ups, slots int) *simulatedFleet {
 	f := &simulatedFleet{now: start, routers: make(map[fleet.RouterID]*simulatedRouter), slots: slots, upstreams: ups, keeper: keeper.New(keeper.Options{})}
-	f.dispatcher = dispatcher.New(dispatcher.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.LeastLoaded]{
-		Order: newFairOrder, Limiter: fixedLimit,
+	f.dispatcher = dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
+		SharePolicy: newFairOrder, Limiter: fixedLimit,
 	})
 	ownUpstreams(f.dispatcher, ups, slots, false)
 	for i := range 3 {
 		f.routers[fleet.RouterID(fmt.Sprintf("r%d", i))] = &simulatedRouter{
-			waiting: make(map[fleet.Number]int), held: make(map[dispatcher.GrantID]dispatcher.Grant),
+			waiting: make(map[fleet.ShortID]int), held: make(map[dispatcher.GrantID]dispatcher.Grant),
 		}
 	}
 	return f
@@ -67,12 +67,12 @@
 
 func (f *simulatedFleet) send(x message) { f.inTransit = append(f.inTransit, x) }
 
-func (f *simulatedFleet) addRequests(router fleet.RouterID, account fleet.Number, n int) {
+func (f *simulatedFleet) addRequests(router fleet.RouterID, account fleet.ShortID, n int) {
 	f.routers[router].waiting[account] += n
 	f.sendAsk(router, account)
 }
 
-func (f *simulatedFleet) sendAsk(router fleet.RouterID, account fleet.Number) {
+func (f *simulatedFleet) sendAsk(router fleet.RouterID, account fleet.ShortID) {
 	r := f.routers[router]
 	f.send(message{router: router, ask: newAsk(account, r.waiting[account]), seenThrough: r.seenThrough})
 }
@@ -81,9 +81,9 @@
 // step: it grants only slots that are free as far as it can know. The limit may be
 // exceeded while a grant that was given up as lost is in use after all.
 func (f *simulatedFleet) grantAndCheck(t require.TestingT) {
-	before := make(map[fleet.Number]int)
+	before := make(map[fleet.ShortID]int)
 	for i := range f.upstreams {
-		upstream := firstUpstream + fleet.Number(i)
+		upstream := firstUpstream + fleet.ShortID(i)
 		before[upstream] = inFlight(f.dispatcher, upstream)
 		require.GreaterOrEqual(t, before[upstream], 0)
 	}
@@ -101,7 +101,7 @@
 	r := f.routers[x.router]
 	switch {
 	case x.ask != nil:
-		f.dispatcher.Ask(f.now, x.router, x.seenThrough, x.ask)
+		f.dispatcher.HandleAsk(f.now, x.router, x.seenThrough, x.ask)
 	case x.release != nil:
 		f.dispatcher.Release(f.now, x.router, x.release)
 	case x.grant != nil:
@@ -142,13 +142,13 @@
 	ids := make(map[dispatcher.GrantID]bool)
 	for id, g := range r.held {
 		ids[id] = true
-		f.dispatcher.Held(f.now, router, serviceNumber, &schema.Held{
+		f.dispatcher.HandleHeld(f.now, router, serviceNumber, &schema.Held{
 			Upstream: uint32(g.Upstream), Ids: []uint64{uint64(id)}, Accounts: []uint32{uint32(g.Account)}, Costs: []uint32{300},
 		})
 	}
-	f.dispatcher.Complete(f.now, router, ids)
-	for _, account := range []fleet.Number{smallAccount, floodAccount} {
-		f.dispatcher.Ask(f.now, router, r.seenThrough, newAsk(account, r.waiting[account]))
+	f.dispatcher.Reconcile(f.now, router, ids)
+	for _, account := range []fleet.ShortID{smallAccount, floodAccount} {
+		f.dispatcher.HandleAsk(f.now, router, r.seenThrough, newAsk(account, r.waiting[account]))
 	}
 }
 
@@ -188,7 +188,7 @@
 		}
 	}
 	for i := range f.upstreams {
-		if inFlight(f.dispatcher, firstUpstream+fleet.Number(i)) != 0 {
+		if inFlight(f.dispatcher, firstUpstream+fleet.ShortID(i)) != 0 {
 			return false
 		}
 	}
@@ -214,7 +214,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSimulatedFleet(rapid.IntRange(1, 3).Draw(t, "upstreams"), rapid.IntRange(1, 4).Draw(t, "slots"))
 		router := rapid.SampledFrom(f.routerIDs())
-		account := rapid.SampledFrom([]fleet.Number{smallAccount, floodAccount})
+		account := rapid.SampledFrom([]fleet.ShortID{smallAccount, floodAccount})
 		pick := func(t *rapid.T) int {
 			if len(f.inTransit) == 0 {
 				t.Skip()
@@ -242,14 +242,14 @@
 				}
 				f.finish(id, rapid.SampledFrom(held).Draw(t, "hold"), uint32(rapid.IntRange(0, 900).Draw(t, "cost")))
 			},
-			"gone": func(t *rapid.T) { f.dispatcher.Gone(f.now, router.Draw(t, "router")) },
+			"gone": func(t *rapid.T) { f.dispatcher.HandleDisconnect(f.now, router.Draw(t, "router")) },
 			"rejoin": func(t *rapid.T) {
 				id := router.Draw(t, "router")
 				ids := make(map[dispatcher.GrantID]bool)
 				for grant := range f.routers[id].held {
 					ids[grant] = true
 				}
-				f.dispatcher.Connected(f.now, id, ids, rapid.Bool().Draw(t, "restarted"))
+				f.dispatcher.HandleConnect(f.now, id, ids, rapid.Bool().Draw(t, "restarted"))
 			},
 			"report": func(*rapid.T) {
 				for _, reports := range f.dispatcher.Reports(500) {
--- a/dispatcher/progress.go
+++ b/dispatcher/progress.go
@@ -101,12 +101,12 @@
 	}
 	// Sorted, so that ties between accounts are broken deterministically.
 	for _, key := range slices.SortedFunc(maps.Keys(charges), accountUse.compare) {
-		d.service(key.service).order.Correct(key.account, charges[key])
+		d.service(key.service).order.AddService(key.account, charges[key])
 	}
 }
 
 // accountUse identifies an account at a service.
-type accountUse struct{ service, account fleet.Number }
+type accountUse struct{ service, account fleet.ShortID }
 
 func (u accountUse) compare(other accountUse) int {
 	return cmp.Or(cmp.Compare(u.service, other.service), cmp.Compare(u.account, other.account))
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -16,7 +16,7 @@
 func (d *Dispatcher[O, L, P]) Release(now time.Time, from fleet.RouterID, message *schema.Release) {
 	key := grantKey{from, GrantID(message.GetForeignId())}
 	if message.GetId() > 0 {
-		key.id = GrantIDOf(message.GetId(), d.options.Nonce)
+		key.id = NewGrantID(message.GetId(), d.options.Nonce)
 	}
 	g := d.grants[key]
 	if g == nil {
@@ -53,7 +53,7 @@
 // charge sets the charged cost of a grant and corrects the account's service.
 func (d *Dispatcher[O, L, P]) charge(g *grant, cost fleet.Tokens) {
 	if cost != g.charged {
-		d.service(g.service).order.Correct(g.account, cost-g.charged)
+		d.service(g.service).order.AddService(g.account, cost-g.charged)
 	}
 	g.charged = cost
 }
@@ -67,40 +67,40 @@
 		u.drainingSince = now
 	}
 	if u.warmup != nil {
-		u.warmup.Ended(now, result)
+		u.warmup.RequestEnded(now, result)
 	}
 	if result == dispatch.Answered {
 		u.recordBegin(g)
 	}
-	u.limiter.Ended(now, inflight.Sample{Result: result, FirstToken: firstToken, InFlight: g.inFlightAtStart})
+	u.limiter.RecordResult(now, inflight.Sample{Result: result, FirstTokenLatency: firstToken, InFlight: g.inFlightAtStart})
 }
 
 // recordBegin counts the beginning of a request's answer, once.
 func (u *upstream[L]) recordBegin(g *grant) {
 	if u.warmup != nil && !g.answerBegun {
-		u.warmup.Began()
+		u.warmup.AnswerBegan()
 	}
 	g.answerBegun = true
 }
 
-// Held records a router's requests in flight at an upstream. An unknown grant,
+// HandleHeld records a router's requests in flight at an upstream. An unknown grant,
 // which another dispatcher issued, holds a slot from now on and its cost so far is
 // not charged again. For a known grant, any cost not yet charged is charged.
-func (d *Dispatcher[O, L, P]) Held(now time.Time, from fleet.RouterID, service fleet.Number, message *schema.Held) {
+func (d *Dispatcher[O, L, P]) HandleHeld(now time.Time, from fleet.RouterID, service fleet.ShortID, message *schema.Held) {
 	accounts, costs := message.GetAccounts(), message.GetCosts()
 	for i, id := range message.GetIds() {
 		if i >= len(accounts) || i >= len(costs) {
 			return
 		}
 		d.recordHeld(now, grantKey{from, GrantID(id)}, service, grant{
-			account: fleet.Number(accounts[i]), upstream: fleet.Number(message.GetUpstream()),
+			account: fleet.ShortID(accounts[i]), upstream: fleet.ShortID(message.GetUpstream()),
 			charged: fleet.Tokens(costs[i]),
 		})
 	}
 }
 
 // recordHeld records one request that a router reported in Held.
-func (d *Dispatcher[O, L, P]) recordHeld(now time.Time, key grantKey, service fleet.Number, reported grant) {
+func (d *Dispatcher[O, L, P]) recordHeld(now time.Time, key grantKey, service fleet.ShortID, reported grant) {
 	known := d.grants[key]
 	if known != nil {
 		known.orphanedAt = time.Time{}
@@ -120,11 +120,11 @@
 	}
 }
 
-// Complete removes the grants to a router that are not in ids, which holds all
+// Reconcile removes the grants to a router that are not in ids, which holds all
 // that it has in flight from this dispatcher. Either the grant or its release was
 // lost, or the router restarted. Grants younger than AckTimeout are kept, since
 // they may still be in transit.
-func (d *Dispatcher[O, L, P]) Complete(now time.Time, from fleet.RouterID, ids map[GrantID]bool) {
+func (d *Dispatcher[O, L, P]) Reconcile(now time.Time, from fleet.RouterID, ids map[GrantID]bool) {
 	for key, g := range d.grants {
 		if key.router == from && !ids[key.id] && g.orphanedAt.IsZero() && now.Sub(g.grantedAt) >= d.options.AckTimeout {
 			d.removeGrant(key, g)
@@ -132,13 +132,13 @@
 	}
 }
 
-// Connected handles a new connection of a router. Its earlier asks are dropped.
+// HandleConnect handles a new connection of a router. Its earlier asks are dropped.
 // Earlier grants that are not in ids never reached the router or have ended, and
 // are removed. If the router was restarted, its grants are instead treated as
 // those of a lost router, since engines may still run the requests.
-func (d *Dispatcher[O, L, P]) Connected(now time.Time, from fleet.RouterID, ids map[GrantID]bool, restarted bool) {
+func (d *Dispatcher[O, L, P]) HandleConnect(now time.Time, from fleet.RouterID, ids map[GrantID]bool, restarted bool) {
 	if restarted {
-		d.Gone(now, from)
+		d.HandleDisconnect(now, from)
 		return
 	}
 	d.dropAsks(from)
@@ -149,11 +149,11 @@
 	}
 }
 
-// Gone handles the loss of a router. Its grants keep their slots until the
+// HandleDisconnect handles the loss of a router. Its grants keep their slots until the
 // upstream's load report shows that they have ended, at most for Grace: an engine
 // continues a stream for a while after its reader died, and a router that is only
 // cut off from this one still reads it.
-func (d *Dispatcher[O, L, P]) Gone(now time.Time, router fleet.RouterID) {
+func (d *Dispatcher[O, L, P]) HandleDisconnect(now time.Time, router fleet.RouterID) {
 	d.dropAsks(router)
 	for key, g := range d.grants {
 		if key.router == router && g.orphanedAt.IsZero() {
@@ -184,8 +184,8 @@
 	}
 }
 
-// Reported applies a load report of an upstream.
-func (d *Dispatcher[O, L, P]) Reported(now time.Time, number fleet.Number, load inflight.Load) {
+// UpdateLoad applies a load report of an upstream.
+func (d *Dispatcher[O, L, P]) UpdateLoad(now time.Time, number fleet.ShortID, load inflight.Load) {
 	u := d.upstreams[number]
 	if u == nil {
 		return
@@ -193,10 +193,10 @@
 	switch {
 	case load.Draining && u.drainingSince.IsZero():
 		u.drainingSince = now
-	case !load.Draining && load.At.After(u.drainingSince):
+	case !load.Draining && load.MeasuredAt.After(u.drainingSince):
 		u.drainingSince = time.Time{}
 	}
-	u.limiter.Reported(now, load, u.inFlight)
+	u.limiter.UpdateLoad(now, load, u.inFlight)
 	d.freeEndedOrphans(u, load)
 }
 
@@ -207,11 +207,11 @@
 	surplus := -load.Running - load.Queued
 	var orphans []grantKey
 	for key, g := range d.grants {
-		if g.upstream != u.number || !g.holdsSlot || !g.grantedAt.Before(load.At) {
+		if g.upstream != u.number || !g.holdsSlot || !g.grantedAt.Before(load.MeasuredAt) {
 			continue
 		}
 		surplus++
-		if !g.orphanedAt.IsZero() && load.At.After(g.orphanedAt) {
+		if !g.orphanedAt.IsZero() && load.MeasuredAt.After(g.orphanedAt) {
 			orphans = append(orphans, key)
 		}
 	}
@@ -223,10 +223,10 @@
 // Reports returns, for each service, the reports on accounts whose service here
 // changed by more than threshold since their last report. It is empty if the
 // order policy does not implement share.Exchange.
-func (d *Dispatcher[O, L, P]) Reports(threshold fleet.Tokens) map[fleet.Number][]share.Report[fleet.Number] {
-	reports := make(map[fleet.Number][]share.Report[fleet.Number])
+func (d *Dispatcher[O, L, P]) Reports(threshold fleet.Tokens) map[fleet.ShortID][]share.Report[fleet.ShortID] {
+	reports := make(map[fleet.ShortID][]share.Report[fleet.ShortID])
 	for number, s := range d.services {
-		exchange, ok := any(s.order).(share.Exchange[fleet.Number])
+		exchange, ok := any(s.order).(share.Exchange[fleet.ShortID])
 		if !ok {
 			continue
 		}
@@ -238,39 +238,39 @@
 }
 
 // Observe applies the total that the fleet charged an account for a service.
-func (d *Dispatcher[O, L, P]) Observe(service, account fleet.Number, total share.Total) {
+func (d *Dispatcher[O, L, P]) Observe(service, account fleet.ShortID, total share.Total) {
 	s := d.services[service]
 	if s == nil {
 		return
 	}
-	if exchange, ok := any(s.order).(share.Exchange[fleet.Number]); ok {
+	if exchange, ok := any(s.order).(share.Exchange[fleet.ShortID]); ok {
 		exchange.Observe(account, total)
 	}
 }
 
-// Reassigned records that an account has a new keeper for a service.
-func (d *Dispatcher[O, L, P]) Reassigned(service, account fleet.Number) {
+// MarkReassigned records that an account has a new keeper for a service.
+func (d *Dispatcher[O, L, P]) MarkReassigned(service, account fleet.ShortID) {
 	s := d.services[service]
 	if s == nil {
 		return
 	}
-	if exchange, ok := any(s.order).(share.Exchange[fleet.Number]); ok {
-		exchange.Reassigned(account)
+	if exchange, ok := any(s.order).(share.Exchange[fleet.ShortID]); ok {
+		exchange.MarkReassigned(account)
 	}
 }
 
 // Forget removes an account that no longer exists.
-func (d *Dispatcher[O, L, P]) Forget(account fleet.Number) {
+func (d *Dispatcher[O, L, P]) Forget(account fleet.ShortID) {
 	for _, s := range d.services {
 		delete(s.demands, account)
 		s.order.Forget(account)
 	}
 }
 
-// Draining returns the upstreams of this dispatcher that have announced that they
+// DrainingUpstreams returns the upstreams of this dispatcher that have announced that they
 // accept no new requests, in ascending order.
-func (d *Dispatcher[O, L, P]) Draining() []fleet.Number {
-	var draining []fleet.Number
+func (d *Dispatcher[O, L, P]) DrainingUpstreams() []fleet.ShortID {
+	var draining []fleet.ShortID
 	for number, u := range d.upstreams {
 		if !u.drainingSince.IsZero() {
 			draining = append(draining, number)
--- a/document/document.go
+++ b/document/document.go
@@ -63,9 +63,9 @@
 	return d
 }
 
-// Add adds a fault at the path. Its position is that of the field, or of the
+// AddFault adds a fault at the path. Its position is that of the field, or of the
 // nearest enclosing value that is in the document.
-func (d *Document[M]) Add(path string, kind Kind, found, allowed string) {
+func (d *Document[M]) AddFault(path string, kind FaultKind, found, allowed string) {
 	d.addFault(Fault{Position: d.positionOf(path), Path: path, Kind: kind, Found: found, Allowed: allowed})
 }
 
@@ -215,9 +215,9 @@
 	return Position{Line: r.lineIndex + 1, Column: offset - r.lineStart + 1}
 }
 
-// Locate fills in the file and position of faults that have none, because they
+// LocateFaults fills in the file and position of faults that have none, because they
 // were found in the message alone.
-func (d *Document[M]) Locate(faults []Fault) []Fault {
+func (d *Document[M]) LocateFaults(faults []Fault) []Fault {
 	located := slices.Clone(faults)
 	for i, f := range located {
 		if f.Line > 0 {
--- a/document/fault.go
+++ b/document/fault.go
@@ -5,42 +5,42 @@
 	"strings"
 )
 
-// Kind is the kind of a fault.
-type Kind string
+// FaultKind is the kind of a fault.
+type FaultKind string
 
 // Kinds of faults.
 const (
 	// Syntax is text that is not valid JSON with comments. Nothing after it is checked.
-	Syntax Kind = "syntax"
+	Syntax FaultKind = "syntax"
 	// TooLarge is a document over MaxBytes or nested deeper than MaxDepth. Nothing in it is checked.
-	TooLarge Kind = "too-large"
+	TooLarge FaultKind = "too-large"
 	// TrailingData is text after the JSON value.
-	TrailingData Kind = "trailing-data"
+	TrailingData FaultKind = "trailing-data"
 	// UnknownField is a field that is not in the schema.
-	UnknownField Kind = "unknown-field"
+	UnknownField FaultKind = "unknown-field"
 	// DuplicateField is a field that occurs twice in one object.
-	DuplicateField Kind = "duplicate-field"
+	DuplicateField FaultKind = "duplicate-field"
 	// AssignedField is a field that only nutmeglock may set.
-	AssignedField Kind = "assigned-field"
+	AssignedField FaultKind = "assigned-field"
 	// WrongType is a value whose JSON type differs from the schema.
-	WrongType Kind = "wrong-type"
+	WrongType FaultKind = "wrong-type"
 	// WrongUnit is a string with a number and a unit, in place of a number in the
 	// unit of the schema.
-	WrongUnit Kind = "wrong-unit"
+	WrongUnit FaultKind = "wrong-unit"
 	// Missing is a required field that is absent or empty.
-	Missing Kind = "missing"
+	Missing FaultKind = "missing"
 	// OutOfBounds is a number, or the length of a string or list, outside its bounds.
-	OutOfBounds Kind = "out-of-bounds"
+	OutOfBounds FaultKind = "out-of-bounds"
 	// NotAllowed is a string that does not match the pattern or the choices of its rule.
-	NotAllowed Kind = "not-allowed"
+	NotAllowed FaultKind = "not-allowed"
 	// Contradiction is a value that conflicts with another value of the document.
-	Contradiction Kind = "contradiction"
+	Contradiction FaultKind = "contradiction"
 	// NotFound is a reference to an entry that does not exist.
-	NotFound Kind = "not-found"
+	NotFound FaultKind = "not-found"
 	// AlreadyExists is a new entry whose id is already in use.
-	AlreadyExists Kind = "already-exists"
+	AlreadyExists FaultKind = "already-exists"
 	// StillInUse is an entry that cannot be withdrawn because another refers to it.
-	StillInUse Kind = "still-in-use"
+	StillInUse FaultKind = "still-in-use"
 )
 
 // Position is a line and a column in a document. Both count from 1, and columns
@@ -57,7 +57,7 @@
 	// Path is the path of the field, such as added.accounts[2].weight. It is empty
 	// for the whole document.
 	Path string
-	Kind Kind
+	Kind FaultKind
 	// Found describes the value in the document.
 	Found string
 	// Allowed describes the allowed values.
--- a/document/reader.go
+++ b/document/reader.go
@@ -37,7 +37,7 @@
 }
 
 // addFaultAt adds a fault at the position of a value.
-func (r *reader) addFaultAt(path string, value hujson.Value, kind Kind, allowed string) {
+func (r *reader) addFaultAt(path string, value hujson.Value, kind FaultKind, allowed string) {
 	r.addFault(Fault{Position: r.positionAt(value.StartOffset), Path: path, Kind: kind, Found: formatValue(value), Allowed: allowed})
 }
 
--- a/document/scalar.go
+++ b/document/scalar.go
@@ -61,7 +61,7 @@
 
 // checkString returns the kind of fault in a string, or "" if it is valid. The
 // bounds of a list field's rule don't apply to its elements.
-func checkString(rule *schema.Rule, text string, isElement bool) Kind {
+func checkString(rule *schema.Rule, text string, isElement bool) FaultKind {
 	switch {
 	case text == "" && rule.GetRequired():
 		return Missing
@@ -119,7 +119,7 @@
 }
 
 // parseNumber returns the number in text for a field of the kind, or the kind of fault.
-func parseNumber(text string, kind protoreflect.Kind) (parsedNumber, Kind) {
+func parseNumber(text string, kind protoreflect.Kind) (parsedNumber, FaultKind) {
 	approximate, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return parsedNumber{}, OutOfBounds
@@ -154,7 +154,7 @@
 }
 
 // rangeFault returns the kind of fault for an error of strconv.
-func rangeFault(err error) Kind {
+func rangeFault(err error) FaultKind {
 	if err != nil {
 		return OutOfBounds
 	}
--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -60,9 +60,9 @@
 	return max(fleet.Tokens((in*max(input, 0)+out*max(output, 0))/weightScale), 1)
 }
 
-// Call returns the cost of one call of a plain service in weighted tokens: the declared
+// CallCost returns the cost of one call of a plain service in weighted tokens: the declared
 // cost, or 100 if that is zero.
-func Call(declared uint32) fleet.Tokens {
+func CallCost(declared uint32) fleet.Tokens {
 	if declared == 0 {
 		return defaultCallCost
 	}
@@ -104,9 +104,9 @@
 	m.value += (value - m.value) * max(minSampleWeight, 1/float64(m.count))
 }
 
-// Output returns the expected output tokens of a request, limited to maxTokens if that is
+// PredictOutput returns the expected output tokens of a request, limited to maxTokens if that is
 // above zero.
-func (e *Estimator) Output(key Key, maxTokens int64) int64 {
+func (e *Estimator) PredictOutput(key Key, maxTokens int64) int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	expected := float64(defaultOutput)
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -18,15 +18,15 @@
 func TestOutputFollowsTheAccount(t *testing.T) {
 	t.Parallel()
 	var e estimate.Estimator
-	require.Equal(t, int64(320), e.Output(key("long"), 0))
+	require.Equal(t, int64(320), e.PredictOutput(key("long"), 0))
 	for range 100 {
 		e.Ended(key("long"), 2000)
 		e.Ended(key("short"), 50)
 	}
-	require.Equal(t, int64(2000), e.Output(key("long"), 0))
-	require.Equal(t, int64(50), e.Output(key("short"), 0))
-	require.Equal(t, int64(500), e.Output(key("long"), 500))
-	require.InDelta(t, 1025, e.Output(key("new"), 0), 100, "a new account starts from the service's mean")
+	require.Equal(t, int64(2000), e.PredictOutput(key("long"), 0))
+	require.Equal(t, int64(50), e.PredictOutput(key("short"), 0))
+	require.Equal(t, int64(500), e.PredictOutput(key("long"), 500))
+	require.InDelta(t, 1025, e.PredictOutput(key("new"), 0), 100, "a new account starts from the service's mean")
 }
 
 func TestOneLongAnswerHasLittleEffect(t *testing.T) {
@@ -36,7 +36,7 @@
 		e.Ended(key("a"), 300)
 	}
 	e.Ended(key("a"), 4000)
-	require.Less(t, e.Output(key("a"), 0), int64(500))
+	require.Less(t, e.PredictOutput(key("a"), 0), int64(500))
 }
 
 func TestCostWeighsInputAndOutput(t *testing.T) {
@@ -54,7 +54,7 @@
 		e.Ended(key("steady"), 2000)
 	}
 	for i := range 1000 {
-		require.Equal(t, int64(2000), e.Output(key("steady"), 0))
+		require.Equal(t, int64(2000), e.PredictOutput(key("steady"), 0))
 		e.Ended(key(fmt.Sprint(i)), 10)
 	}
 	require.LessOrEqual(t, e.Len(), 100)
@@ -68,10 +68,10 @@
 		group.Go(func() {
 			for range 100 {
 				e.Ended(key(fmt.Sprint(i)), 100)
-				e.Output(key(fmt.Sprint(i)), 0)
+				e.PredictOutput(key(fmt.Sprint(i)), 0)
 			}
 		})
 	}
 	group.Wait()
-	require.Equal(t, int64(100), e.Output(key("0"), 0))
+	require.Equal(t, int64(100), e.PredictOutput(key("0"), 0))
 }
--- a/experiment/asking.go
+++ b/experiment/asking.go
@@ -88,7 +88,7 @@
 	}
 	q.lastAsked[target] = q.len()
 	if target == r.index {
-		r.dispatcher.Ask(r.sim.clock.now(), r.id, dispatcher.GrantIDOf(r.grantedThrough[r.index], uint16(r.index)), message)
+		r.dispatcher.HandleAsk(r.sim.clock.now(), r.id, dispatcher.NewGrantID(r.grantedThrough[r.index], uint16(r.index)), message)
 		return
 	}
 	batch := r.batchTo(target, delay)
@@ -109,7 +109,7 @@
 		if q.len() == 0 || len(q.targets) == 0 {
 			continue
 		}
-		want := fanout.Of(q.len(), r.sim.clock.elapsed-q.oldest().arrived)
+		want := fanout.Dispatchers(q.len(), r.sim.clock.elapsed-q.oldest().arrived)
 		if len(q.targets) >= want {
 			continue
 		}
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -191,7 +191,7 @@
 }
 
 func (e *engine) loadReport() inflight.Load {
-	return inflight.Load{Running: e.running, Queued: len(e.queue), At: e.clock.now()}
+	return inflight.Load{Running: e.running, Queued: len(e.queue), MeasuredAt: e.clock.now()}
 }
 
 // jobHeap is a min-heap of jobs by the step at which they end.
--- a/experiment/entry.go
+++ b/experiment/entry.go
@@ -46,7 +46,7 @@
 type queue struct {
 	key   queueKey
 	items waiting.Queue[queueKey, *request]
-	drain admission.Drain
+	drain admission.DrainMeter
 	// starts counts started requests. lateRefusals holds the requests refused
 	// because of their deadline until their turn would have come.
 	starts       int
@@ -95,15 +95,15 @@
 	}
 	deadline := epoch.Add(request.deadline)
 	if refusal := r.sim.admission.Admit(now, deadline, admission.Queue{
-		Account: q.len(), AccountBound: maxWaiting, Total: total, TotalBound: maxWaitingTotal,
-		Drain: q.drain.Most(now),
+		AccountWaiting: q.len(), AccountBound: maxWaiting, TotalWaiting: total, TotalBound: maxWaitingTotal,
+		DrainRate: q.drain.MaxRate(now),
 	}); refusal != nil {
 		r.refuse(q, request, refusal.Reason, q.len())
 		return
 	}
 	item := q.items.Push(q.key, request, now, deadline)
 	r.sim.metrics.addWaiting(request, 1)
-	q.drain.Waits(now, true)
+	q.drain.SetWaiting(now, true)
 	r.sim.clock.runAfter(request.deadline-r.sim.clock.elapsed, func() {
 		if q.items.Remove(item) {
 			r.dequeued(q, request)
@@ -128,12 +128,12 @@
 func (r *router) reviewDeadlines() {
 	now := r.sim.clock.now()
 	for _, q := range r.queues {
-		rate := q.drain.Most(now)
+		rate := q.drain.MaxRate(now)
 		ahead := 0
 		for item := q.items.Head(q.key); item != nil; {
 			next := item.Next()
 			refused := r.sim.admission.Admit(now, item.Deadline(), admission.Queue{
-				Account: ahead, AccountBound: ahead + 1, TotalBound: 1, Drain: rate,
+				AccountWaiting: ahead, AccountBound: ahead + 1, TotalBound: 1, DrainRate: rate,
 			})
 			if refused != nil && refused.Reason == refusal.DeadlineBeforeTurn {
 				q.items.Remove(item)
@@ -170,7 +170,7 @@
 // dequeued updates the metrics and asks after a request has left its queue.
 func (r *router) dequeued(q *queue, request *request) {
 	r.sim.metrics.addWaiting(request, -1)
-	q.drain.Waits(r.sim.clock.now(), q.len() > 0)
+	q.drain.SetWaiting(r.sim.clock.now(), q.len() > 0)
 	r.updateAsks(q)
 }
 
@@ -187,7 +187,7 @@
 	}
 	q.items.Remove(item)
 	request := item.Value()
-	q.drain.Started(r.sim.clock.now())
+	q.drain.AddStart(r.sim.clock.now())
 	q.countFalseRefusals(r.sim.clock.elapsed, r.sim.metrics)
 	r.dequeued(q, request)
 	r.startRequest(from, grant, request)
@@ -234,12 +234,12 @@
 // upstream that is warming up.
 func (r *router) reportBegin(granter int, grant *schema.Grant) {
 	message := &schema.Held{
-		Upstream: grant.GetUpstream(), Ids: []uint64{uint64(dispatcher.GrantIDOf(grant.GetId(), uint16(granter)))},
+		Upstream: grant.GetUpstream(), Ids: []uint64{uint64(dispatcher.NewGrantID(grant.GetId(), uint16(granter)))},
 		Accounts: []uint32{grant.GetAccount()}, Costs: []uint32{0},
 	}
 	if granter == r.index {
 		service := r.sim.serviceOf(grant.GetUpstream())
-		r.dispatcher.Held(r.sim.clock.now(), r.id, fleet.Number(service), message)
+		r.dispatcher.HandleHeld(r.sim.clock.now(), r.id, fleet.ShortID(service), message)
 		r.grantSlots()
 		return
 	}
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -42,9 +42,9 @@
 	defaultSeed     = 20261202
 )
 
-// Default runs the users' deployments with all loads and policies, and larger
+// RunDefault runs the users' deployments with all loads and policies, and larger
 // fleets with the loads that are hardest for them.
-func Default() Report {
+func RunDefault() Report {
 	report := Run(Options{})
 	report.Results = append(report.Results, Run(Options{
 		Deployments: []Deployment{Scaled(6), Scaled(12), Scaled(24), Scaled(60)},
--- a/experiment/model.go
+++ b/experiment/model.go
@@ -97,7 +97,7 @@
 // periodic work.
 func (sim *simulation) start() {
 	for _, r := range sim.routers {
-		r.dispatcher.Own(sim.clock.now(), sim.ownedUpstreams(r.index), sim.serviceNumbers(), false)
+		r.dispatcher.SetUpstreams(sim.clock.now(), sim.ownedUpstreams(r.index), sim.serviceNumbers(), false)
 		r.start()
 	}
 	for i := range sim.engines {
@@ -105,10 +105,10 @@
 	}
 }
 
-func (sim *simulation) serviceNumbers() map[fleet.ServiceID]fleet.Number {
-	numbers := make(map[fleet.ServiceID]fleet.Number)
+func (sim *simulation) serviceNumbers() map[fleet.ServiceID]fleet.ShortID {
+	numbers := make(map[fleet.ServiceID]fleet.ShortID)
 	for number, name := range serviceNames {
-		numbers[fleet.ServiceID(name)] = fleet.Number(number)
+		numbers[fleet.ServiceID(name)] = fleet.ShortID(number)
 	}
 	return numbers
 }
@@ -158,7 +158,7 @@
 		sim.control.countLoadReport()
 		sim.clock.runAfter(loadReportLag, func() {
 			r := sim.routers[sim.dispatchers[upstream]]
-			r.dispatcher.Reported(sim.clock.now(), fleet.Number(upstream), load)
+			r.dispatcher.UpdateLoad(sim.clock.now(), fleet.ShortID(upstream), load)
 			r.grantSlots()
 		})
 	})
@@ -188,7 +188,7 @@
 }
 
 // keeperOf returns the router that sums up an account's service.
-func (sim *simulation) keeperOf(service int, account fleet.Number) int {
+func (sim *simulation) keeperOf(service int, account fleet.ShortID) int {
 	key := queueKey{int(account), service}
 	keeper, ok := sim.keepers[key]
 	if !ok {
@@ -234,7 +234,7 @@
 func (sim *simulation) send(request *request) {
 	request.estimatedCost = plainCost
 	if request.service == modelService {
-		output := sim.estimators[request.router].Output(request.estimateKey(), 0)
+		output := sim.estimators[request.router].PredictOutput(request.estimateKey(), 0)
 		request.estimatedCost = estimate.Weights{}.Cost(int64(request.job.inputTokens), output)
 		request.preferred = sim.preferredUpstreams(request.job.prefix)
 	}
--- a/experiment/policy.go
+++ b/experiment/policy.go
@@ -13,7 +13,7 @@
 	// About describes the policy in one phrase.
 	About string
 	// order returns the order in which a dispatcher serves accounts.
-	order func() share.Order[fleet.Number]
+	order func() share.Policy[fleet.ShortID]
 	// limiter returns the limiter of an upstream, given the slots of its release note.
 	limiter   func(slots int) inflight.Limiter
 	placement placement.Policy
@@ -21,7 +21,7 @@
 	static bool
 }
 
-func fairOrder() share.Order[fleet.Number] { return &share.Fair[fleet.Number]{} }
+func fairOrder() share.Policy[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
 
 func adaptiveLimiter(slots int) inflight.Limiter { return &inflight.Adaptive{Max: slots} }
 
@@ -33,18 +33,18 @@
 		{
 			Name:  "fair",
 			About: "one dispatcher per upstream, fair order by fleet-wide service, adaptive limits",
-			order: fairOrder, limiter: adaptiveLimiter, placement: placement.Affinity{},
+			order: fairOrder, limiter: adaptiveLimiter, placement: placement.CacheAffinity{},
 		},
 		{
 			Name:    "fcfs",
 			About:   "one dispatcher per upstream, first come first served, adaptive limits",
-			order:   func() share.Order[fleet.Number] { return &share.FirstCome[fleet.Number]{} },
+			order:   func() share.Policy[fleet.ShortID] { return &share.FirstCome[fleet.ShortID]{} },
 			limiter: adaptiveLimiter, placement: placement.LeastLoaded{},
 		},
 		{
 			Name:  "static-share",
 			About: "each router has a fixed part of each upstream's real batch, and its own fair order",
-			order: fairOrder, limiter: fixedLimiter, placement: placement.Affinity{}, static: true,
+			order: fairOrder, limiter: fixedLimiter, placement: placement.CacheAffinity{}, static: true,
 		},
 	}
 }
@@ -60,13 +60,13 @@
 		{
 			Name:  "fair-fixed",
 			About: "as fair, but with the slots of the release note as a fixed limit",
-			order: fairOrder, limiter: fixedLimiter, placement: placement.Affinity{},
+			order: fairOrder, limiter: fixedLimiter, placement: placement.CacheAffinity{},
 		},
 		{
 			Name:    "deficit-robin",
 			About:   "one dispatcher per upstream, deficit round robin at each, adaptive limits",
-			order:   func() share.Order[fleet.Number] { return &share.DeficitRoundRobin[fleet.Number]{} },
-			limiter: adaptiveLimiter, placement: placement.Affinity{},
+			order:   func() share.Policy[fleet.ShortID] { return &share.DeficitRoundRobin[fleet.ShortID]{} },
+			limiter: adaptiveLimiter, placement: placement.CacheAffinity{},
 		},
 	}
 }
--- a/experiment/replay.go
+++ b/experiment/replay.go
@@ -36,21 +36,21 @@
 	switch {
 	case f.Routers < 1 || f.Routers > MaxRouters:
 		return Result{}, &SizeError{"fleet.routers", f.Routers, MaxRouters}
-	case f.Models < 1 || f.Models > maxUpstreams:
-		return Result{}, &SizeError{"fleet.models", f.Models, maxUpstreams}
-	case f.Plain < 1 || f.Plain > maxUpstreams:
-		return Result{}, &SizeError{"fleet.plain", f.Plain, maxUpstreams}
+	case f.ModelUpstreams < 1 || f.ModelUpstreams > maxUpstreams:
+		return Result{}, &SizeError{"fleet.models", f.ModelUpstreams, maxUpstreams}
+	case f.PlainUpstreams < 1 || f.PlainUpstreams > maxUpstreams:
+		return Result{}, &SizeError{"fleet.plain", f.PlainUpstreams, maxUpstreams}
 	}
 	accounts, numbers := accountsOf(records)
 	sim := newSimulation(Deployment{
-		Name: f.Name, Routers: f.Routers, Models: f.Models, Plain: f.Plain,
-		Accounts: len(accounts), Delay: time.Duration(f.DelayMicroseconds) * time.Microsecond,
+		Name: f.Name, Routers: f.Routers, Models: f.ModelUpstreams, Plain: f.PlainUpstreams,
+		Accounts: len(accounts), Delay: time.Duration(f.OneWayDelayMicroseconds) * time.Microsecond,
 	}, policy, nil, 0)
 	sim.start()
 	sim.metrics.start()
 	var last time.Duration
 	for _, record := range records {
-		at := time.Duration(record.At) * time.Millisecond
+		at := time.Duration(record.ArrivalMs) * time.Millisecond
 		last = max(last, at)
 		sim.clock.runAfter(at, func() { sim.replayRecord(record, numbers[record.Account]) })
 	}
@@ -82,19 +82,19 @@
 // replayRecord sends the request of a trace record.
 func (sim *simulation) replayRecord(record trace.Record, account int) {
 	r := &request{
-		account: account, arrived: sim.clock.elapsed, router: record.Router % len(sim.routers),
-		deadline: sim.clock.elapsed + time.Duration(record.Deadline)*time.Millisecond,
+		account: account, arrived: sim.clock.elapsed, router: record.RouterIndex % len(sim.routers),
+		deadline: sim.clock.elapsed + time.Duration(record.TimeoutMs)*time.Millisecond,
 	}
 	r.onEnd = func(reason refusal.Reason) { sim.metrics.recordEnd(r, reason) }
 	if record.Kind == fleet.Plain {
 		r.service = plainService
-		r.job.plainDuration = max(time.Duration(record.Run)*time.Millisecond, time.Millisecond)
+		r.job.plainDuration = max(time.Duration(record.RunMs)*time.Millisecond, time.Millisecond)
 	} else {
-		r.job.inputTokens, r.job.outputTokens = record.Input, record.Output
-		if record.Output == 0 {
+		r.job.inputTokens, r.job.outputTokens = record.InputTokens, record.OutputTokens
+		if record.OutputTokens == 0 {
 			r.job.outputTokens = int(usualOutput.mean)
 		}
-		r.job.prefix, r.job.prefixTokens = record.Prefix, record.PrefixTokens
+		r.job.prefix, r.job.prefixTokens = record.PrefixID, record.PrefixTokens
 	}
 	sim.send(r)
 }
--- a/experiment/router.go
+++ b/experiment/router.go
@@ -42,7 +42,7 @@
 )
 
 // slotDispatcher is the type of a router's dispatcher.
-type slotDispatcher = dispatcher.Dispatcher[share.Order[fleet.Number], inflight.Limiter, placement.Policy]
+type slotDispatcher = dispatcher.Dispatcher[share.Policy[fleet.ShortID], inflight.Limiter, placement.Policy]
 
 // router is a simulated router: the queues of its callers, a dispatcher for the
 // upstreams assigned to it, and a keeper of service totals.
@@ -72,9 +72,9 @@
 		sim: sim, index: index, id: sim.routerIDs[index], keeper: keeper.New(keeper.Options{}),
 		queueByKey: make(map[queueKey]*queue), grantedThrough: make([]uint64, len(sim.routerIDs)),
 	}
-	r.dispatcher = dispatcher.New(dispatcher.Options[share.Order[fleet.Number], inflight.Limiter, placement.Policy]{
-		Order: sim.policy.order, Limiter: sim.policy.limiter, Placement: sim.policy.placement,
-		Weight: func(account fleet.Number) uint32 { return sim.weight(int(account)) },
+	r.dispatcher = dispatcher.New(dispatcher.Options[share.Policy[fleet.ShortID], inflight.Limiter, placement.Policy]{
+		SharePolicy: sim.policy.order, Limiter: sim.policy.limiter, Placement: sim.policy.placement,
+		Weight: func(account fleet.ShortID) uint32 { return sim.weight(int(account)) },
 		Warmup: !sim.policy.static, Nonce: uint16(index),
 	})
 	for range sim.routerIDs {
@@ -134,13 +134,13 @@
 	id := r.sim.routerIDs[from]
 	for _, held := range batch.GetHeld() {
 		service := r.sim.serviceOf(held.GetUpstream())
-		r.dispatcher.Held(now, id, fleet.Number(service), held)
+		r.dispatcher.HandleHeld(now, id, fleet.ShortID(service), held)
 	}
 	for _, release := range batch.GetReleases() {
 		r.dispatcher.Release(now, id, release)
 	}
 	for _, ask := range batch.GetAsks() {
-		r.dispatcher.Ask(now, id, dispatcher.GrantIDOf(batch.GetGrantedThrough(), uint16(r.index)), ask)
+		r.dispatcher.HandleAsk(now, id, dispatcher.NewGrantID(batch.GetGrantedThrough(), uint16(r.index)), ask)
 	}
 	for _, report := range batch.GetReports() {
 		total := r.updateKeeper(from, report)
@@ -175,7 +175,7 @@
 // deliverGrant sends a grant to the router whose request gets the slot.
 func (r *router) deliverGrant(g dispatcher.Grant) {
 	message := &schema.Grant{
-		Id: g.ID.Count(), Account: uint32(g.Account), Upstream: uint32(g.Upstream), Begin: g.Begin,
+		Id: g.ID.Count(), Account: uint32(g.Account), Upstream: uint32(g.Upstream), Begin: g.ReportBegin,
 	}
 	to := slices.Index(r.sim.routerIDs, g.To)
 	if to == r.index {
@@ -193,7 +193,7 @@
 	}
 	reports := r.dispatcher.Reports(reportThreshold)
 	for service := range serviceNames {
-		for _, report := range reports[fleet.Number(service)] {
+		for _, report := range reports[fleet.ShortID(service)] {
 			r.sendReport(service, report)
 		}
 	}
@@ -203,7 +203,7 @@
 }
 
 // sendReport sends the service of an account to its keeper.
-func (r *router) sendReport(service int, report share.Report[fleet.Number]) {
+func (r *router) sendReport(service int, report share.Report[fleet.ShortID]) {
 	message := &schema.ServiceReport{
 		Service: uint32(service), Account: uint32(report.Key),
 		Cumulative: int64(report.Cumulative), Floor: int64(report.Floor),
@@ -222,21 +222,21 @@
 // account's total.
 func (r *router) updateKeeper(from int, message *schema.ServiceReport) *schema.ServiceTotal {
 	total := r.keeper.Report(r.sim.clock.now(), r.sim.routerIDs[from], 1, share.Report[keeper.Key]{
-		Key:        keeper.Key{Service: fleet.Number(message.GetService()), Account: fleet.Number(message.GetAccount())},
+		Key:        keeper.Key{Service: fleet.ShortID(message.GetService()), Account: fleet.ShortID(message.GetAccount())},
 		Cumulative: fleet.Tokens(message.GetCumulative()), Floor: fleet.Tokens(message.GetFloor()),
 		Outstanding: fleet.Tokens(message.GetOutstanding()),
 	})
 	return &schema.ServiceTotal{
 		Service: message.GetService(), Account: message.GetAccount(),
-		Total: int64(total.Sum), Covered: int64(total.Covered),
+		Total: int64(total.Sum), Covered: int64(total.OwnReported),
 		Outstanding: uint32(max(total.Outstanding, 0)),
 	}
 }
 
 // observeTotal passes a keeper's total to the dispatcher.
 func (r *router) observeTotal(total *schema.ServiceTotal) {
-	r.dispatcher.Observe(fleet.Number(total.GetService()), fleet.Number(total.GetAccount()), share.Total{
-		Sum: fleet.Tokens(total.GetTotal()), Covered: fleet.Tokens(total.GetCovered()),
+	r.dispatcher.Observe(fleet.ShortID(total.GetService()), fleet.ShortID(total.GetAccount()), share.Total{
+		Sum: fleet.Tokens(total.GetTotal()), OwnReported: fleet.Tokens(total.GetCovered()),
 		Outstanding: fleet.Tokens(total.GetOutstanding()),
 	})
 }
@@ -245,13 +245,13 @@
 // asks for them. In small fleets routers ask all dispatchers anyway.
 func (r *router) announceIdleSlots() {
 	const recipients = 5
-	if r.sim.policy.static || len(r.sim.routerIDs) <= fanout.Most {
+	if r.sim.policy.static || len(r.sim.routerIDs) <= fanout.MaxDispatchers {
 		return
 	}
-	all := r.dispatcher.Idle(r.sim.clock.now())
+	all := r.dispatcher.FreeSlots(r.sim.clock.now())
 	for service := range serviceNames {
-		idle := all[fleet.Number(service)]
-		if idle == 0 || r.dispatcher.Unmet(fleet.Number(service)) {
+		idle := all[fleet.ShortID(service)]
+		if idle == 0 || r.dispatcher.HasWaiting(fleet.ShortID(service)) {
 			continue
 		}
 		for range recipients {
--- a/experiment/synthetic.go
+++ b/experiment/synthetic.go
@@ -19,8 +19,8 @@
 	largeAccounts     = 3
 )
 
-// Synthetic describes a trace that is generated from a seed.
-type Synthetic struct {
+// SyntheticTrace describes a trace that is generated from a seed.
+type SyntheticTrace struct {
 	Deployment Deployment
 	Seed       uint64
 	// modelServiceID and plainServiceID are the services that the records name.
@@ -28,23 +28,23 @@
 	plainServiceID fleet.ServiceID
 }
 
-// Synthetics returns the synthetic traces, one for each of the users' deployments.
-func Synthetics() []Synthetic {
-	return []Synthetic{
+// SyntheticTraces returns the synthetic traces, one for each of the users' deployments.
+func SyntheticTraces() []SyntheticTrace {
+	return []SyntheticTrace{
 		{Deployment: Halonen(), Seed: 1103, modelServiceID: "findings", plainServiceID: "orders"},
 		{Deployment: Kilimanjaro(), Seed: 1203, modelServiceID: "assistant", plainServiceID: "bookings"},
 	}
 }
 
-// Trace generates the header and the records of the trace.
-func (s Synthetic) Trace() (trace.Header, []trace.Record) {
+// Generate generates the header and the records of the trace.
+func (s SyntheticTrace) Generate() (trace.Header, []trace.Record) {
 	d := s.Deployment
 	header := trace.Header{
-		About:     fmt.Sprintf("generated from seed %d: 16 accounts, bursts of three large ones after a quiet minute", s.Seed),
-		Synthetic: true, Begun: epoch.UTC(),
+		Origin:    fmt.Sprintf("generated from seed %d: 16 accounts, bursts of three large ones after a quiet minute", s.Seed),
+		Synthetic: true, StartTime: epoch.UTC(),
 		Fleet: trace.Fleet{
-			Name: d.Name, Routers: d.Routers, Models: d.Models, Plain: d.Plain,
-			DelayMicroseconds: int(d.Delay / time.Microsecond),
+			Name: d.Name, Routers: d.Routers, ModelUpstreams: d.Models, PlainUpstreams: d.Plain,
+			OneWayDelayMicroseconds: int(d.Delay / time.Microsecond),
 		},
 	}
 	random := rand.New(rand.NewPCG(s.Seed, 0))
@@ -55,13 +55,13 @@
 			records = append(records, s.bursts(account, random)...)
 		}
 	}
-	slices.SortStableFunc(records, func(a, b trace.Record) int { return int(a.At - b.At) })
+	slices.SortStableFunc(records, func(a, b trace.Record) int { return int(a.ArrivalMs - b.ArrivalMs) })
 	return header, records
 }
 
 // steadyRequests returns an account's requests at a constant rate. All accounts
 // together use a third of the model upstreams' capacity.
-func (s Synthetic) steadyRequests(account int, random *rand.Rand) []trace.Record {
+func (s SyntheticTrace) steadyRequests(account int, random *rand.Rand) []trace.Record {
 	var records []trace.Record
 	perSecond := capacity(s.Deployment) / 3 / float64(s.Deployment.Accounts)
 	for at := nextArrival(0, perSecond, random); at < syntheticDuration; at = nextArrival(at, perSecond, random) {
@@ -76,7 +76,7 @@
 
 // bursts returns three bursts of a large account, each of half as many requests
 // as the fleet has slots, within a second.
-func (s Synthetic) bursts(account int, random *rand.Rand) []trace.Record {
+func (s SyntheticTrace) bursts(account int, random *rand.Rand) []trace.Record {
 	const bursts = 3
 	var records []trace.Record
 	for burst := range bursts {
@@ -95,24 +95,24 @@
 }
 
 // baseRecord returns a record with the fields common to all services.
-func (s Synthetic) baseRecord(account int, at time.Duration, random *rand.Rand) trace.Record {
+func (s SyntheticTrace) baseRecord(account int, at time.Duration, random *rand.Rand) trace.Record {
 	return trace.Record{
-		At: at.Milliseconds(), Account: fleet.AccountID(fmt.Sprintf("account-%02d", account)),
-		Router: random.IntN(s.Deployment.Routers), Deadline: usualDeadline.Milliseconds(),
+		ArrivalMs: at.Milliseconds(), Account: fleet.AccountID(fmt.Sprintf("account-%02d", account)),
+		RouterIndex: random.IntN(s.Deployment.Routers), TimeoutMs: usualDeadline.Milliseconds(),
 	}
 }
 
-func (s Synthetic) modelRequest(account int, at time.Duration, random *rand.Rand) trace.Record {
+func (s SyntheticTrace) modelRequest(account int, at time.Duration, random *rand.Rand) trace.Record {
 	record := s.baseRecord(account, at, random)
 	record.Service, record.Kind = s.modelServiceID, fleet.Model
-	record.Input, record.Output = usualInput.draw(random), usualOutput.draw(random)
+	record.InputTokens, record.OutputTokens = usualInput.draw(random), usualOutput.draw(random)
 	return record
 }
 
-func (s Synthetic) plainCall(account int, at time.Duration, random *rand.Rand) trace.Record {
+func (s SyntheticTrace) plainCall(account int, at time.Duration, random *rand.Rand) trace.Record {
 	record := s.baseRecord(account, at, random)
 	record.Service, record.Kind = s.plainServiceID, fleet.Plain
-	record.Run = 20 + random.Int64N(100)
+	record.RunMs = 20 + random.Int64N(100)
 	record.NonIdempotent = random.IntN(2) == 0
 	return record
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -94,7 +94,7 @@
 	e = explain.Explainer{Request: "c3", Out: &other}
 	require.NoError(t, e.Read(strings.NewReader(refusalSummaries)))
 	require.Zero(t, e.Found())
-	require.NoError(t, e.Suggest())
+	require.NoError(t, e.PrintSummaries())
 	require.Contains(t, other.String(), "14:19:40.000 edge-1 refused 1950 requests without lines of their own: router-overloaded, route r, account ada")
 	require.Contains(t, other.String(), "edge-2 refused 7 requests")
 }
@@ -107,7 +107,7 @@
 	for range 1000 {
 		require.NoError(t, e.Read(strings.NewReader(refusalSummaries)))
 	}
-	require.NoError(t, e.Suggest())
+	require.NoError(t, e.PrintSummaries())
 	require.LessOrEqual(t, strings.Count(out.String(), "\n"), 12)
 	require.Contains(t, out.String(), "1950")
 }
--- a/explain/sums.go
+++ b/explain/sums.go
@@ -35,9 +35,9 @@
 	slices.SortStableFunc(e.summaries, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 }
 
-// Suggest prints the largest summaries, which may include a request without lines. It is
+// PrintSummaries prints the largest summaries, which may include a request without lines. It is
 // called after all logs were read.
-func (e *Explainer) Suggest() error {
+func (e *Explainer) PrintSummaries() error {
 	e.keepLargest()
 	for i := range e.summaries {
 		if err := e.print(&e.summaries[i], e.summaries[i].describeSummary()); err != nil {
--- a/fanout/fanout.go
+++ b/fanout/fanout.go
@@ -10,9 +10,9 @@
 import "time"
 
 const (
-	// Most is the maximum number of dispatchers to ask. Others announce their idle slots
+	// MaxDispatchers is the maximum number of dispatchers to ask. Others announce their idle slots
 	// by themselves.
-	Most = 8
+	MaxDispatchers = 8
 	// firstAskWait is how long only one dispatcher is asked. It is longer than the round
 	// trip to a dispatcher including its delays.
 	firstAskWait = 10 * time.Millisecond
@@ -27,14 +27,14 @@
 	burstRequests = 8
 )
 
-// Of returns how many dispatchers to ask, from 1 to Most, for the number of waiting
+// Dispatchers returns how many dispatchers to ask, from 1 to Most, for the number of waiting
 // requests of an account and the time that the oldest has waited.
-func Of(waiting int, waited time.Duration) int {
+func Dispatchers(waiting int, waited time.Duration) int {
 	switch {
 	case waited < firstAskWait:
 		return 1
 	case waited < secondAskWait && waiting < burstRequests:
 		return 2
 	}
-	return Most
+	return MaxDispatchers
 }
--- a/fanout/fanout_test.go
+++ b/fanout/fanout_test.go
@@ -11,9 +11,9 @@
 
 func TestOf(t *testing.T) {
 	t.Parallel()
-	require.Equal(t, 1, fanout.Of(1, 0))
-	require.Equal(t, 1, fanout.Of(100, 9*time.Millisecond))
-	require.Equal(t, 2, fanout.Of(1, 10*time.Millisecond))
-	require.Equal(t, fanout.Most, fanout.Of(8, 10*time.Millisecond))
-	require.Equal(t, fanout.Most, fanout.Of(1, 20*time.Millisecond))
+	require.Equal(t, 1, fanout.Dispatchers(1, 0))
+	require.Equal(t, 1, fanout.Dispatchers(100, 9*time.Millisecond))
+	require.Equal(t, 2, fanout.Dispatchers(1, 10*time.Millisecond))
+	require.Equal(t, fanout.MaxDispatchers, fanout.Dispatchers(8, 10*time.Millisecond))
+	require.Equal(t, fanout.MaxDispatchers, fanout.Dispatchers(1, 20*time.Millisecond))
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -10,15 +10,15 @@
 // ServiceID identifies a model or a plain application.
 type ServiceID string
 
-// Kind is the kind of a service, spelt as in release notes.
-type Kind string
+// ServiceKind is the kind of a service, spelt as in release notes.
+type ServiceKind string
 
 // The kinds of services.
 const (
 	// Model is a model that is called with chat completions.
-	Model Kind = "model"
+	Model ServiceKind = "model"
 	// Plain is an application that plain HTTP requests are forwarded to.
-	Plain Kind = "plain"
+	Plain ServiceKind = "plain"
 )
 
 // UpstreamID identifies a back end of a service.
@@ -33,9 +33,9 @@
 // RequestID identifies a caller's request. Every answer carries it.
 type RequestID string
 
-// Number identifies an account, a service or an upstream in control messages. A release note
+// ShortID identifies an account, a service or an upstream in control messages. A release note
 // assigns it, and it is never reused.
-type Number uint32
+type ShortID uint32
 
 // Version is the number of a release note, counted in the order of acceptance. Zero means none.
 type Version uint64
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -38,12 +38,12 @@
 	DefaultRecovery = 3 * time.Second
 )
 
-// WaitFor returns how long one call may wait for a change so that changes are known
+// MaxWait returns how long one call may wait for a change so that changes are known
 // within recovery after the store, or a connection to it, briefly stopped responding.
 //
 // A lost answer is noticed only when the call times out, and until then requests are
 // handled by an outdated configuration. Longer waits cost fewer calls.
-func WaitFor(recovery time.Duration) time.Duration {
+func MaxWait(recovery time.Duration) time.Duration {
 	if recovery <= 0 {
 		recovery = DefaultRecovery
 	}
@@ -85,11 +85,11 @@
 	Sink Sink[R, V]
 	// Wait is how long one call waits for a change; zero means WaitFor(DefaultRecovery).
 	Wait time.Duration
-	// Rest returns the interval at which the table is polled while other routers
+	// PollInterval returns the interval at which the table is polled while other routers
 	// pass on its changes; zero means to follow it without pauses, and so does a nil
 	// Rest. It is called repeatedly, and the result may change.
-	Rest func() time.Duration
-	Log  *slog.Logger
+	PollInterval func() time.Duration
+	Log          *slog.Logger
 
 	// lostAt is when the store was found not to answer, zero while it does, and
 	// failedCalls counts the calls without an answer since then.
@@ -141,12 +141,12 @@
 // waitForPoll waits until the table has to be polled. It spreads the calls of Followers
 // with the same interval.
 func (f *Follower[R, V]) waitForPoll(ctx context.Context) {
-	if f.Rest == nil {
+	if f.PollInterval == nil {
 		return
 	}
 	spread := 0.5 + rand.Float64()
 	for ctx.Err() == nil {
-		interval := time.Duration(spread * float64(f.Rest()))
+		interval := time.Duration(spread * float64(f.PollInterval()))
 		if time.Since(f.lastCall) >= interval {
 			return
 		}
@@ -186,12 +186,12 @@
 // its end by the wait, while the router uses outdated rows.
 func (f *Follower[R, V]) wait() time.Duration {
 	switch {
-	case !f.lostAt.IsZero(), f.Rest != nil && f.Rest() > 0:
+	case !f.lostAt.IsZero(), f.PollInterval != nil && f.PollInterval() > 0:
 		return 0
 	case f.Wait > 0:
 		return f.Wait
 	default:
-		return WaitFor(DefaultRecovery)
+		return MaxWait(DefaultRecovery)
 	}
 }
 
--- a/follow/group.go
+++ b/follow/group.go
@@ -42,16 +42,16 @@
 	// them that precede this one in the choice of followers.
 	peerCount   int
 	rankedAhead []fleet.RouterID
-	standings   map[fleet.RouterID]Standing
+	standings   map[fleet.RouterID]Status
 	storeLost   bool
 }
 
-// Standing is the state that a router announces to the others.
-type Standing struct {
+// Status is the state that a router announces to the others.
+type Status struct {
 	// Follows is true if the router follows the store for all.
 	Follows bool
-	// Lost is true if the router can't read the store.
-	Lost bool
+	// StoreLost is true if the router can't read the store.
+	StoreLost bool
 }
 
 // SetRouters sets which other routers are connected.
@@ -62,7 +62,7 @@
 	g.rankedAhead = nil
 	key := rendezvous.KeyOf("follow", "store")
 	own := rendezvous.Score(key, g.Self)
-	standings := make(map[fleet.RouterID]Standing, len(others))
+	standings := make(map[fleet.RouterID]Status, len(others))
 	for _, id := range others {
 		if rendezvous.Score(key, id) > own {
 			g.rankedAhead = append(g.rankedAhead, id)
@@ -74,12 +74,12 @@
 	g.standings = standings
 }
 
-// Hear records the Standing that another router announced.
-func (g *Group) Hear(from fleet.RouterID, s Standing) {
+// SetPeerStatus records the Standing that another router announced.
+func (g *Group) SetPeerStatus(from fleet.RouterID, s Status) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.standings == nil {
-		g.standings = make(map[fleet.RouterID]Standing)
+		g.standings = make(map[fleet.RouterID]Status)
 	}
 	g.standings[from] = s
 }
@@ -91,11 +91,11 @@
 	g.storeLost = lost
 }
 
-// Own returns the Standing that this router announces.
-func (g *Group) Own() Standing {
+// OwnStatus returns the Standing that this router announces.
+func (g *Group) OwnStatus() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Standing{Follows: g.isFollower(), Lost: g.storeLost}
+	return Status{Follows: g.isFollower(), StoreLost: g.storeLost}
 }
 
 // isFollower reports whether this router is among those that follow for all. In a large
@@ -107,16 +107,16 @@
 	}
 	unable := 0
 	for _, id := range g.rankedAhead {
-		if g.standings[id].Lost {
+		if g.standings[id].StoreLost {
 			unable++
 		}
 	}
 	return len(g.rankedAhead)-min(unable, maxSubstitutes) < followerCount
 }
 
-// Rest returns the interval at which this router polls the store; zero means that it
+// PollInterval returns the interval at which this router polls the store; zero means that it
 // has to follow it.
-func (g *Group) Rest() time.Duration {
+func (g *Group) PollInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	followers, able := g.countFollowers()
@@ -130,9 +130,9 @@
 	}
 }
 
-// IsBlind reports whether this router does not follow the store and none of those
+// FollowersLostStore reports whether this router does not follow the store and none of those
 // that do can read it.
-func (g *Group) IsBlind() bool { return g.Rest() == blindPollInterval }
+func (g *Group) FollowersLostStore() bool { return g.PollInterval() == blindPollInterval }
 
 // countFollowers returns how many other routers follow, and how many of them can read the
 // store.
@@ -142,7 +142,7 @@
 			continue
 		}
 		followers++
-		if !s.Lost {
+		if !s.StoreLost {
 			able++
 		}
 	}
