--- a/follow/group_test.go
+++ b/follow/group_test.go
@@ -39,12 +39,12 @@
 func exchangeStandings(all map[fleet.RouterID]*follow.Group, unavailable bool) {
 	for range 20 {
 		for id, g := range all {
-			if g.Own().Follows {
+			if g.OwnStatus().Follows {
 				g.SetLost(unavailable)
 			}
 			for other, h := range all {
 				if other != id {
-					h.Hear(id, g.Own())
+					h.SetPeerStatus(id, g.OwnStatus())
 				}
 			}
 		}
@@ -54,7 +54,7 @@
 func following(all map[fleet.RouterID]*follow.Group) int {
 	count := 0
 	for _, g := range all {
-		if g.Rest() == 0 {
+		if g.PollInterval() == 0 {
 			count++
 		}
 	}
@@ -83,7 +83,7 @@
 	exchangeStandings(all, true)
 	require.LessOrEqual(t, following(all), 12)
 	for _, g := range all {
-		require.Equal(t, g.Rest() > 0, g.IsBlind())
+		require.Equal(t, g.PollInterval() > 0, g.FollowersLostStore())
 	}
 	exchangeStandings(all, false)
 	require.Equal(t, 4, following(all))
@@ -97,7 +97,7 @@
 	exchangeStandings(all, false)
 	refused := make(map[fleet.RouterID]bool)
 	for id, g := range all {
-		refused[id] = g.Own().Follows
+		refused[id] = g.OwnStatus().Follows
 	}
 	for range 5 {
 		for id, g := range all {
@@ -106,17 +106,17 @@
 			}
 			for other, h := range all {
 				if other != id {
-					h.Hear(id, g.Own())
+					h.SetPeerStatus(id, g.OwnStatus())
 				}
 			}
 		}
 	}
 	able := 0
 	for id, g := range all {
-		if g.Own().Follows && !refused[id] {
+		if g.OwnStatus().Follows && !refused[id] {
 			able++
 		}
-		require.False(t, g.IsBlind())
+		require.False(t, g.FollowersLostStore())
 	}
 	require.Equal(t, 4, able)
 }
@@ -129,6 +129,6 @@
 	exchangeStandings(all, false)
 	for _, g := range all {
 		g.SetRouters(nil)
-		require.Equal(t, time.Duration(0), g.Rest())
+		require.Equal(t, time.Duration(0), g.PollInterval())
 	}
 }
--- a/follow/machine_test.go
+++ b/follow/machine_test.go
@@ -51,7 +51,7 @@
 		for id, g := range all {
 			for other := range all {
 				if other != id {
-					g.Hear(other, follow.Standing{Follows: rapid.Bool().Draw(t, "follows"), Lost: rapid.Bool().Draw(t, "lost")})
+					g.SetPeerStatus(other, follow.Status{Follows: rapid.Bool().Draw(t, "follows"), StoreLost: rapid.Bool().Draw(t, "lost")})
 				}
 			}
 		}
@@ -63,9 +63,9 @@
 		following := 0
 		for id, g := range all {
 			g.SetRouters(except(all, id))
-			if g.Own().Follows {
+			if g.OwnStatus().Follows {
 				following++
-				require.Zero(t, g.Rest())
+				require.Zero(t, g.PollInterval())
 			}
 		}
 		require.Positive(t, following)
--- a/forward/admit.go
+++ b/forward/admit.go
@@ -36,7 +36,7 @@
 	if h.shutdown.isRefusing() {
 		return refusal.New(refusal.Stopping, "this router is stopping", stoppingRetryAfter)
 	}
-	j.intake = h.Dialect.Intake(j.request.Header)
+	j.intake = h.Codec.ParseRequest(j.request.Header)
 	table := h.State.Table()
 	if table == nil {
 		return refusal.New(refusal.NotReady, "this router has no configuration yet", notReadyRetryAfter)
@@ -48,7 +48,7 @@
 	if err := j.authenticate(table); err != nil {
 		return err
 	}
-	if h.Takes != nil && !h.Takes(j.arrived, j.account) {
+	if h.HasCapacity != nil && !h.HasCapacity(j.arrived, j.account) {
 		return j.shed()
 	}
 	if err := j.checkQueue(); err != nil {
@@ -60,8 +60,8 @@
 // shed returns the refusal of a request for which this router has no processor time, and reports
 // its cost.
 func (j *job) shed() *refusal.Error {
-	if j.handler.Shed != nil {
-		j.handler.Shed(j.service, j.account, j.cost())
+	if j.handler.OnShed != nil {
+		j.handler.OnShed(j.service, j.account, j.cost())
 	}
 	return refusal.New(refusal.RouterOverloaded, "this router is overloaded", overloadedRetryAfter)
 }
@@ -87,14 +87,14 @@
 	j.route = found
 	j.service = found.ServiceOf(j.intake.ID)
 	j.deadline = j.arrived.Add(found.Timeout)
-	if j.intake.Left > 0 && j.intake.Left < found.Timeout {
-		j.deadline = j.arrived.Add(j.intake.Left)
+	if j.intake.Timeout > 0 && j.intake.Timeout < found.Timeout {
+		j.deadline = j.arrived.Add(j.intake.Timeout)
 	}
 	return nil
 }
 
 func (j *job) authenticate(table *route.Table) *refusal.Error {
-	if !table.Keyed() {
+	if !table.RequiresKey() {
 		return nil
 	}
 	account, ok := table.AccountOf(j.intake.Key)
@@ -155,6 +155,6 @@
 	attempt.StripHopByHop(j.header)
 	j.header.Del("Expect")
 	j.header.Del("Content-Length")
-	j.handler.Dialect.Clean(j.header)
+	j.handler.Codec.StripReserved(j.header)
 	return nil
 }
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -108,7 +108,7 @@
 	firstByte := j.firstByteAt.Sub(j.arrived)
 	h.Metrics.Requests.WithLabelValues(string(j.service), "answered").Inc()
 	if j.account != "" {
-		h.Metrics.Service.WithLabelValues(string(j.account)).Add(j.cost())
+		h.Metrics.ServiceTokens.WithLabelValues(string(j.account)).Add(j.cost())
 	}
 	h.Metrics.QueueSeconds.WithLabelValues(string(j.service)).Observe(j.queueTime.Seconds())
 	h.Metrics.FirstByteSeconds.WithLabelValues(string(j.service)).Observe(firstByte.Seconds())
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -88,7 +88,7 @@
 		return j.failSend(ctx, ticket, err)
 	}
 	defer answer.Body.Close()
-	verdict := j.handler.Dialect.Verdict(answer.Status, answer.Header)
+	verdict := j.handler.Codec.ParseAnswer(answer.Status, answer.Header)
 	if verdict.NotRun {
 		ticket.End(time.Now(), turn.Refused)
 		_, _ = io.CopyN(io.Discard, answer.Body, maxBuffered) // read so that the connection can be used again
@@ -96,7 +96,7 @@
 	}
 	j.possibleRuns++
 	if isNotFromUpstream(answer.Status, verdict) {
-		f := &failure{reason: retry.BrokenBefore, sent: true, cause: errNotFromUpstream}
+		f := &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: errNotFromUpstream}
 		ticket.End(time.Now(), turn.Failed)
 		return f
 	}
@@ -108,8 +108,8 @@
 
 // isNotFromUpstream reports whether an answer can't come from the upstream itself: a success
 // without its signature, or a status that implies "not run" though the upstream didn't state it.
-func isNotFromUpstream(status int, verdict Verdict) bool {
-	return impliesNotRun(status) || (status >= 200 && status < 300 && !verdict.Genuine)
+func isNotFromUpstream(status int, verdict AnswerInfo) bool {
+	return impliesNotRun(status) || (status >= 200 && status < 300 && !verdict.Signed)
 }
 
 func (j *job) isStream(answer *upstream.Answer) bool {
@@ -118,11 +118,11 @@
 
 func (j *job) send(ctx context.Context, ticket home.Ticket, probe *upstream.Probe) (*upstream.Answer, error) {
 	to := ticket.Upstream()
-	passing := Passing{Left: time.Until(j.deadline), Account: j.account, Upstream: to, FetchFrom: ticket.FetchFrom()}
+	passing := AttemptInfo{TimeLeft: time.Until(j.deadline), Account: j.account, Upstream: to, FetchFrom: ticket.FetchFrom()}
 	if j.headerSent && j.lastEventID > 0 {
-		passing.After = strconv.FormatUint(j.lastEventID, 10)
+		passing.LastEventID = strconv.FormatUint(j.lastEventID, 10)
 	}
-	j.handler.Dialect.Address(j.header, passing)
+	j.handler.Codec.SetUpstreamHeader(j.header, passing)
 	return j.handler.Client.Do(ctx, to.Address, upstream.Request{
 		ID: j.intake.ID, Method: j.request.Method, URI: j.request.RequestURI,
 		Host: j.request.Host, Header: j.header, Body: j.body, Probe: probe,
@@ -131,7 +131,7 @@
 
 // failSend classifies the failure of an exchange that brought no answer and ends the ticket.
 func (j *job) failSend(ctx context.Context, ticket home.Ticket, err error) *failure {
-	f := &failure{reason: retry.BrokenBefore, sent: true, cause: err}
+	f := &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: err}
 	var failed *upstream.Error
 	if errors.As(err, &failed) && !failed.Sent {
 		f.sent = false
@@ -159,13 +159,13 @@
 	var sink *stream.SinkError
 	switch {
 	case errors.As(f.cause, &sink):
-		return turn.Left
+		return turn.Abandoned
 	case errors.Is(cause, errUpstreamSilent):
 		return turn.Failed
-	case errors.Is(cause, errDeadline) && j.sends > 0 && time.Since(j.arrived) > j.route.Target:
+	case errors.Is(cause, errDeadline) && j.sends > 0 && time.Since(j.arrived) > j.route.LatencyTarget:
 		return turn.Failed
 	case cause != nil:
-		return turn.Left
+		return turn.Abandoned
 	case !f.sent:
 		return turn.Unreachable
 	}
@@ -176,12 +176,12 @@
 // limit, when the request can't be retried anyway.
 func (j *job) silenceLimit() time.Duration {
 	switch {
-	case !j.route.Idempotent() || j.possibleRuns+1 >= j.route.Attempts || j.sends+1 >= maxSends:
+	case !j.route.Idempotent() || j.possibleRuns+1 >= j.route.MaxAttempts || j.sends+1 >= maxSends:
 		return 0
 	case j.route.Kind == route.Streaming:
-		return time.Duration(silenceFactor*float64(j.route.Target)) + silenceMargin
+		return time.Duration(silenceFactor*float64(j.route.LatencyTarget)) + silenceMargin
 	default:
-		return time.Duration(plainSilenceFactor * float64(j.route.Target))
+		return time.Duration(plainSilenceFactor * float64(j.route.LatencyTarget))
 	}
 }
 
@@ -189,14 +189,14 @@
 func (j *job) relayPlain(ctx context.Context, ticket home.Ticket, answer *upstream.Answer, watch *silenceWatch) *failure {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBuffered+1))
 	if err != nil {
-		return j.fail(ctx, ticket, &failure{reason: retry.BrokenBefore, sent: true, cause: err})
+		return j.fail(ctx, ticket, &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: err})
 	}
-	ticket.First(time.Now())
+	ticket.RecordFirstEvent(time.Now())
 	w := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) > maxBuffered {
 		if !watch.keepUpstream() {
 			ticket.End(time.Now(), turn.Failed)
-			return &failure{reason: retry.BrokenBefore, sent: true, cause: errUpstreamSilent}
+			return &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: errUpstreamSilent}
 		}
 		return j.relayUnbuffered(ctx, ticket, w, answer)
 	}
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -44,13 +44,13 @@
 	b.Cleanup(server.Close)
 	shares := []route.Share{{Service: "s", Weight: 1}}
 	table := route.NewTable(route.Configuration{Version: 1, Routes: []route.Route{
-		{Host: "h", Prefix: "/order/", Kind: route.NonIdempotent, Shares: shares, Timeout: time.Minute, Target: time.Second, Attempts: 1},
-		{Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Shares: shares, Timeout: time.Minute, Target: time.Second, Attempts: 1},
+		{Host: "h", Prefix: "/order/", Kind: route.NonIdempotent, Shares: shares, Timeout: time.Minute, LatencyTarget: time.Second, MaxAttempts: 1},
+		{Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Shares: shares, Timeout: time.Minute, LatencyTarget: time.Second, MaxAttempts: 1},
 	}})
 	pool := &turn.Pool{Placement: turn.LeastLoaded{}}
-	pool.Set(time.Now(), []registry.Upstream{{ID: "u", Address: server.Listener.Addr().String(), Slots: 1024}}, time.Second)
+	pool.SetUpstreams(time.Now(), []registry.Upstream{{ID: "u", Address: server.Listener.Addr().String(), Slots: 1024}}, time.Second)
 	handler := &forward.Handler{
-		Dialect: dialect{}, State: &fixedState{table: table, pool: pool}, Client: &upstream.Client{},
+		Codec: dialect{}, State: &fixedState{table: table, pool: pool}, Client: &upstream.Client{},
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	front := httptest.NewServer(handler)
--- a/forward/caller.go
+++ b/forward/caller.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	raw, err := conn.SyscallConn()
-	return err == nil && socket.Ended(raw)
+	return err == nil && socket.PeerClosed(raw)
 }
 
 // abandon ends a request whose caller has disconnected, and gives back its turn if it has one.
--- a/forward/caller_test.go
+++ b/forward/caller_test.go
@@ -20,7 +20,7 @@
 	f := start(t, answersOK)
 	left := make(chan struct{})
 	// Holds the request until its caller has disconnected.
-	f.handler.Takes = func(time.Time, fleet.AccountID) bool {
+	f.handler.HasCapacity = func(time.Time, fleet.AccountID) bool {
 		<-left
 		return true
 	}
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -63,7 +63,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, stream.ErrPartial, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, stream.ErrPartialEvent, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(cause, end) {
 			return true
 		}
--- a/forward/empty_test.go
+++ b/forward/empty_test.go
@@ -15,10 +15,10 @@
 
 // removeUpstreamsDuringWait removes all upstreams while a request waits for its turn.
 func (f *fixture) removeUpstreamsDuringWait() {
-	f.state.turn = func(ctx context.Context, d turn.Demand) (home.Ticket, error) {
-		time.AfterFunc(50*time.Millisecond, func() { f.state.pool.Set(time.Now(), nil, time.Second) })
+	f.state.turn = func(ctx context.Context, d turn.Request) (home.Ticket, error) {
+		time.AfterFunc(50*time.Millisecond, func() { f.state.pool.SetUpstreams(time.Now(), nil, time.Second) })
 		d.Patience = time.Hour
-		return home.Await(ctx, f.state.pool, d)
+		return home.AwaitLocal(ctx, f.state.pool, d)
 	}
 }
 
@@ -26,12 +26,12 @@
 func (f *fixture) occupy(t *testing.T) {
 	t.Helper()
 	for {
-		ticket, err := f.state.pool.Ask(time.Now(), turn.Demand{Account: "other", Patience: time.Hour})
+		ticket, err := f.state.pool.Submit(time.Now(), turn.Request{Account: "other", Patience: time.Hour})
 		require.NoError(t, err)
 		select {
 		case <-ticket.Granted():
 		default:
-			require.NotNil(t, ticket.GiveUp(time.Now()))
+			require.NotNil(t, ticket.Cancel(time.Now()))
 			return
 		}
 	}
@@ -64,16 +64,16 @@
 	busy := registry.Upstream{ID: "busy", Address: "127.0.0.1:9", Slots: 1}
 	begin := make(chan time.Time, 1)
 	pool := f.state.pool
-	f.state.turn = func(ctx context.Context, d turn.Demand) (home.Ticket, error) {
+	f.state.turn = func(ctx context.Context, d turn.Request) (home.Ticket, error) {
 		if len(d.Tried) > 0 {
-			pool.Set(time.Now(), []registry.Upstream{busy}, time.Second)
+			pool.SetUpstreams(time.Now(), []registry.Upstream{busy}, time.Second)
 			f.occupy(t)
 			f.removeUpstreamsDuringWait()
 			begin <- time.Now()
 			return f.state.turn(ctx, d)
 		}
 		defer close(breaks)
-		return home.Await(ctx, pool, d)
+		return home.AwaitLocal(ctx, pool, d)
 	}
 	_, body, _, err := f.post(t, "/stream/1")
 	require.Error(t, err)
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -28,64 +28,64 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// Intake holds what a caller's header says about its request.
-type Intake struct {
+// RequestInfo holds what a caller's header says about its request.
+type RequestInfo struct {
 	ID fleet.RequestID
 	// Key is the account's API key, empty when the caller sent none.
 	Key string
-	// Left is the caller's timeout; zero when it states none.
-	Left time.Duration
+	// Timeout is the caller's timeout; zero when it states none.
+	Timeout time.Duration
 	// Beginnings identify the prefixes of the prompt, from short to long.
-	Beginnings []turn.Beginning
-	// Input is the number of prompt tokens and Output the expected number of generated tokens; both
+	Beginnings []turn.Prefix
+	// InputTokens is the number of prompt tokens and Output the expected number of generated tokens; both
 	// are zero when the request has no prompt.
-	Input  int
-	Output int
+	InputTokens  int
+	OutputTokens int
 }
 
-// Passing holds what an upstream is told in addition to the request.
-type Passing struct {
-	// Left is the time until the request's deadline.
-	Left    time.Duration
-	Account fleet.AccountID
+// AttemptInfo holds what an upstream is told in addition to the request.
+type AttemptInfo struct {
+	// TimeLeft is the time until the request's deadline.
+	TimeLeft time.Duration
+	Account  fleet.AccountID
 	// Upstream is the upstream, and its life, that the request is sent to.
 	Upstream registry.Upstream
-	// After is the id of the last event that was relayed to the caller. It is empty when there is
+	// LastEventID is the id of the last event that was relayed to the caller. It is empty when there is
 	// none or when the caller sent Last-Event-ID itself.
-	After string
+	LastEventID string
 	// FetchFrom is the address of an upstream whose cache holds the beginning of the prompt, to be
 	// copied from there; empty for none.
 	FetchFrom string
 }
 
-// Verdict holds what an answer's header says about the handling of the request.
-type Verdict struct {
+// AnswerInfo holds what an answer's header says about the handling of the request.
+type AnswerInfo struct {
 	// NotRun is true when the upstream states that it hasn't run the request and never will.
 	NotRun bool
-	// Genuine is true when the answer carries an upstream's signature.
-	Genuine bool
+	// Signed is true when the answer carries an upstream's signature.
+	Signed bool
 }
 
-// Dialect translates between header fields and their meaning.
-type Dialect interface {
-	// Intake parses a caller's header. A field that can't be parsed counts as absent.
-	Intake(header http.Header) Intake
-	// Clean removes the key, and the fields that callers may not set for upstreams.
-	Clean(header http.Header)
-	// Address sets the fields of the request that is sent to an upstream.
-	Address(header http.Header, passing Passing)
-	// Verdict parses the status and header of an upstream's answer.
-	Verdict(status int, header http.Header) Verdict
+// HeaderCodec translates between header fields and their meaning.
+type HeaderCodec interface {
+	// ParseRequest parses a caller's header. A field that can't be parsed counts as absent.
+	ParseRequest(header http.Header) RequestInfo
+	// StripReserved removes the key, and the fields that callers may not set for upstreams.
+	StripReserved(header http.Header)
+	// SetUpstreamHeader sets the fields of the request that is sent to an upstream.
+	SetUpstreamHeader(header http.Header, passing AttemptInfo)
+	// ParseAnswer parses the status and header of an upstream's answer.
+	ParseAnswer(status int, header http.Header) AnswerInfo
 }
 
-// State gives access to a router's configuration, turns and retry policies. It is safe for
+// RoutingState gives access to a router's configuration, turns and retry policies. It is safe for
 // concurrent use.
-type State interface {
+type RoutingState interface {
 	// Table returns the configuration in force, nil when none is known.
 	Table() *route.Table
 	// Turn waits for a request's turn at a service. The error is *turn.RefusedError when the turn
 	// can't come in time, or the error of ctx.
-	Turn(ctx context.Context, service fleet.ServiceID, demand turn.Demand) (home.Ticket, error)
+	Turn(ctx context.Context, service fleet.ServiceID, demand turn.Request) (home.Ticket, error)
 	// Retries returns the retry policy of a service.
 	Retries(service fleet.ServiceID) retry.Policy
 }
@@ -107,32 +107,32 @@
 // Handler is the http.Handler for callers. All fields are required but Routine, Crowded, Takes,
 // Shed, Quarantine, Guard and Latency.
 type Handler struct {
-	Dialect Dialect
-	State   State
+	Codec   HeaderCodec
+	State   RoutingState
 	Client  *upstream.Client
 	Metrics *metric.Set
 	// Log gets failed attempts, refusals of requests that were sent, and summaries of other
 	// refusals.
 	Log *slog.Logger
-	// Routine gets the lines on all other requests, of which there may be many; nil means Log.
-	Routine *slog.Logger
-	// Crowded reports whether connections should be closed after their answer because too many are
+	// RoutineLog gets the lines on all other requests, of which there may be many; nil means Log.
+	RoutineLog *slog.Logger
+	// TooManyConnections reports whether connections should be closed after their answer because too many are
 	// open; nil means never.
-	Crowded func() bool
-	// Takes reports whether the router has processor time for a request of an account that has just
+	TooManyConnections func() bool
+	// HasCapacity reports whether the router has processor time for a request of an account that has just
 	// arrived; nil means always.
-	Takes func(now time.Time, account fleet.AccountID) bool
-	// Shed is called for each request that Takes refused, with the request's cost in tokens; it may
+	HasCapacity func(now time.Time, account fleet.AccountID) bool
+	// OnShed is called for each request that Takes refused, with the request's cost in tokens; it may
 	// be nil.
-	Shed func(service fleet.ServiceID, account fleet.AccountID, tokens float64)
+	OnShed func(service fleet.ServiceID, account fleet.AccountID, tokens float64)
 	// Quarantine may be nil.
 	Quarantine Quarantine
 	// Guard recovers from panics in single requests; nil lets them propagate.
 	Guard *recovery.Guard
-	// Latency returns the recent scheduling latency of goroutines; nil means zero.
-	Latency func() time.Duration
+	// SchedulingLatency returns the recent scheduling latency of goroutines; nil means zero.
+	SchedulingLatency func() time.Duration
 
-	queues   admission.Lines[queueKey]
+	queues   admission.QueueLimiter[queueKey]
 	shutdown shutdownState
 	answered atomic.Uint64
 	refusals refusal.Summary
@@ -152,7 +152,7 @@
 	h.shutdown.begin()
 	defer h.shutdown.end()
 	j := &job{handler: h, writer: w, request: r, arrived: time.Now()}
-	if h.shutdown.isClosingConnections() || (h.Crowded != nil && h.Crowded()) {
+	if h.shutdown.isClosingConnections() || (h.TooManyConnections != nil && h.TooManyConnections()) {
 		w.Header().Set("Connection", "close")
 	}
 	if err := h.Guard.Do(recovery.Request, j.handle, "request", requestIDValue{j}); err != nil {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -27,26 +27,26 @@
 // dialect is a simple Dialect for tests.
 type dialect struct{}
 
-func (dialect) Intake(h http.Header) forward.Intake {
-	in := forward.Intake{ID: fleet.RequestID(h.Get("X-Id")), Key: h.Get("X-Key")}
+func (dialect) ParseRequest(h http.Header) forward.RequestInfo {
+	in := forward.RequestInfo{ID: fleet.RequestID(h.Get("X-Id")), Key: h.Get("X-Key")}
 	if left, err := time.ParseDuration(h.Get("X-Left")); err == nil {
-		in.Left = left
+		in.Timeout = left
 	}
 	return in
 }
-func (dialect) Clean(h http.Header) { h.Del("X-Key") }
+func (dialect) StripReserved(h http.Header) { h.Del("X-Key") }
 
-func (dialect) Address(h http.Header, p forward.Passing) {
+func (dialect) SetUpstreamHeader(h http.Header, p forward.AttemptInfo) {
 	h.Set("X-Upstream", string(p.Upstream.ID))
 	h.Set("X-Account", string(p.Account))
-	h.Set("X-Left", p.Left.String())
-	if p.After != "" {
-		h.Set("Last-Event-Id", p.After)
+	h.Set("X-Left", p.TimeLeft.String())
+	if p.LastEventID != "" {
+		h.Set("Last-Event-Id", p.LastEventID)
 	}
 }
 
-func (dialect) Verdict(_ int, h http.Header) forward.Verdict {
-	return forward.Verdict{NotRun: h.Get("X-Not-Run") != "", Genuine: h.Get("X-Signed") != ""}
+func (dialect) ParseAnswer(_ int, h http.Header) forward.AnswerInfo {
+	return forward.AnswerInfo{NotRun: h.Get("X-Not-Run") != "", Signed: h.Get("X-Signed") != ""}
 }
 
 // upstreams records the requests that reach any upstream.
@@ -100,24 +100,24 @@
 	table := route.NewTable(route.Configuration{
 		Version: 3,
 		Routes: []route.Route{
-			{Name: "order", Host: "h", Prefix: "/order/", Kind: route.NonIdempotent, Shares: shares, Timeout: 2 * time.Second, Target: time.Second, Attempts: 2},
-			{Name: "read", Host: "h", Prefix: "/read/", Kind: route.Safe, Shares: shares, Timeout: 2 * time.Second, Target: time.Second, Attempts: 2},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Shares: shares, Timeout: 5 * time.Second, Target: time.Second, MaxPause: 200 * time.Millisecond, Attempts: 2},
-			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.Streaming, Shares: shares, Timeout: 5 * time.Second, Target: time.Second, MaxPause: time.Second, Attempts: 2},
-			{Name: "short", Host: "h", Prefix: "/short/", Kind: route.NonIdempotent, Shares: shares, Timeout: 200 * time.Millisecond, Target: 100 * time.Millisecond, Attempts: 1},
-			{Name: "public", Host: "h", Prefix: "/public/", Kind: route.Safe, Public: true, Shares: shares, Timeout: time.Second, Target: time.Second, Attempts: 1},
+			{Name: "order", Host: "h", Prefix: "/order/", Kind: route.NonIdempotent, Shares: shares, Timeout: 2 * time.Second, LatencyTarget: time.Second, MaxAttempts: 2},
+			{Name: "read", Host: "h", Prefix: "/read/", Kind: route.Safe, Shares: shares, Timeout: 2 * time.Second, LatencyTarget: time.Second, MaxAttempts: 2},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Shares: shares, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxPause: 200 * time.Millisecond, MaxAttempts: 2},
+			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.Streaming, Shares: shares, Timeout: 5 * time.Second, LatencyTarget: time.Second, MaxPause: time.Second, MaxAttempts: 2},
+			{Name: "short", Host: "h", Prefix: "/short/", Kind: route.NonIdempotent, Shares: shares, Timeout: 200 * time.Millisecond, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 1},
+			{Name: "public", Host: "h", Prefix: "/public/", Kind: route.Safe, Public: true, Shares: shares, Timeout: time.Second, LatencyTarget: time.Second, MaxAttempts: 1},
 		},
 		Services: []route.Service{{ID: "s"}},
 		Accounts: []route.Account{{ID: "ada", Keys: []string{"k"}}},
 		Limits:   route.Limits{MaxBodyBytes: 1 << 20},
 	})
 	pool := &turn.Pool{Placement: turn.LeastLoaded{}}
-	pool.Set(time.Now(), list, time.Second)
-	client := &upstream.Client{Echoed: func(h http.Header) fleet.RequestID { return fleet.RequestID(h.Get("X-Id")) }}
+	pool.SetUpstreams(time.Now(), list, time.Second)
+	client := &upstream.Client{EchoedID: func(h http.Header) fleet.RequestID { return fleet.RequestID(h.Get("X-Id")) }}
 	t.Cleanup(client.Close)
 	f.state = &fixedState{table: table, pool: pool}
 	f.handler = &forward.Handler{
-		Dialect: dialect{}, State: f.state, Client: client,
+		Codec: dialect{}, State: f.state, Client: client,
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	f.router = httptest.NewUnstartedServer(f.handler)
@@ -332,7 +332,7 @@
 	t.Parallel()
 	f := start(t, answersOK)
 	for _, crowded := range []bool{false, true} {
-		f.handler.Crowded = func() bool { return crowded }
+		f.handler.TooManyConnections = func() bool { return crowded }
 		answer, err := http.DefaultClient.Do(f.request(t, http.MethodPost, "/read/1", "body"))
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
@@ -347,9 +347,9 @@
 func TestRequestWithoutProcessorTimeIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := start(t, answersOK)
-	f.handler.Takes = func(time.Time, fleet.AccountID) bool { return false }
+	f.handler.HasCapacity = func(time.Time, fleet.AccountID) bool { return false }
 	shed := 0.0
-	f.handler.Shed = func(_ fleet.ServiceID, _ fleet.AccountID, tokens float64) { shed += tokens }
+	f.handler.OnShed = func(_ fleet.ServiceID, _ fleet.AccountID, tokens float64) { shed += tokens }
 	answer, err := http.DefaultClient.Do(f.request(t, http.MethodPost, "/order/1", "body"))
 	require.NoError(t, err)
 	require.NoError(t, answer.Body.Close())
@@ -379,8 +379,8 @@
 		inFlight <- outcome{status, err}
 	}()
 	require.Eventually(t, func() bool { return f.count() == 1 }, 5*time.Second, time.Millisecond)
-	f.handler.Leave()
-	f.handler.Refuse()
+	f.handler.DisableKeepAlives()
+	f.handler.RefuseNew()
 	status, _, header, err := f.post(t, "/order/2")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
--- a/forward/held.go
+++ b/forward/held.go
@@ -57,16 +57,16 @@
 	return idle
 }
 
-// Leave makes each answer close its connection, so that callers reconnect to another router.
+// DisableKeepAlives makes each answer close its connection, so that callers reconnect to another router.
 // Requests are still served, because the balancer sends new connections here until it notices.
-func (h *Handler) Leave() {
+func (h *Handler) DisableKeepAlives() {
 	h.shutdown.mu.Lock()
 	defer h.shutdown.mu.Unlock()
 	h.shutdown.closingConnections = true
 }
 
-// Refuse makes the handler refuse new requests as not run.
-func (h *Handler) Refuse() {
+// RefuseNew makes the handler refuse new requests as not run.
+func (h *Handler) RefuseNew() {
 	h.shutdown.mu.Lock()
 	defer h.shutdown.mu.Unlock()
 	h.shutdown.refusing = true
@@ -82,8 +82,8 @@
 	}
 }
 
-// InHand returns the number of requests in flight.
-func (h *Handler) InHand() int {
+// InFlight returns the number of requests in flight.
+func (h *Handler) InFlight() int {
 	h.shutdown.mu.Lock()
 	defer h.shutdown.mu.Unlock()
 	return h.shutdown.inFlight
--- a/forward/job.go
+++ b/forward/job.go
@@ -48,7 +48,7 @@
 	request *http.Request
 	arrived time.Time
 
-	intake   Intake
+	intake   RequestInfo
 	version  fleet.Version
 	route    *route.Route
 	service  fleet.ServiceID
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithDeadlineCause(j.request.Context(), j.deadline, errDeadline)
 	defer cancel()
 	defer j.releaseNextTicket()
-	j.handler.retries(j).First(j.arrived)
+	j.handler.retries(j).RecordFirstAttempt(j.arrived)
 	if j.isCallerGone() {
 		j.abandon(nil)
 		return
@@ -146,17 +146,17 @@
 func (h *Handler) retries(j *job) retry.Policy { return h.State.Retries(j.service) }
 
 // demand returns the request's demand for its next turn.
-func (j *job) demand() turn.Demand {
-	d := turn.Demand{
-		Account: j.account, Beginnings: j.intake.Beginnings, Tried: j.tried,
-		Input: max(j.intake.Input, 1), Output: j.intake.Output, Target: j.route.Target,
+func (j *job) demand() turn.Request {
+	d := turn.Request{
+		Account: j.account, Prefixes: j.intake.Beginnings, Tried: j.tried,
+		Input: max(j.intake.InputTokens, 1), Output: j.intake.OutputTokens, Target: j.route.LatencyTarget,
 	}
 	d.Patience = max(min(j.maxWait(), time.Until(j.deadline)), 0)
 	return d
 }
 
 // cost returns the tokens that the request counts towards its account's service.
-func (j *job) cost() float64 { return turn.Cost(max(j.intake.Input, 1), j.intake.Output) }
+func (j *job) cost() float64 { return turn.Cost(max(j.intake.InputTokens, 1), j.intake.OutputTokens) }
 
 // maxWait returns how long the request may wait for its next turn, before its account's share and
 // its deadline are taken into account.
@@ -165,9 +165,9 @@
 	case j.headerSent:
 		return resumeMaxWait
 	case j.route.Kind == route.Streaming:
-		return time.Duration(streamWaitFraction * float64(j.route.Target))
+		return time.Duration(streamWaitFraction * float64(j.route.LatencyTarget))
 	default:
-		return time.Duration(plainWaitFraction * float64(j.route.Target))
+		return time.Duration(plainWaitFraction * float64(j.route.LatencyTarget))
 	}
 }
 
@@ -203,7 +203,7 @@
 }
 
 // waitInQueue waits for a turn while the request counts in the queue of its account.
-func (j *job) waitInQueue(ctx context.Context, demand turn.Demand) (home.Ticket, error) {
+func (j *job) waitInQueue(ctx context.Context, demand turn.Request) (home.Ticket, error) {
 	j.handler.queues.Enter(time.Now(), j.queueKey())
 	granted := false
 	defer func() { j.handler.queues.Leave(time.Now(), j.queueKey(), granted) }() // also if Turn panics
@@ -221,7 +221,7 @@
 		switch {
 		case refused.NoUpstream:
 			out.Reason = refusal.NoUpstream
-		case refused.Held:
+		case refused.Capped:
 			out.Reason = refusal.AccountAhead
 		}
 	}
@@ -257,7 +257,7 @@
 	if j.headerSent && (j.route.Kind != route.Streaming || !j.route.Resumable) {
 		return false
 	}
-	if !f.notRun && (!j.route.Idempotent() || j.possibleRuns >= j.route.Attempts) {
+	if !f.notRun && (!j.route.Idempotent() || j.possibleRuns >= j.route.MaxAttempts) {
 		return false
 	}
 	if !f.sent {
@@ -265,7 +265,7 @@
 		return true
 	}
 	allowed := j.handler.retries(j).Allow(time.Now(), retry.Attempt{
-		Count: 1, Outcome: f.outcome(), Idempotent: j.route.Idempotent(),
+		Number: 1, Outcome: f.outcome(), Idempotent: j.route.Idempotent(),
 		AnswerStarted: j.headerSent, Resumable: j.headerSent, Deadline: j.deadline,
 	})
 	if allowed {
--- a/forward/log.go
+++ b/forward/log.go
@@ -57,9 +57,9 @@
 	to := ticket.Upstream()
 	by, why := j.attemptEnd(ctx, f)
 	j.handler.Log.Warn("attempt failed",
-		"request", j.intake.ID, "upstream", to.ID, "address", to.Address, "life", to.Life, "reason", f.reason,
+		"request", j.intake.ID, "upstream", to.ID, "address", to.Address, "life", to.StartTime, "reason", f.reason,
 		"ended-by", by, "decision", why, "fingerprint", j.fingerprint(), "sent", f.sent, "not-run", f.notRun,
-		"attempt", j.sends, "events", j.eventCount, "last-event", j.lastEventID, "unread-tokens", ticket.Work(),
+		"attempt", j.sends, "events", j.eventCount, "last-event", j.lastEventID, "unread-tokens", ticket.PendingPrefill(),
 		"age-ms", ms(time.Since(j.arrived)), "attempt-ms", ms(time.Since(j.sentAt)), "left-ms", ms(time.Until(j.deadline)),
 		"silent-ms", ms(j.silence.lasted), "silence-limit-ms", ms(j.silence.limit), "latency-ms", ms(j.handler.latency()),
 		"cause", errorText(f.cause))
@@ -67,10 +67,10 @@
 
 // latency returns the recent scheduling latency of this process.
 func (h *Handler) latency() time.Duration {
-	if h.Latency == nil {
+	if h.SchedulingLatency == nil {
 		return 0
 	}
-	return h.Latency()
+	return h.SchedulingLatency()
 }
 
 // logRefusal logs a refusal. One of a request that was never sent may be counted in a summary
@@ -96,23 +96,23 @@
 func (h *Handler) LogRefusals() {
 	for _, summary := range h.refusals.Take() {
 		h.Log.Warn("requests refused", "reason", summary.Reason, "account", summary.Account, "route", summary.Route,
-			"count", summary.Count, "first", summary.First, "longest-ms", ms(summary.Longest))
+			"count", summary.Count, "first", summary.FirstIDs, "longest-ms", ms(summary.LongestWait))
 	}
 }
 
 // routine returns the log for requests that were answered or never sent.
 func (h *Handler) routine() *slog.Logger {
-	if h.Routine == nil {
+	if h.RoutineLog == nil {
 		return h.Log
 	}
-	return h.Routine
+	return h.RoutineLog
 }
 
 // logAnswer logs an answered request. Of those answered in time at the first attempt, only a sample
 // is logged.
 func (j *job) logAnswer(ticket home.Ticket, now time.Time, firstByte time.Duration) {
 	h := j.handler
-	late := firstByte > j.route.Target
+	late := firstByte > j.route.LatencyTarget
 	if !late && j.sends == 1 && !h.isSampled() {
 		return
 	}
@@ -120,7 +120,7 @@
 	h.routine().LogAttrs(j.request.Context(), slog.LevelInfo, "request answered",
 		slog.String("request", string(j.intake.ID)), slog.Bool("late", late), slog.String("route", j.route.Name),
 		slog.String("account", string(j.account)), slog.String("upstream", string(to.ID)), slog.Int("sends", j.sends),
-		slog.Uint64("configuration", uint64(j.version)), slog.Int("unread-tokens", ticket.Work()),
+		slog.Uint64("configuration", uint64(j.version)), slog.Int("unread-tokens", ticket.PendingPrefill()),
 		slog.Float64("waited-ms", ms(j.queueTime)), slog.Float64("first-ms", ms(firstByte)),
 		slog.Float64("total-ms", ms(now.Sub(j.arrived))), slog.Int("events", j.eventCount))
 }
--- a/forward/log_test.go
+++ b/forward/log_test.go
@@ -55,9 +55,9 @@
 func (f *fixture) captureLog() (end func() []byte) {
 	var out bytes.Buffer
 	w := logging.New(&out)
-	log := w.Log(slog.LevelInfo)
+	log := w.Logger(slog.LevelInfo)
 	f.handler.Log = logging.WithPriority(log, logging.Failure)
-	f.handler.Routine = logging.WithPriority(log, logging.Request)
+	f.handler.RoutineLog = logging.WithPriority(log, logging.Request)
 	return func() []byte {
 		f.handler.LogRefusals()
 		w.Close()
@@ -121,7 +121,7 @@
 	t.Parallel()
 	f := start(t, slices.Repeat([]http.HandlerFunc{breakOffByPath}, 8)...) // enough slots for all streams
 	end := f.captureLog()
-	f.handler.Latency = func() time.Duration { return 7 * time.Millisecond }
+	f.handler.SchedulingLatency = func() time.Duration { return 7 * time.Millisecond }
 	f.breakOffUnderFlood(t)
 	lines := readLog(t, end())
 	summed := 0
--- a/forward/panic.go
+++ b/forward/panic.go
@@ -29,7 +29,7 @@
 // refuses the request, as not run only if it was never sent.
 func (j *job) panicked(cause error) {
 	if j.ticket != nil {
-		j.ticket.End(time.Now(), turn.Left)
+		j.ticket.End(time.Now(), turn.Abandoned)
 	}
 	outcome := refusal.NotRun
 	if j.sends > 0 {
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -19,14 +19,16 @@
 // panickingDialect panics when it parses an upstream's answer.
 type panickingDialect struct{ dialect }
 
-func (panickingDialect) Verdict(int, http.Header) forward.Verdict { panic("a fault of the router") }
+func (panickingDialect) ParseAnswer(int, http.Header) forward.AnswerInfo {
+	panic("a fault of the router")
+}
 
 // recoverPanics sets a Guard. It returns the Guard's log and the number of recovered panics.
 func (f *fixture) recoverPanics() (log *bytes.Buffer, panics *atomic.Int64) {
 	log, panics = &bytes.Buffer{}, &atomic.Int64{}
 	f.handler.Guard = &recovery.Guard{
-		Log:   slog.New(slog.NewJSONHandler(log, nil)),
-		Count: func() { panics.Add(1) },
+		Log:     slog.New(slog.NewJSONHandler(log, nil)),
+		OnPanic: func() { panics.Add(1) },
 	}
 	return log, panics
 }
@@ -36,7 +38,7 @@
 	t.Parallel()
 	f := start(t, answersOK)
 	log, panics := f.recoverPanics()
-	f.handler.Dialect = panickingDialect{}
+	f.handler.Codec = panickingDialect{}
 	for range 20 { // more than the upstream has slots
 		status, body, header, err := f.post(t, "/order/1")
 		require.NoError(t, err)
@@ -47,7 +49,7 @@
 	require.EqualValues(t, 20, panics.Load())
 	require.Contains(t, log.String(), `"request":"id-1"`)
 	require.Contains(t, log.String(), "panickingDialect.Verdict")
-	f.handler.Dialect = dialect{}
+	f.handler.Codec = dialect{}
 	status, _, _, err := f.post(t, "/order/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
@@ -58,12 +60,12 @@
 	t.Parallel()
 	f := start(t, events(1, 3, false), events(1, 6, true))
 	_, panics := f.recoverPanics()
-	f.state.turn = func(ctx context.Context, d turn.Demand) (home.Ticket, error) {
+	f.state.turn = func(ctx context.Context, d turn.Request) (home.Ticket, error) {
 		if len(d.Tried) > 0 {
 			panic("a fault of the router")
 		}
 		d.Tried = []turn.Instance{{ID: "u1"}}
-		return home.Await(ctx, f.state.pool, d)
+		return home.AwaitLocal(ctx, f.state.pool, d)
 	}
 	_, body, _, err := f.post(t, "/stream/1")
 	require.Error(t, err)
--- a/forward/refused_test.go
+++ b/forward/refused_test.go
@@ -51,9 +51,9 @@
 func occupied(b *testing.B) *turn.Pool {
 	b.Helper()
 	pool := &turn.Pool{Placement: turn.LeastLoaded{}}
-	pool.Set(time.Now(), []registry.Upstream{{ID: "u", Slots: 1}}, time.Hour)
+	pool.SetUpstreams(time.Now(), []registry.Upstream{{ID: "u", Slots: 1}}, time.Hour)
 	for {
-		ticket, err := pool.Ask(time.Now(), turn.Demand{Account: "other", Patience: time.Hour})
+		ticket, err := pool.Submit(time.Now(), turn.Request{Account: "other", Patience: time.Hour})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -72,14 +72,14 @@
 	b.Helper()
 	shares := []route.Share{{Service: "s", Weight: 1}}
 	configuration := route.Configuration{Version: 1, Routes: []route.Route{
-		{Host: "h", Prefix: "/stream/", Kind: route.Streaming, Shares: shares, Timeout: time.Hour, Target: time.Hour, Attempts: 1},
+		{Host: "h", Prefix: "/stream/", Kind: route.Streaming, Shares: shares, Timeout: time.Hour, LatencyTarget: time.Hour, MaxAttempts: 1},
 	}}
 	for i := range accountCount {
 		account := route.Account{ID: fleet.AccountID(fmt.Sprintf("account-%d", i)), Keys: []string{fmt.Sprintf("key-%d", i)}}
 		configuration.Accounts = append(configuration.Accounts, account)
 	}
 	handler := &forward.Handler{
-		Dialect: dialect{}, State: &fixedState{table: route.NewTable(configuration), pool: pool}, Client: &upstream.Client{},
+		Codec: dialect{}, State: &fixedState{table: route.NewTable(configuration), pool: pool}, Client: &upstream.Client{},
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	front := httptest.NewUnstartedServer(handler)
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -28,7 +28,7 @@
 		event, err := events.Next()
 		if err == nil {
 			watch.suspend()
-			err = j.writeEvent(ticket, answer, event, events.More())
+			err = j.writeEvent(ticket, answer, event, events.HasBuffered())
 			watch.resume(j.pauseLimit())
 		}
 		switch {
@@ -68,7 +68,7 @@
 // writeEvent sends one event to the caller. Events that the caller already has are skipped; a gap
 // in the ids is an error. Output is flushed unless more is true.
 func (j *job) writeEvent(ticket home.Ticket, answer *upstream.Answer, event stream.Event, more bool) error {
-	ticket.First(time.Now())
+	ticket.RecordFirstEvent(time.Now())
 	id := uint64(event.ID)
 	if id > 0 && j.lastEventID > 0 {
 		if id <= j.lastEventID {
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -22,7 +22,7 @@
 // exhaustedRetries is a policy whose budget is used up.
 type exhaustedRetries struct{}
 
-func (exhaustedRetries) First(time.Time) {}
+func (exhaustedRetries) RecordFirstAttempt(time.Time) {}
 
 func (exhaustedRetries) Allow(time.Time, retry.Attempt) bool { return false }
 
@@ -87,13 +87,13 @@
 	f := start(t, fn, fn)
 	var returned atomic.Int32
 	asks := 0
-	f.state.turn = func(ctx context.Context, d turn.Demand) (home.Ticket, error) {
+	f.state.turn = func(ctx context.Context, d turn.Request) (home.Ticket, error) {
 		asks++
 		if asks == 1 {
-			return home.Await(ctx, f.state.pool, d)
+			return home.AwaitLocal(ctx, f.state.pool, d)
 		}
 		time.Sleep(overlongPause) // an event arrives meanwhile
-		ticket, err := home.Await(context.WithoutCancel(ctx), f.state.pool, d)
+		ticket, err := home.AwaitLocal(context.WithoutCancel(ctx), f.state.pool, d)
 		return countingTicket{ticket, &returned}, err
 	}
 	requireCompleteFromOneUpstream(t, f)
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -65,7 +65,7 @@
 		return
 	}
 	var ticket home.Ticket
-	if !w.probe.Arrived() {
+	if !w.probe.HasUnread() {
 		ticket = w.find(w.ctx)
 	}
 	if !w.switchTo(ticket, received) && ticket != nil {
@@ -170,7 +170,7 @@
 // allowSwitch takes a retry from the budget for leaving a silent upstream.
 func (j *job) allowSwitch(ctx context.Context) bool {
 	allowed := j.handler.retries(j).Allow(time.Now(), retry.Attempt{
-		Count: 1, Outcome: refusal.Unknown, Idempotent: true, Deadline: j.deadline,
+		Number: 1, Outcome: refusal.Unknown, Idempotent: true, Deadline: j.deadline,
 	})
 	if !allowed {
 		j.logSilentKept(ctx, errRetryBudget)
--- a/home/ask.go
+++ b/home/ask.go
@@ -43,7 +43,7 @@
 // ask requests a turn from a home and waits for it. A home that doesn't answer is skipped
 // until a message from it arrives: it may be frozen, disconnected or starved of processor
 // time, and asking it again would delay the first event of each request.
-func (h *Homes) ask(ctx context.Context, home fleet.RouterID, service fleet.ServiceID, pool *turn.Pool, d turn.Demand) (Ticket, error) {
+func (h *Coordinator) ask(ctx context.Context, home fleet.RouterID, service fleet.ServiceID, pool *turn.Pool, d turn.Request) (Ticket, error) {
 	id, a, timeout := h.openAsk(home)
 	defer h.closeAsk(id)
 	asked := time.Now()
@@ -83,7 +83,7 @@
 
 // openAsk registers a new ask. It returns its ID and the time within which the home has
 // to answer.
-func (h *Homes) openAsk(home fleet.RouterID) (uint64, *pendingAsk, time.Duration) {
+func (h *Coordinator) openAsk(home fleet.RouterID) (uint64, *pendingAsk, time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastAskID++
@@ -95,24 +95,24 @@
 	return h.lastAskID, a, h.roundTrip.answerTimeout()
 }
 
-func (h *Homes) observeRoundTrip(took time.Duration) {
+func (h *Coordinator) observeRoundTrip(took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.roundTrip.observe(took)
 }
 
-func (h *Homes) closeAsk(id uint64) {
+func (h *Coordinator) closeAsk(id uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.pendingAsks, id)
 }
 
-func (h *Homes) sendLeft(home fleet.RouterID, id uint64) {
+func (h *Coordinator) sendLeft(home fleet.RouterID, id uint64) {
 	h.Send(home, &schema.Batch{TurnNotes: []*schema.TurnNote{{Id: id, Left: true}}})
 }
 
 // markUnresponsive records that a home didn't answer an ask in time.
-func (h *Homes) markUnresponsive(home fleet.RouterID, id uint64, asked time.Time) {
+func (h *Coordinator) markUnresponsive(home fleet.RouterID, id uint64, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.roundTrip.recordTimeout(id, asked)
@@ -128,9 +128,9 @@
 
 // acceptGrant returns the ticket for a turn that a home has granted. It releases the turn
 // if its upstream has left, which the home may not know yet.
-func (h *Homes) acceptGrant(home fleet.RouterID, id uint64, pool *turn.Pool, grant *schema.TurnGrant) (Ticket, error) {
+func (h *Coordinator) acceptGrant(home fleet.RouterID, id uint64, pool *turn.Pool, grant *schema.TurnGrant) (Ticket, error) {
 	t := &remoteTicket{homes: h, home: home, id: id, upstream: registry.Decode(grant.GetUpstream()).Upstream, fetchFrom: grant.GetFetchFrom(), work: int(grant.GetWork())}
-	if !pool.Has(turn.InstanceOf(t.upstream)) {
+	if !pool.HasInstance(turn.InstanceOf(t.upstream)) {
 		t.End(time.Now(), turn.Unsent)
 		return nil, &UpstreamGoneError{Instance: turn.InstanceOf(t.upstream)}
 	}
@@ -139,7 +139,7 @@
 
 // handleAnswer passes an answer to the request that waits for it. A granted turn that no
 // request waits for any more is released.
-func (h *Homes) handleAnswer(from fleet.RouterID, answer *schema.TurnAnswer) {
+func (h *Coordinator) handleAnswer(from fleet.RouterID, answer *schema.TurnAnswer) {
 	h.mu.Lock()
 	a := h.pendingAsks[answer.GetId()]
 	if a == nil {
@@ -160,7 +160,7 @@
 
 // remoteTicket is a turn that another router has granted.
 type remoteTicket struct {
-	homes         *Homes
+	homes         *Coordinator
 	home          fleet.RouterID
 	id            uint64
 	upstream      registry.Upstream
@@ -172,10 +172,10 @@
 
 func (t *remoteTicket) Upstream() registry.Upstream { return t.upstream }
 func (t *remoteTicket) FetchFrom() string           { return t.fetchFrom }
-func (t *remoteTicket) Work() int                   { return t.work }
+func (t *remoteTicket) PendingPrefill() int         { return t.work }
 
-// First tells the home that the upstream has read the prompt.
-func (t *remoteTicket) First(time.Time) {
+// RecordFirstEvent tells the home that the upstream has read the prompt.
+func (t *remoteTicket) RecordFirstEvent(time.Time) {
 	if t.hasFirstEvent || t.hasEnded {
 		return
 	}
@@ -208,7 +208,7 @@
 const noteDelay = 50 * time.Millisecond
 
 // queueNote sends a note with the next ask to the home, or after noteDelay.
-func (h *Homes) queueNote(home fleet.RouterID, note *schema.TurnNote) {
+func (h *Coordinator) queueNote(home fleet.RouterID, note *schema.TurnNote) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.pendingNotes == nil {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (h *Homes) takeNotes(home fleet.RouterID) []*schema.TurnNote {
+func (h *Coordinator) takeNotes(home fleet.RouterID) []*schema.TurnNote {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	notes := h.pendingNotes[home]
@@ -228,7 +228,7 @@
 	return notes
 }
 
-func (h *Homes) flushNotes(home fleet.RouterID) {
+func (h *Coordinator) flushNotes(home fleet.RouterID) {
 	if notes := h.takeNotes(home); len(notes) > 0 {
 		h.Send(home, &schema.Batch{TurnNotes: notes})
 	}
--- a/home/home.go
+++ b/home/home.go
@@ -43,19 +43,19 @@
 	// FetchFrom returns the address of an upstream that has more of the prompt in its
 	// cache, or an empty string if there is none.
 	FetchFrom() string
-	// Work returns the number of tokens that the upstream has to read before the first
+	// PendingPrefill returns the number of tokens that the upstream has to read before the first
 	// event.
-	Work() int
-	// First records that the first event has arrived.
-	First(now time.Time)
+	PendingPrefill() int
+	// RecordFirstEvent records that the first event has arrived.
+	RecordFirstEvent(now time.Time)
 	// End records that the request has ended.
 	End(now time.Time, outcome turn.Outcome)
 }
 
-// Homes requests turns from the homes of upstream groups, and grants turns for the groups
+// Coordinator requests turns from the homes of upstream groups, and grants turns for the groups
 // whose home is this router. All exported fields but Guard must be set. It is safe for
 // concurrent use.
-type Homes struct {
+type Coordinator struct {
 	Self fleet.RouterID
 	// Send sends a batch to another router, or drops it if that router isn't connected.
 	Send func(to fleet.RouterID, batch *schema.Batch)
@@ -92,23 +92,23 @@
 }
 
 // SetRouters replaces the list of other connected routers.
-func (h *Homes) SetRouters(others []fleet.RouterID) {
+func (h *Coordinator) SetRouters(others []fleet.RouterID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.routers = append([]fleet.RouterID{h.Self}, others...)
 	h.homeByGroup = nil
 }
 
-// Decide reports whether turns are granted by homes. In a small fleet each router decides
+// IsActive reports whether turns are granted by homes. In a small fleet each router decides
 // by itself.
-func (h *Homes) Decide() bool {
+func (h *Coordinator) IsActive() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return fleet.IsLarge(len(h.routers))
 }
 
 // homeOf returns the home of a group.
-func (h *Homes) homeOf(g group) fleet.RouterID {
+func (h *Coordinator) homeOf(g group) fleet.RouterID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if home, known := h.homeByGroup[g]; known {
@@ -128,12 +128,12 @@
 	return h.homeByGroup[g]
 }
 
-// Turn waits until the request is granted a turn. It returns *turn.RefusedError if the
+// RequestTurn waits until the request is granted a turn. It returns *turn.RefusedError if the
 // turn can't come in time, or the error of ctx.
-func (h *Homes) Turn(ctx context.Context, service fleet.ServiceID, pool *turn.Pool, d turn.Demand) (Ticket, error) {
-	number, grouped := pool.Group(&d)
-	if !grouped || !h.Decide() {
-		return Await(ctx, pool, d)
+func (h *Coordinator) RequestTurn(ctx context.Context, service fleet.ServiceID, pool *turn.Pool, d turn.Request) (Ticket, error) {
+	number, grouped := pool.GroupOf(&d)
+	if !grouped || !h.IsActive() {
+		return AwaitLocal(ctx, pool, d)
 	}
 	deadline := time.Now().Add(d.Patience)
 	for range maxHomes {
@@ -152,12 +152,12 @@
 		}
 		d.Patience = max(time.Until(deadline), 0)
 	}
-	return Await(ctx, pool, d)
+	return AwaitLocal(ctx, pool, d)
 }
 
-// Await waits for a turn that this router grants by itself.
-func Await(ctx context.Context, pool *turn.Pool, d turn.Demand) (Ticket, error) {
-	ticket, err := pool.Ask(time.Now(), d)
+// AwaitLocal waits for a turn that this router grants by itself.
+func AwaitLocal(ctx context.Context, pool *turn.Pool, d turn.Request) (Ticket, error) {
+	ticket, err := pool.Submit(time.Now(), d)
 	if err != nil {
 		return nil, err
 	}
@@ -174,20 +174,20 @@
 	case refused := <-ticket.Refused():
 		return nil, refused
 	case <-patience.C:
-		if refused := ticket.GiveUp(time.Now()); refused != nil {
+		if refused := ticket.Cancel(time.Now()); refused != nil {
 			return nil, refused
 		}
 		return ticket, nil
 	case <-ctx.Done():
-		if ticket.GiveUp(time.Now()) == nil {
+		if ticket.Cancel(time.Now()) == nil {
 			ticket.End(time.Now(), turn.Unsent)
 		}
 		return nil, ctx.Err()
 	}
 }
 
-// Hear handles a batch from another router.
-func (h *Homes) Hear(from fleet.RouterID, batch *schema.Batch) {
+// HandleBatch handles a batch from another router.
+func (h *Coordinator) HandleBatch(from fleet.RouterID, batch *schema.Batch) {
 	h.markResponsive(from)
 	for _, n := range batch.GetTurnNotes() {
 		h.handleNote(from, n) // handled before the asks, since notes free places
@@ -202,7 +202,7 @@
 }
 
 // markResponsive makes a router eligible as a home again once it has sent something.
-func (h *Homes) markResponsive(from fleet.RouterID) {
+func (h *Coordinator) markResponsive(from fleet.RouterID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.unresponsive[from] {
@@ -212,9 +212,9 @@
 	}
 }
 
-// Lost handles the end of the connection to a router. Its turns are released: if the
+// HandleDisconnect handles the end of the connection to a router. Its turns are released: if the
 // router has stopped, its requests have ended with it, and otherwise it asks again.
-func (h *Homes) Lost(router fleet.RouterID) {
+func (h *Coordinator) HandleDisconnect(router fleet.RouterID) {
 	h.mu.Lock()
 	turns := h.peerTurns[router]
 	delete(h.peerTurns, router)
@@ -226,6 +226,6 @@
 	}
 	h.mu.Unlock()
 	for _, t := range turns {
-		t.end(turn.Left)
+		t.end(turn.Abandoned)
 	}
 }
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -29,7 +29,7 @@
 // dropped.
 type network struct {
 	mu       sync.Mutex
-	routers  map[fleet.RouterID]*home.Homes
+	routers  map[fleet.RouterID]*home.Coordinator
 	pools    map[fleet.RouterID]*turn.Pool
 	isolated map[fleet.RouterID]bool
 	// readDelay is the additional delay until a router reads a message.
@@ -41,7 +41,7 @@
 func engines(n int) []registry.Upstream {
 	list := make([]registry.Upstream, n)
 	for i := range list {
-		list[i] = registry.Upstream{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 64, Life: 1}
+		list[i] = registry.Upstream{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 64, StartTime: 1}
 	}
 	return list
 }
@@ -50,7 +50,7 @@
 // engines.
 func startNetwork(routers, upstreams int) *network {
 	n := &network{
-		routers: make(map[fleet.RouterID]*home.Homes), pools: make(map[fleet.RouterID]*turn.Pool),
+		routers: make(map[fleet.RouterID]*home.Coordinator), pools: make(map[fleet.RouterID]*turn.Pool),
 		isolated: make(map[fleet.RouterID]bool), askCount: make(map[fleet.RouterID]int),
 		readDelay: make(map[fleet.RouterID]time.Duration),
 	}
@@ -58,9 +58,9 @@
 		id := fleet.RouterID(fmt.Sprintf("r%d", i))
 		pool := &turn.Pool{}
 		pool.SetGrouped(time.Now(), true)
-		pool.Set(time.Now(), engines(upstreams), target)
+		pool.SetUpstreams(time.Now(), engines(upstreams), target)
 		n.pools[id] = pool
-		n.routers[id] = &home.Homes{
+		n.routers[id] = &home.Coordinator{
 			Self: id, Log: slog.New(slog.DiscardHandler),
 			Pool: func(fleet.ServiceID) *turn.Pool { return pool },
 			Send: func(to fleet.RouterID, batch *schema.Batch) { n.send(id, to, batch) },
@@ -91,7 +91,7 @@
 	if n.isolated[from] || n.isolated[to] || receiver == nil {
 		return
 	}
-	time.AfterFunc(messageDelay+n.readDelay[to], func() { receiver.Hear(from, batch) })
+	time.AfterFunc(messageDelay+n.readDelay[to], func() { receiver.HandleBatch(from, batch) })
 }
 
 func (n *network) setReadDelay(id fleet.RouterID, delay time.Duration) {
@@ -124,7 +124,7 @@
 	delete(n.routers, killed)
 	n.mu.Unlock()
 	n.connect()
-	n.routers[other].Lost(killed)
+	n.routers[other].HandleDisconnect(killed)
 }
 
 func (n *network) setIsolated(id fleet.RouterID, isolated bool) {
@@ -146,16 +146,16 @@
 	return most
 }
 
-func (n *network) turn(ctx context.Context, router fleet.RouterID, d turn.Demand) (home.Ticket, error) {
-	return n.routers[router].Turn(ctx, "s", n.pools[router], d)
+func (n *network) turn(ctx context.Context, router fleet.RouterID, d turn.Request) (home.Ticket, error) {
+	return n.routers[router].RequestTurn(ctx, "s", n.pools[router], d)
 }
 
 // demandFor returns a demand whose prompt shares its beginning with all others of the
 // same prefix.
-func demandFor(prefix, prompt uint64) turn.Demand {
-	return turn.Demand{
+func demandFor(prefix, prompt uint64) turn.Request {
+	return turn.Request{
 		Account: "a", Input: 12_000, Output: 100, Target: target, Patience: target / 2,
-		Beginnings: []turn.Beginning{{Hash: prefix, Tokens: 10_000}, {Hash: prompt, Tokens: 12_000}},
+		Prefixes: []turn.Prefix{{Hash: prefix, Tokens: 10_000}, {Hash: prompt, Tokens: 12_000}},
 	}
 }
 
@@ -216,7 +216,7 @@
 		require.Less(t, ask(), 130*time.Millisecond)
 		require.LessOrEqual(t, ask(), 2*messageDelay)
 		n.setIsolated(frozen, false)
-		n.routers[asking].Hear(frozen, &schema.Batch{})
+		n.routers[asking].HandleBatch(frozen, &schema.Batch{})
 		before := n.asksTo(frozen)
 		ask()
 		require.Equal(t, before+1, n.asksTo(frozen))
@@ -305,10 +305,10 @@
 		_, err = n.turn(ctx, "r2", big)
 		require.ErrorIs(t, err, context.Canceled)
 		time.Sleep(5 * messageDelay)
-		n.routers[deciding].Lost("r1")
+		n.routers[deciding].HandleDisconnect("r1")
 		ticket, err := n.turn(t.Context(), "r5", demandFor(5, 6))
 		require.NoError(t, err)
-		require.Equal(t, 12_000, ticket.Work())
+		require.Equal(t, 12_000, ticket.PendingPrefill())
 	})
 }
 
@@ -328,7 +328,7 @@
 				rest = append(rest, u)
 			}
 		}
-		n.pools["r1"].Set(time.Now(), rest, target)
+		n.pools["r1"].SetUpstreams(time.Now(), rest, target)
 		ticket, err := n.turn(t.Context(), "r1", demandFor(1, 3))
 		require.NoError(t, err)
 		require.NotEqual(t, gone.ID, ticket.Upstream().ID)
@@ -343,8 +343,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const tokens = 80_000
 		n := startNetwork(20, 24)
-		n.routers["r1"].Shed("s", "ada", tokens)
-		n.routers["r1"].Shed("s", "ada", tokens)
+		n.routers["r1"].AddShed("s", "ada", tokens)
+		n.routers["r1"].AddShed("s", "ada", tokens)
 		time.Sleep(time.Second / 4)
 		reported, homes := 0.0, 0
 		for _, pool := range n.pools {
@@ -363,7 +363,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		n := startNetwork(6, 2)
-		n.routers["r1"].Shed("s", "ada", 80_000)
+		n.routers["r1"].AddShed("s", "ada", 80_000)
 		time.Sleep(time.Second / 4)
 		for id, pool := range n.pools {
 			require.Equal(t, id == "r1", len(pool.Report(time.Now()).Accounts) == 1)
@@ -408,7 +408,7 @@
 		}
 		left := time.Now()
 		for _, pool := range n.pools {
-			pool.Set(time.Now(), nil, target)
+			pool.SetUpstreams(time.Now(), nil, target)
 		}
 		var refused *turn.RefusedError
 		require.ErrorAs(t, <-errs, &refused)
--- a/home/machine_test.go
+++ b/home/machine_test.go
@@ -36,7 +36,7 @@
 	*network
 	random   *rand.Rand
 	asks     sync.WaitGroup
-	restarts [simulationEngines]registry.Life
+	restarts [simulationEngines]registry.StartTime
 	mu       sync.Mutex
 	// longestOverrun is the longest time that a request waited beyond its patience.
 	longestOverrun time.Duration
@@ -68,7 +68,7 @@
 			return
 		}
 		time.Sleep(runTime)
-		ticket.First(time.Now())
+		ticket.RecordFirstEvent(time.Now())
 		ticket.End(time.Now(), outcome)
 	})
 }
@@ -87,7 +87,7 @@
 			if m.random.IntN(4) == 0 {
 				m.restarts[i]++
 			}
-			u.Life += m.restarts[i]
+			u.StartTime += m.restarts[i]
 			if m.random.IntN(2) == 0 {
 				list = append(list, u)
 			}
@@ -96,7 +96,7 @@
 	all := m.random.IntN(2) == 0
 	for i := range simulationRouters {
 		if all || m.random.IntN(3) == 0 {
-			m.pools[fleet.RouterID(fmt.Sprintf("r%d", i))].Set(time.Now(), list, target)
+			m.pools[fleet.RouterID(fmt.Sprintf("r%d", i))].SetUpstreams(time.Now(), list, target)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 // disconnect tells one router that its connection to another has ended.
 func (m *simulation) disconnect() {
 	if lost, other := m.randomRouter(), m.randomRouter(); lost != other {
-		m.routers[other].Lost(lost)
+		m.routers[other].HandleDisconnect(lost)
 	}
 }
 
--- a/home/serve.go
+++ b/home/serve.go
@@ -21,20 +21,20 @@
 // end stops the wait for a turn, or ends the turn if it was granted.
 func (t *peerTurn) end(outcome turn.Outcome) {
 	t.once.Do(func() { close(t.done) })
-	if t.ticket.GiveUp(time.Now()) == nil {
+	if t.ticket.Cancel(time.Now()) == nil {
 		t.ticket.End(time.Now(), outcome)
 	}
 }
 
 // handleAsk answers another router's ask.
-func (h *Homes) handleAsk(from fleet.RouterID, a *schema.TurnAsk) {
+func (h *Coordinator) handleAsk(from fleet.RouterID, a *schema.TurnAsk) {
 	service, demand := decodeAsk(a)
 	pool := h.Pool(service)
 	if pool == nil {
 		h.sendRefusal(from, a.GetId(), &turn.RefusedError{NoUpstream: true, RetryAfter: homeRetryAfter})
 		return
 	}
-	ticket, err := pool.Ask(time.Now(), demand)
+	ticket, err := pool.Submit(time.Now(), demand)
 	var refused *turn.RefusedError
 	if errors.As(err, &refused) {
 		h.sendRefusal(from, a.GetId(), refused)
@@ -53,7 +53,7 @@
 }
 
 // awaitTurnGuarded runs awaitTurn and refuses the ask if it panics.
-func (h *Homes) awaitTurnGuarded(from fleet.RouterID, id uint64, t *peerTurn) {
+func (h *Coordinator) awaitTurnGuarded(from fleet.RouterID, id uint64, t *peerTurn) {
 	if h.Guard.Run(recovery.Home, func() { h.awaitTurn(from, id, t) }, "other", from) {
 		h.removePeerTurn(from, id)
 		h.sendRefusal(from, id, &turn.RefusedError{RetryAfter: homeRetryAfter})
@@ -62,7 +62,7 @@
 
 // awaitTurn sends the second answer of an ask that has to wait: the grant, or a refusal
 // once its patience has run out.
-func (h *Homes) awaitTurn(from fleet.RouterID, id uint64, t *peerTurn) {
+func (h *Coordinator) awaitTurn(from fleet.RouterID, id uint64, t *peerTurn) {
 	patience := time.NewTimer(t.ticket.Patience())
 	defer patience.Stop()
 	select {
@@ -72,7 +72,7 @@
 		h.removePeerTurn(from, id)
 		h.sendRefusal(from, id, refused)
 	case <-patience.C:
-		refused := t.ticket.GiveUp(time.Now())
+		refused := t.ticket.Cancel(time.Now())
 		if refused == nil {
 			h.sendGrant(from, id, t)
 			return
@@ -83,7 +83,7 @@
 	}
 }
 
-func (h *Homes) addPeerTurn(from fleet.RouterID, id uint64, t *peerTurn) {
+func (h *Coordinator) addPeerTurn(from fleet.RouterID, id uint64, t *peerTurn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.peerTurns == nil {
@@ -96,7 +96,7 @@
 }
 
 // removePeerTurn removes a turn and returns it, or nil if it is unknown.
-func (h *Homes) removePeerTurn(from fleet.RouterID, id uint64) *peerTurn {
+func (h *Coordinator) removePeerTurn(from fleet.RouterID, id uint64) *peerTurn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.peerTurns[from][id]
@@ -104,27 +104,27 @@
 	return t
 }
 
-func (h *Homes) sendGrant(to fleet.RouterID, id uint64, t *peerTurn) {
+func (h *Coordinator) sendGrant(to fleet.RouterID, id uint64, t *peerTurn) {
 	h.sendAnswer(to, &schema.TurnAnswer{Id: id, Kind: &schema.TurnAnswer_Grant{Grant: encodeGrant(t.ticket)}})
 }
 
-func (h *Homes) sendRefusal(to fleet.RouterID, id uint64, e *turn.RefusedError) {
+func (h *Coordinator) sendRefusal(to fleet.RouterID, id uint64, e *turn.RefusedError) {
 	h.sendAnswer(to, &schema.TurnAnswer{Id: id, Kind: &schema.TurnAnswer_Refusal{Refusal: encodeRefusal(e)}})
 }
 
-func (h *Homes) sendAnswer(to fleet.RouterID, a *schema.TurnAnswer) {
+func (h *Coordinator) sendAnswer(to fleet.RouterID, a *schema.TurnAnswer) {
 	h.Send(to, &schema.Batch{TurnAnswers: []*schema.TurnAnswer{a}})
 }
 
 // handleNote updates the turn that a note is about. The turn is unknown if the connection
 // was lost in the meantime.
-func (h *Homes) handleNote(from fleet.RouterID, n *schema.TurnNote) {
+func (h *Coordinator) handleNote(from fleet.RouterID, n *schema.TurnNote) {
 	if n.GetRead() {
 		h.mu.Lock()
 		t := h.peerTurns[from][n.GetId()]
 		h.mu.Unlock()
 		if t != nil {
-			t.ticket.First(time.Now())
+			t.ticket.RecordFirstEvent(time.Now())
 		}
 		return
 	}
--- a/home/shed.go
+++ b/home/shed.go
@@ -20,12 +20,12 @@
 	account fleet.AccountID
 }
 
-// Shed records that this router refused a request because it is overloaded.
+// AddShed records that this router refused a request because it is overloaded.
 //
 // Homes otherwise know only of requests that ask for turns. An account whose router
 // refuses most of its requests would seem to have all it wants, and other accounts would
 // get several times its service.
-func (h *Homes) Shed(service fleet.ServiceID, account fleet.AccountID, tokens float64) {
+func (h *Coordinator) AddShed(service fleet.ServiceID, account fleet.AccountID, tokens float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.pendingShed == nil {
@@ -39,7 +39,7 @@
 
 // sendShed reports the refused tokens to the homes of all groups. An account's requests
 // are spread evenly over the groups, so each home is sent an equal part.
-func (h *Homes) sendShed() {
+func (h *Coordinator) sendShed() {
 	h.mu.Lock()
 	shed := h.pendingShed
 	h.pendingShed = nil
@@ -59,14 +59,14 @@
 
 // splitShed adds an account's refused tokens to the batches of the homes, or to this
 // router's own pool if homes don't grant the turns.
-func (h *Homes) splitShed(batches map[fleet.RouterID]*schema.Batch, key shedKey, tokens float64) {
+func (h *Coordinator) splitShed(batches map[fleet.RouterID]*schema.Batch, key shedKey, tokens float64) {
 	pool := h.Pool(key.service)
 	if pool == nil {
 		return // the service was removed in the meantime
 	}
-	groups := pool.Groups()
-	if groups == 0 || !h.Decide() {
-		pool.Shed(time.Now(), key.account, tokens)
+	groups := pool.GroupCount()
+	if groups == 0 || !h.IsActive() {
+		pool.RecordShed(time.Now(), key.account, tokens)
 		return
 	}
 	work := &schema.ShedWork{Service: string(key.service), Account: string(key.account), Tokens: uint32(math.Ceil(tokens / float64(groups)))}
@@ -80,10 +80,10 @@
 }
 
 // recordShed adds the tokens that another router refused to the pools.
-func (h *Homes) recordShed(batch *schema.Batch) {
+func (h *Coordinator) recordShed(batch *schema.Batch) {
 	for _, work := range batch.GetShedWork() {
 		if pool := h.Pool(fleet.ServiceID(work.GetService())); pool != nil {
-			pool.Shed(time.Now(), fleet.AccountID(work.GetAccount()), float64(work.GetTokens()))
+			pool.RecordShed(time.Now(), fleet.AccountID(work.GetAccount()), float64(work.GetTokens()))
 		}
 	}
 }
--- a/inflight/adaptive.go
+++ b/inflight/adaptive.go
@@ -134,14 +134,14 @@
 	a.fullAnswers = 0
 }
 
-// Reported updates the limit from the upstream's own report. Reports that aren't newer
+// UpdateLoad updates the limit from the upstream's own report. Reports that aren't newer
 // than the latest one are ignored.
-func (a *Adaptive) Reported(now time.Time, load Load, own int) {
-	if !load.At.After(a.reportedAt) {
+func (a *Adaptive) UpdateLoad(now time.Time, load Load, own int) {
+	if !load.MeasuredAt.After(a.reportedAt) {
 		return
 	}
 	a.initialize()
-	a.reportedAt = load.At
+	a.reportedAt = load.MeasuredAt
 	a.draining = load.Draining
 	inEngine := load.Running + load.Queued
 	a.others = [2]int{max(inEngine-own, 0), a.others[0]}
@@ -204,8 +204,8 @@
 	a.setLimit(limit + 1)
 }
 
-// Ended updates the limit from the result of one request.
-func (a *Adaptive) Ended(now time.Time, sample Sample) {
+// RecordResult updates the limit from the result of one request.
+func (a *Adaptive) RecordResult(now time.Time, sample Sample) {
 	a.initialize()
 	switch sample.Result {
 	case dispatch.Refused:
@@ -254,7 +254,7 @@
 }
 
 func (a *Adaptive) handleAnswer(now time.Time, sample Sample) {
-	if a.latency.add(sample.FirstToken) && a.latency.isHigh() && !a.isAtReportedKnee(now) {
+	if a.latency.add(sample.FirstTokenLatency) && a.latency.isHigh() && !a.isAtReportedKnee(now) {
 		a.knee = a.limit
 		a.setLimit(a.limit - max(a.limit/10, 1))
 		a.kneeFromReports = false
--- a/inflight/inflight.go
+++ b/inflight/inflight.go
@@ -15,8 +15,8 @@
 
 // Sample is the result of one request as evidence about its upstream.
 type Sample struct {
-	Result     dispatch.Result
-	FirstToken time.Duration
+	Result            dispatch.Result
+	FirstTokenLatency time.Duration
 	// InFlight is the number of requests in flight when the request was sent.
 	InFlight int
 }
@@ -27,9 +27,9 @@
 	Queued  int
 	// CacheUsed is the used share of the KV cache, from 0 to 1.
 	CacheUsed float64
-	// At is when the upstream measured its load.
-	At       time.Time
-	Draining bool
+	// MeasuredAt is when the upstream measured its load.
+	MeasuredAt time.Time
+	Draining   bool
 }
 
 // Limiter adapts the number of requests in flight at one upstream. It isn't safe for
@@ -37,11 +37,11 @@
 type Limiter interface {
 	// Limit returns how many requests may be in flight at now.
 	Limit(now time.Time) int
-	// Ended updates the limit from the result of one request.
-	Ended(now time.Time, sample Sample)
-	// Reported updates the limit from the upstream's own report. own is how many of the
+	// RecordResult updates the limit from the result of one request.
+	RecordResult(now time.Time, sample Sample)
+	// UpdateLoad updates the limit from the upstream's own report. own is how many of the
 	// reported requests are this dispatcher's; the others belong to other dispatchers.
-	Reported(now time.Time, load Load, own int)
+	UpdateLoad(now time.Time, load Load, own int)
 }
 
 // Fixed is a Limiter with a constant limit, at least 1. It is the baseline for comparisons
@@ -51,8 +51,8 @@
 // Limit returns the constant limit.
 func (f Fixed) Limit(time.Time) int { return max(int(f), 1) }
 
-// Ended does nothing.
-func (Fixed) Ended(time.Time, Sample) {}
+// RecordResult does nothing.
+func (Fixed) RecordResult(time.Time, Sample) {}
 
-// Reported does nothing.
-func (Fixed) Reported(time.Time, Load, int) {}
+// UpdateLoad does nothing.
+func (Fixed) UpdateLoad(time.Time, Load, int) {}
--- a/inflight/inflight_test.go
+++ b/inflight/inflight_test.go
@@ -39,8 +39,8 @@
 			kept = append(kept, end)
 			continue
 		}
-		e.limiter.Ended(e.now, inflight.Sample{
-			Result: dispatch.Answered, FirstToken: firstToken, InFlight: len(e.endTimes),
+		e.limiter.RecordResult(e.now, inflight.Sample{
+			Result: dispatch.Answered, FirstTokenLatency: firstToken, InFlight: len(e.endTimes),
 		})
 	}
 	e.endTimes = kept
@@ -56,12 +56,12 @@
 	if e.silent {
 		return
 	}
-	e.delayedLoads = append(e.delayedLoads, inflight.Load{Running: e.running, Queued: e.queued, At: e.now})
+	e.delayedLoads = append(e.delayedLoads, inflight.Load{Running: e.running, Queued: e.queued, MeasuredAt: e.now})
 	e.delayedOwn = append(e.delayedOwn, len(e.endTimes))
 	if len(e.delayedLoads) < 2 {
 		return
 	}
-	e.limiter.Reported(e.now, e.delayedLoads[0], e.delayedOwn[0])
+	e.limiter.UpdateLoad(e.now, e.delayedLoads[0], e.delayedOwn[0])
 	e.delayedLoads, e.delayedOwn = e.delayedLoads[1:], e.delayedOwn[1:]
 }
 
@@ -150,11 +150,11 @@
 	var limiter inflight.Adaptive
 	at := func(second int) time.Time { return epoch.Add(time.Duration(second) * time.Second) }
 	for second := range 3 {
-		limiter.Reported(at(second), inflight.Load{Running: 16, Queued: 6, At: at(second)}, 11)
+		limiter.UpdateLoad(at(second), inflight.Load{Running: 16, Queued: 6, MeasuredAt: at(second)}, 11)
 	}
 	require.Equal(t, 5, limiter.Limit(at(3)))
 	for second := 3; second < 5; second++ {
-		limiter.Reported(at(second), inflight.Load{Running: 12, At: at(second)}, 12)
+		limiter.UpdateLoad(at(second), inflight.Load{Running: 12, MeasuredAt: at(second)}, 12)
 	}
 	require.GreaterOrEqual(t, limiter.Limit(at(5)), 15)
 }
@@ -166,7 +166,7 @@
 	var limiter inflight.Adaptive
 	for second := range 3 {
 		at := epoch.Add(time.Duration(second) * time.Second)
-		limiter.Reported(at, inflight.Load{Running: 16, Queued: 6, At: at}, 11)
+		limiter.UpdateLoad(at, inflight.Load{Running: 16, Queued: 6, MeasuredAt: at}, 11)
 	}
 	require.Equal(t, 16, limiter.Limit(epoch.Add(time.Minute)))
 }
@@ -174,9 +174,9 @@
 func TestOldReportIsDropped(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
-	limiter.Reported(epoch, inflight.Load{Running: 4, At: epoch}, 4)
+	limiter.UpdateLoad(epoch, inflight.Load{Running: 4, MeasuredAt: epoch}, 4)
 	require.Equal(t, 6, limiter.Limit(epoch))
-	limiter.Reported(epoch, inflight.Load{Running: 6, At: epoch}, 6)
+	limiter.UpdateLoad(epoch, inflight.Load{Running: 6, MeasuredAt: epoch}, 6)
 	require.Equal(t, 6, limiter.Limit(epoch))
 }
 
@@ -185,7 +185,7 @@
 func TestOneReportWithAQueueIsNotAKnee(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
-	limiter.Reported(epoch, inflight.Load{Running: 1, Queued: 1, At: epoch}, 2)
+	limiter.UpdateLoad(epoch, inflight.Load{Running: 1, Queued: 1, MeasuredAt: epoch}, 2)
 	require.Equal(t, 4, limiter.Limit(epoch))
 }
 
@@ -195,7 +195,7 @@
 	t.Parallel()
 	limiter := inflight.Adaptive{Initial: 30}
 	for i := range 20 {
-		limiter.Ended(epoch, inflight.Sample{Result: dispatch.Refused, InFlight: 30 - i%5})
+		limiter.RecordResult(epoch, inflight.Sample{Result: dispatch.Refused, InFlight: 30 - i%5})
 	}
 	require.Equal(t, 25, limiter.Limit(epoch))
 }
@@ -204,7 +204,7 @@
 	t.Parallel()
 	limiter := inflight.Adaptive{Initial: 16}
 	for range 16 {
-		limiter.Ended(epoch, inflight.Sample{Result: dispatch.Failed, InFlight: 16})
+		limiter.RecordResult(epoch, inflight.Sample{Result: dispatch.Failed, InFlight: 16})
 	}
 	require.Equal(t, 8, limiter.Limit(epoch))
 }
@@ -216,7 +216,7 @@
 	limiter := inflight.Adaptive{Initial: 40}
 	answer := func(n int, firstToken time.Duration) {
 		for range n {
-			limiter.Ended(epoch, inflight.Sample{Result: dispatch.Answered, FirstToken: firstToken, InFlight: 1})
+			limiter.RecordResult(epoch, inflight.Sample{Result: dispatch.Answered, FirstTokenLatency: firstToken, InFlight: 1})
 		}
 	}
 	answer(32, 200*time.Millisecond)
@@ -228,8 +228,8 @@
 func TestDrainingUpstreamGetsNothing(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
-	limiter.Reported(epoch, inflight.Load{Draining: true, At: epoch}, 0)
+	limiter.UpdateLoad(epoch, inflight.Load{Draining: true, MeasuredAt: epoch}, 0)
 	require.Zero(t, limiter.Limit(epoch))
-	limiter.Reported(epoch, inflight.Load{At: epoch.Add(1)}, 0)
+	limiter.UpdateLoad(epoch, inflight.Load{MeasuredAt: epoch.Add(1)}, 0)
 	require.Equal(t, 4, limiter.Limit(epoch))
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -42,8 +42,8 @@
 // Key identifies an account at one service. Amounts of different services are not
 // interchangeable and are summed separately.
 type Key struct {
-	Service fleet.Number
-	Account fleet.Number
+	Service fleet.ShortID
+	Account fleet.ShortID
 }
 
 // Keeper sums the reports of dispatchers. It is not safe for concurrent use.
@@ -86,7 +86,7 @@
 	if incarnation > latest {
 		// The new incarnation counts from zero. What the old one charged stays in
 		// the sums, or the accounts would receive that service a second time.
-		k.sums.Gone(reporter{from, latest})
+		k.sums.RemoveDispatcher(reporter{from, latest})
 		k.incarnations[from] = incarnation
 	}
 	k.recordReport(now, report.Key)
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -24,10 +24,10 @@
 	k := keeper.New(keeper.Options{})
 	k.Report(start, "a", 1, report{Key: key, Cumulative: 100})
 	total := k.Report(start, "b", 1, report{Key: key, Cumulative: 50})
-	require.Equal(t, share.Total{Sum: 150, Covered: 50}, total)
+	require.Equal(t, share.Total{Sum: 150, OwnReported: 50}, total)
 	// A final cost below the estimate lowers the sum.
 	total = k.Report(start, "a", 1, report{Key: key, Cumulative: 80})
-	require.Equal(t, share.Total{Sum: 130, Covered: 80}, total)
+	require.Equal(t, share.Total{Sum: 130, OwnReported: 80}, total)
 }
 
 // A dispatcher is killed and restarts without state, so that it counts from zero.
@@ -39,7 +39,7 @@
 	k.Report(start, "a", 1, report{Key: key, Cumulative: 100})
 	k.Report(start, "b", 1, report{Key: key, Cumulative: 40})
 	total := k.Report(start, "a", 2, report{Key: key, Cumulative: 5})
-	require.Equal(t, share.Total{Sum: 145, Covered: 5}, total)
+	require.Equal(t, share.Total{Sum: 145, OwnReported: 5}, total)
 	// A late report of the first incarnation changes nothing.
 	total = k.Report(start, "a", 1, report{Key: key, Cumulative: 300})
 	require.Equal(t, share.Total{Sum: 145}, total)
@@ -78,7 +78,7 @@
 	k := keeper.New(keeper.Options{IdleTimeout: time.Minute, MaxAccounts: 3})
 	for i := range 10 {
 		at := start.Add(time.Duration(i) * time.Second)
-		k.Report(at, "a", 1, report{Key: keeper.Key{Service: 1, Account: fleet.Number(i)}, Cumulative: 1})
+		k.Report(at, "a", 1, report{Key: keeper.Key{Service: 1, Account: fleet.ShortID(i)}, Cumulative: 1})
 	}
 	require.Equal(t, 3, k.Len())
 	k.Tick(start.Add(2 * time.Minute))
--- a/live/caller.go
+++ b/live/caller.go
@@ -29,7 +29,7 @@
 	for round := 0; ctx.Err() == nil; round++ {
 		router := c.router
 		if router == anyRouter {
-			router = random.IntN(len(m.fleet.Routers))
+			router = random.IntN(len(m.fleet.RouterAddresses))
 		}
 		pause := m.sendRequest(ctx, account, router, requestBody(c, account, n, round, random))
 		if pause <= 0 {
@@ -54,7 +54,7 @@
 // sendRequest sends one request and reads its answer. It returns the pause
 // before the next request.
 func (m *measurement) sendRequest(ctx context.Context, account, router int, body []byte) time.Duration {
-	url := "http://" + m.fleet.Routers[router].Callers.String() + "/v1/chat/completions"
+	url := "http://" + m.fleet.RouterAddresses[router].Callers.String() + "/v1/chat/completions"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return pauseAfterRefusal
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		if event.Last() {
+		if event.IsLast() {
 			return nil
 		}
 		m.recordToken(r)
--- a/live/measure.go
+++ b/live/measure.go
@@ -189,7 +189,7 @@
 // sample records the service, backlog and utilisation at this time. later is
 // true in the second half of the run.
 func (m *measurement) sample(later bool) {
-	running := m.fleet.Running()
+	running := m.fleet.RunningRequests()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	backlogged := m.backlogged(time.Now())
@@ -219,7 +219,7 @@
 // of receiver.
 func (m *measurement) readControlBytes(ctx context.Context) (map[string]float64, error) {
 	sums := make(map[string]float64)
-	for _, r := range m.fleet.Routers {
+	for _, r := range m.fleet.RouterAddresses {
 		if err := m.addControlBytes(ctx, sums, r.Admin.String()); err != nil {
 			return nil, eris.Wrap(err, "reading the metrics")
 		}
@@ -280,7 +280,7 @@
 		Answers:         m.answers, Control: make(map[string]float64),
 	}
 	for side, bytes := range m.controlSent {
-		r.Control[side] = bytes / seconds / float64(len(m.fleet.Routers))
+		r.Control[side] = bytes / seconds / float64(len(m.fleet.RouterAddresses))
 	}
 	r.PeerBytesPerRequest = m.controlSent["peer"] / float64(max(m.answers["answered"], 1))
 	return r
--- a/local/bench_test.go
+++ b/local/bench_test.go
@@ -30,7 +30,7 @@
 	require.NoError(b, err)
 	b.Cleanup(running.Close)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	direct, routed := running.Engines[0], running.Routers[0].Callers.String()
+	direct, routed := running.EngineAddresses[0], running.RouterAddresses[0].Callers.String()
 
 	for _, load := range []struct {
 		name   string
@@ -88,7 +88,7 @@
 		})
 		require.NoError(b, err)
 		for router := range routers {
-			waitForVersion(ctx, b, running.Operator(router), version)
+			waitForVersion(ctx, b, running.OperatorClient(router), version)
 		}
 		require.NoError(b, took.RecordValue(time.Since(start).Microseconds()))
 	}
--- a/local/bytes_test.go
+++ b/local/bytes_test.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 40*time.Second)
 	defer cancel()
 	fleet := start(ctx, t, local.Options{Engine: engine.Options{TimeScale: 1e-4}})
-	direct, routed := fleet.Engines[0], fleet.Routers[0].Callers.String()
+	direct, routed := fleet.EngineAddresses[0], fleet.RouterAddresses[0].Callers.String()
 	for _, c := range []struct {
 		tokens int
 		stream bool
--- a/local/local.go
+++ b/local/local.go
@@ -66,11 +66,11 @@
 type Fleet struct {
 	// Platform is the in-memory platform that the routers use.
 	Platform *memory.Platform
-	// Routers holds the addresses of the routers.
-	Routers []daemon.Addresses
-	// Engines and Applications hold the addresses of the upstreams.
-	Engines      []string
-	Applications []string
+	// RouterAddresses holds the addresses of the routers.
+	RouterAddresses []daemon.Addresses
+	// EngineAddresses and Applications hold the addresses of the upstreams.
+	EngineAddresses      []string
+	ApplicationAddresses []string
 
 	options Options
 	// operatorKey is also the fleet key.
@@ -163,7 +163,7 @@
 			return err
 		}
 		f.engines = append(f.engines, e)
-		f.Engines = append(f.Engines, address)
+		f.EngineAddresses = append(f.EngineAddresses, address)
 	}
 	for range f.options.Applications {
 		a := application.New(f.options.Application)
@@ -172,7 +172,7 @@
 			return err
 		}
 		f.applications = append(f.applications, a)
-		f.Applications = append(f.Applications, address)
+		f.ApplicationAddresses = append(f.ApplicationAddresses, address)
 	}
 	return nil
 }
@@ -205,8 +205,8 @@
 
 // setVMs lists the routers as VMs at the platform.
 func (f *Fleet) setVMs() {
-	vms := make([]store.VM, 0, len(f.Routers))
-	for n, r := range f.Routers {
+	vms := make([]store.VM, 0, len(f.RouterAddresses))
+	for n, r := range f.RouterAddresses {
 		vms = append(vms, store.VM{
 			Name: routerID(n), Role: store.RouterVM, Address: r.Peers.String(), DataCenter: dataCenter,
 		})
@@ -221,16 +221,16 @@
 	if err != nil {
 		return 0, eris.Wrap(err, "encoding a release note")
 	}
-	answer, err := f.Operator(router).Publish(ctx, text, note.NewPublishID())
+	answer, err := f.OperatorClient(router).Publish(ctx, text, note.NewPublishID())
 	if err != nil {
 		return 0, eris.Wrap(err, "publishing a release note")
 	}
 	return fleet.Version(answer.GetVersion()), nil
 }
 
-// Operator returns a client for the administration API of a router, from 0.
-func (f *Fleet) Operator(router int) *operator.Client {
-	return operator.NewClient(f.operatorKey, "http://"+f.Routers[router].Admin.String())
+// OperatorClient returns a client for the administration API of a router, from 0.
+func (f *Fleet) OperatorClient(router int) *operator.Client {
+	return operator.NewClient(f.operatorKey, "http://"+f.RouterAddresses[router].Admin.String())
 }
 
 // releaseNote returns the note with the services, accounts and upstreams.
@@ -244,13 +244,13 @@
 			Id: fmt.Sprintf("account-%d", n+1), KeySha256: []string{note.HashKey(AccountKey(n))},
 		})
 	}
-	for n, address := range f.Engines {
+	for n, address := range f.EngineAddresses {
 		added.Upstreams = append(added.Upstreams, &schema.Upstream{
 			Id: fmt.Sprintf("engine-%d", n+1), Service: string(ModelService), Address: address,
 			DataCenter: dataCenter, Slots: uint32(f.options.EngineSlots),
 		})
 	}
-	for n, address := range f.Applications {
+	for n, address := range f.ApplicationAddresses {
 		added.Upstreams = append(added.Upstreams, &schema.Upstream{
 			Id: fmt.Sprintf("application-%d", n+1), Service: string(PlainService), Address: address,
 			DataCenter: dataCenter, Slots: uint32(f.options.ApplicationSlots),
@@ -281,9 +281,9 @@
 // allReady reports whether every router lists all routers as ready dispatchers.
 // Until then, two routers may both dispatch an upstream and overload it.
 func (f *Fleet) allReady(ctx context.Context) bool {
-	for n := range f.Routers {
-		list, err := f.Operator(n).Routers(ctx)
-		if err != nil || len(list.GetRouters()) != len(f.Routers) {
+	for n := range f.RouterAddresses {
+		list, err := f.OperatorClient(n).Routers(ctx)
+		if err != nil || len(list.GetRouters()) != len(f.RouterAddresses) {
 			return false
 		}
 		for _, other := range list.GetRouters() {
@@ -295,8 +295,8 @@
 	return true
 }
 
-// Running returns the number of requests in the batches of all engines.
-func (f *Fleet) Running() int {
+// RunningRequests returns the number of requests in the batches of all engines.
+func (f *Fleet) RunningRequests() int {
 	running := 0
 	for _, e := range f.engines {
 		running += e.Running()
@@ -314,7 +314,7 @@
 func (f *Fleet) Close() {
 	f.stop()
 	for n := range f.routers {
-		_ = f.Wait(n)
+		_ = f.WaitRouter(n)
 	}
 	for _, s := range f.servers {
 		_ = s.Close()
--- a/local/local_test.go
+++ b/local/local_test.go
@@ -20,7 +20,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	fleet := start(ctx, t, local.Options{Routers: 3, Engines: 2, Engine: engine.Options{TimeScale: 0.01}})
-	for _, r := range fleet.Routers {
+	for _, r := range fleet.RouterAddresses {
 		for _, stream := range []bool{false, true} {
 			answer := chat(ctx, t, r.Callers.String(), stream)
 			require.Contains(t, answer, "usage")
--- a/local/once_test.go
+++ b/local/once_test.go
@@ -61,7 +61,7 @@
 	counts, runs := map[string]int{}, map[string]int{}
 	for n := range repeatApplications {
 		require.Eventually(t, func() bool {
-			return fleet.Platform.Waiting() == 0 && fleet.Application(n).Taken() == 0
+			return fleet.Platform.PendingWrites() == 0 && fleet.Application(n).InFlight() == 0
 		}, 20*time.Second, time.Millisecond)
 		for key, count := range fleet.Application(n).Runs() {
 			runs[key] += count
@@ -138,7 +138,7 @@
 		failures := make([]error, len(answers))
 		var group sync.WaitGroup
 		for i := range answers {
-			req := orderRequest(ctx, t, fleet.Routers[random.IntN(len(fleet.Routers))].Callers.String())
+			req := orderRequest(ctx, t, fleet.RouterAddresses[random.IntN(len(fleet.RouterAddresses))].Callers.String())
 			req.Header.Set("Idempotency-Key", orderKey(n))
 			req.Header.Set("nutmeglock-timeout-ms", strconv.Itoa(3000))
 			group.Go(func() { answers[i], failures[i] = sendRequest(req) })
--- a/local/router.go
+++ b/local/router.go
@@ -31,7 +31,7 @@
 	}
 	running, stop := context.WithCancel(running)
 	r := &router{stop: stop, ended: make(chan struct{})}
-	f.Routers = append(f.Routers, built.Addresses())
+	f.RouterAddresses = append(f.RouterAddresses, built.Addresses())
 	f.routers = append(f.routers, r)
 	go func() {
 		defer close(r.ended)
@@ -55,11 +55,11 @@
 	}
 }
 
-// Stop begins the graceful shutdown of router n, from 0.
-func (f *Fleet) Stop(n int) { f.routers[n].stop() }
+// StopRouter begins the graceful shutdown of router n, from 0.
+func (f *Fleet) StopRouter(n int) { f.routers[n].stop() }
 
-// Wait waits until router n has ended and returns the error of its Run.
-func (f *Fleet) Wait(n int) error {
+// WaitRouter waits until router n has ended and returns the error of its Run.
+func (f *Fleet) WaitRouter(n int) error {
 	<-f.routers[n].ended
 	return f.routers[n].err
 }
--- a/local/stop_test.go
+++ b/local/stop_test.go
@@ -22,22 +22,22 @@
 	defer cancel()
 	fleet := start(ctx, t, local.Options{Routers: 2})
 	engine := newHeldEngine(ctx, t, fleet, 4)
-	address := fleet.Routers[0].Callers.String()
+	address := fleet.RouterAddresses[0].Callers.String()
 	stream, text := beginStream(ctx, t, address)
 
-	fleet.Stop(0)
+	fleet.StopRouter(0)
 	refused := firstRefusal(ctx, t, address)
 	require.Equal(t, http.StatusServiceUnavailable, refused.StatusCode)
 	require.Contains(t, refused.text, `"stopping"`)
 	require.Contains(t, refused.text, `"not-run"`)
 	require.Equal(t, "1", refused.Header.Get("Retry-After"))
-	require.Equal(t, http.StatusOK, send(t, orderRequest(ctx, t, fleet.Routers[1].Callers.String())).StatusCode)
+	require.Equal(t, http.StatusOK, send(t, orderRequest(ctx, t, fleet.RouterAddresses[1].Callers.String())).StatusCode)
 
 	close(engine.resume)
 	rest, err := io.ReadAll(stream)
 	require.NoError(t, err)
 	require.Equal(t, heldStream, text+string(rest))
-	require.NoError(t, fleet.Wait(0))
+	require.NoError(t, fleet.WaitRouter(0))
 }
 
 // A router is stopped while a request waits there for a slot. The request was
@@ -52,7 +52,7 @@
 			defer cancel()
 			fleet := start(ctx, t, local.Options{Routers: routers})
 			engine := newHeldEngine(ctx, t, fleet, 1)
-			address := fleet.Routers[0].Callers.String()
+			address := fleet.RouterAddresses[0].Callers.String()
 			beginStream(ctx, t, address)
 			var served answer
 			waiting := make(chan error, 1)
@@ -64,13 +64,13 @@
 			}()
 			waitUntilQueued(ctx, t, fleet)
 
-			fleet.Stop(0)
+			fleet.StopRouter(0)
 			require.Contains(t, firstRefusal(ctx, t, address).text, `"stopping"`)
 			close(engine.resume)
 			require.NoError(t, <-waiting)
 			require.Equal(t, http.StatusOK, served.StatusCode, served.text)
 			require.Equal(t, heldStream, served.text)
-			require.NoError(t, fleet.Wait(0))
+			require.NoError(t, fleet.WaitRouter(0))
 		})
 	}
 }
@@ -79,7 +79,7 @@
 func waitUntilQueued(ctx context.Context, t *testing.T, fleet *local.Fleet) {
 	t.Helper()
 	for {
-		list, err := fleet.Operator(0).Routers(ctx)
+		list, err := fleet.OperatorClient(0).Routers(ctx)
 		require.NoError(t, err)
 		for _, r := range list.GetRouters() {
 			if r.GetSelf() && r.GetWaiting() > 0 {
@@ -99,7 +99,7 @@
 	fleet := start(ctx, t, local.Options{})
 	engine := newHeldEngine(ctx, t, fleet, 4)
 	leaving, leave := context.WithCancel(ctx)
-	beginStream(leaving, t, fleet.Routers[0].Callers.String())
+	beginStream(leaving, t, fleet.RouterAddresses[0].Callers.String())
 
 	leave()
 	select {
--- a/local/trace_test.go
+++ b/local/trace_test.go
@@ -35,7 +35,7 @@
 		Accounts: []*schema.Account{{Id: "narrow", KeySha256: []string{note.HashKey("narrow")}, Services: []string{"findings"}}},
 	}})
 	require.NoError(t, err)
-	address := fleet.Routers[0].Callers.String()
+	address := fleet.RouterAddresses[0].Callers.String()
 	answers := []string{chat(ctx, t, address, false), chat(ctx, t, address, true)}
 	require.Equal(t, http.StatusOK, send(t, orderRequest(ctx, t, address)).StatusCode)
 	forbidden := orderRequest(ctx, t, address)
@@ -44,20 +44,20 @@
 	fleet.Application(0).Faults.Set(fault.Fault{Kind: fault.ReplyLost, Operation: "call"})
 	require.Equal(t, http.StatusBadGateway, send(t, orderRequest(ctx, t, address)).StatusCode)
 
-	fleet.Stop(0)
-	require.NoError(t, fleet.Wait(0))
+	fleet.StopRouter(0)
+	require.NoError(t, fleet.WaitRouter(0))
 
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	header, records, err := trace.ReadAll(strings.NewReader(string(text)))
 	require.NoError(t, err)
-	require.Equal(t, trace.Fleet{Routers: 1, Models: 2, Plain: 1}, header.Fleet)
+	require.Equal(t, trace.Fleet{Routers: 1, ModelUpstreams: 2, PlainUpstreams: 1}, header.Fleet)
 	require.Len(t, records, 5)
 	for n, record := range records[:2] {
 		require.EqualValues(t, "model", record.Kind)
 		require.Equal(t, trace.Answered, record.Outcome)
-		require.Contains(t, answers[n], fmt.Sprintf(`"completion_tokens":%d`, record.Output))
-		require.Contains(t, answers[n], fmt.Sprintf(`"prompt_tokens":%d`, record.Input))
+		require.Contains(t, answers[n], fmt.Sprintf(`"completion_tokens":%d`, record.OutputTokens))
+		require.Contains(t, answers[n], fmt.Sprintf(`"prompt_tokens":%d`, record.InputTokens))
 		require.False(t, record.NonIdempotent)
 	}
 	var outcomes []string
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -77,8 +77,8 @@
 	return w
 }
 
-// Log returns a logger that writes JSON lines to w.
-func (w *Writer) Log(level slog.Level) *slog.Logger {
+// Logger returns a logger that writes JSON lines to w.
+func (w *Writer) Logger(level slog.Level) *slog.Logger {
 	return slog.New(newLimitedHandler(w, Router, func(out io.Writer) slog.Handler {
 		return slog.NewJSONHandler(out, &slog.HandlerOptions{Level: level})
 	}))
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -41,7 +41,7 @@
 	t.Parallel()
 	out := &blockedOutput{release: make(chan struct{})}
 	w := logging.New(out)
-	log := w.Log(slog.LevelInfo)
+	log := w.Logger(slog.LevelInfo)
 	begin := time.Now()
 	for i := range 5_000 {
 		log.Info("line", "number", i)
@@ -57,7 +57,7 @@
 	t.Parallel()
 	var out bytes.Buffer
 	w := logging.New(&out)
-	log := w.Log(slog.LevelInfo)
+	log := w.Logger(slog.LevelInfo)
 	log.Info("one", "request", "a")
 	log.Debug("not wanted")
 	log.Warn("two", "request", "b")
@@ -70,7 +70,7 @@
 
 func BenchmarkLine(b *testing.B) {
 	w := logging.New(&bytes.Buffer{})
-	log := w.Log(slog.LevelInfo)
+	log := w.Logger(slog.LevelInfo)
 	for i := range b.N {
 		log.Info("request answered", "request", "319a0f5c100837b1", "upstream", "i-148be361f1", "sends", i, "first-ms", 12.5)
 	}
@@ -83,7 +83,7 @@
 	t.Parallel()
 	var out bytes.Buffer
 	w := logging.New(&out)
-	log := w.Log(slog.LevelInfo).With("router", "r")
+	log := w.Logger(slog.LevelInfo).With("router", "r")
 	requests := logging.WithPriority(log, logging.Request)
 	failures := logging.WithPriority(log, logging.Failure)
 	for range 1000 {
@@ -109,7 +109,7 @@
 		out := &blockedOutput{release: make(chan struct{})}
 		close(out.release)
 		w := logging.New(out)
-		log := w.Log(slog.LevelInfo).With("router", "r")
+		log := w.Logger(slog.LevelInfo).With("router", "r")
 		failures := logging.WithPriority(log, logging.Failure)
 		for i := range 500 {
 			failures.Warn("attempt failed", "number", i)
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		w := logging.New(&out)
-		failures := logging.WithPriority(w.Log(slog.LevelInfo), logging.Failure)
+		failures := logging.WithPriority(w.Logger(slog.LevelInfo), logging.Failure)
 		cause := strings.Repeat("x", 4_000)
 		for i := range 700 { // 300 are written, 300 are deferred, of which 256 KiB are kept
 			failures.Warn("attempt failed", "number", i, "cause", cause)
--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -27,26 +27,26 @@
 				m.Tick(now)
 			},
 			"list": func(t *rapid.T) {
-				var listed []membership.Listed
+				var listed []membership.ListedRouter
 				for range rapid.IntRange(0, 4).Draw(t, "count") {
-					listed = append(listed, membership.Listed{ID: router(t), Address: "x", Leaving: rapid.Bool().Draw(t, "leaving")})
+					listed = append(listed, membership.ListedRouter{ID: router(t), Address: "x", Leaving: rapid.Bool().Draw(t, "leaving")})
 				}
-				m.List(now, listed)
+				m.SetList(now, listed)
 			},
-			"connected":    func(t *rapid.T) { m.Connected(now, router(t), "x") },
-			"disconnected": func(t *rapid.T) { m.Disconnected(now, router(t)) },
-			"leave":        func(t *rapid.T) { m.Leave(now, router(t), rapid.Bool().Draw(t, "leaving")) },
+			"connected":    func(t *rapid.T) { m.SetConnected(now, router(t), "x") },
+			"disconnected": func(t *rapid.T) { m.SetDisconnected(now, router(t)) },
+			"leave":        func(t *rapid.T) { m.SetLeaving(now, router(t), rapid.Bool().Draw(t, "leaving")) },
 			"": func(*rapid.T) {
 				m.Dispatchers(now)
-				m.Targets()
+				m.Addresses()
 				m.All(now)
 				require.Positive(t, m.PollInterval(0))
 			},
 		})
 		for _, id := range routers("a", "b", "c", "") {
-			m.Disconnected(now, id)
+			m.SetDisconnected(now, id)
 		}
-		m.List(now, nil)
+		m.SetList(now, nil)
 		now = now.Add(time.Hour)
 		m.Tick(now)
 		require.Equal(t, routers("self"), m.Dispatchers(now))
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -87,8 +87,8 @@
 	Leaving    bool
 }
 
-// Listed is a router in the platform's list.
-type Listed struct {
+// ListedRouter is a router in the platform's list.
+type ListedRouter struct {
 	ID      fleet.RouterID
 	Address string
 	Leaving bool
@@ -119,9 +119,9 @@
 	return router
 }
 
-// List replaces the platform's list. It is not called while the platform is
+// SetList replaces the platform's list. It is not called while the platform is
 // down, so the last list stays in effect.
-func (m *Members) List(now time.Time, listed []Listed) {
+func (m *Members) SetList(now time.Time, listed []ListedRouter) {
 	for _, router := range m.members {
 		router.listed = false
 		router.listedLeaving = false
@@ -144,8 +144,8 @@
 	}
 }
 
-// Connected records a connection to a router and the address that the router reports.
-func (m *Members) Connected(now time.Time, id fleet.RouterID, address string) {
+// SetConnected records a connection to a router and the address that the router reports.
+func (m *Members) SetConnected(now time.Time, id fleet.RouterID, address string) {
 	router := m.member(id)
 	if address != "" {
 		router.address = address
@@ -167,8 +167,8 @@
 	return delay
 }
 
-// Disconnected records that the connection to a router was lost.
-func (m *Members) Disconnected(now time.Time, id fleet.RouterID) {
+// SetDisconnected records that the connection to a router was lost.
+func (m *Members) SetDisconnected(now time.Time, id fleet.RouterID) {
 	router := m.members[id]
 	if router == nil || !router.connected {
 		return
@@ -181,17 +181,17 @@
 	router.disconnects++
 }
 
-// Leave records a router's announcement that it dispatches nothing, because it
+// SetLeaving records a router's announcement that it dispatches nothing, because it
 // is shutting down or has no release note yet, or, with leaving false, that it
 // dispatches again.
-func (m *Members) Leave(now time.Time, id fleet.RouterID, leaving bool) {
+func (m *Members) SetLeaving(now time.Time, id fleet.RouterID, leaving bool) {
 	router := m.member(id)
 	router.announcedLeaving = leaving
 	router.lastSeenAt = now
 }
 
-// Leaving reports whether a router announced that it is leaving.
-func (m *Members) Leaving(id fleet.RouterID) bool {
+// IsLeaving reports whether a router announced that it is leaving.
+func (m *Members) IsLeaving(id fleet.RouterID) bool {
 	router := m.members[id]
 	return router != nil && router.announcedLeaving
 }
@@ -251,8 +251,8 @@
 	return routers
 }
 
-// Targets returns the addresses of the other routers to connect to.
-func (m *Members) Targets() map[fleet.RouterID]string {
+// Addresses returns the addresses of the other routers to connect to.
+func (m *Members) Addresses() map[fleet.RouterID]string {
 	targets := make(map[fleet.RouterID]string, len(m.members))
 	for id, router := range m.members {
 		if id != m.options.Self && router.address != "" {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -20,8 +20,8 @@
 func connectedMembers() *membership.Members {
 	m := membership.New(membership.Options{Self: "a"})
 	m.Tick(start)
-	m.Connected(start, "b", "b:1")
-	m.Connected(start, "c", "c:1")
+	m.SetConnected(start, "b", "b:1")
+	m.SetConnected(start, "c", "c:1")
 	m.Tick(at(2))
 	return m
 }
@@ -40,7 +40,7 @@
 	t.Parallel()
 	m := membership.New(membership.Options{Self: "a"})
 	m.Tick(start)
-	m.Connected(start, "b", "")
+	m.SetConnected(start, "b", "")
 	require.Equal(t, routers("b"), m.Dispatchers(start))
 	require.Equal(t, routers("a", "b"), m.Dispatchers(at(1)))
 }
@@ -50,21 +50,21 @@
 func TestConnectionsTakePrecedenceOverTheList(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
-	m.Disconnected(at(3), "c")
-	m.List(at(4), []membership.Listed{{ID: "a"}, {ID: "c", Address: "c:1"}})
+	m.SetDisconnected(at(3), "c")
+	m.SetList(at(4), []membership.ListedRouter{{ID: "a"}, {ID: "c", Address: "c:1"}})
 	require.Equal(t, routers("a", "b"), m.Dispatchers(at(4)))
-	require.Equal(t, "c:1", m.Targets()["c"])
+	require.Equal(t, "c:1", m.Addresses()["c"])
 }
 
 // The platform is down and no list arrives for hours. The members must not change.
 func TestOutageOfTheListChangesNothing(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
-	m.List(at(3), []membership.Listed{{ID: "a"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}})
+	m.SetList(at(3), []membership.ListedRouter{{ID: "a"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}})
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(10_000)))
-	m.Disconnected(at(10_000), "b")
+	m.SetDisconnected(at(10_000), "b")
 	require.Equal(t, routers("a", "c"), m.Dispatchers(at(10_001)))
-	require.Equal(t, "b:1", m.Targets()["b"])
+	require.Equal(t, "b:1", m.Addresses()["b"])
 }
 
 // A connection breaks and is re-established at once. Moving the dispatchers there
@@ -72,9 +72,9 @@
 func TestShortBreakMovesNothing(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
-	m.Disconnected(at(3), "b")
+	m.SetDisconnected(at(3), "b")
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(3.4)))
-	m.Connected(at(3.4), "b", "b:1")
+	m.SetConnected(at(3.4), "b", "b:1")
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(3.4)))
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(60)))
 }
@@ -88,7 +88,7 @@
 	before := m.Dispatchers(at(2))
 	for i := range 30 {
 		second := 3 + 2*float64(i)
-		m.Disconnected(at(second), "b")
+		m.SetDisconnected(at(second), "b")
 		for _, step := range []float64{0.3, 0.7} {
 			now := m.Dispatchers(at(second + step))
 			if len(now) != len(before) {
@@ -96,7 +96,7 @@
 			}
 			before = now
 		}
-		m.Connected(at(second+0.8), "b", "b:1")
+		m.SetConnected(at(second+0.8), "b", "b:1")
 		now := m.Dispatchers(at(second + 1.9))
 		if len(now) != len(before) {
 			moves++
@@ -113,11 +113,11 @@
 func TestCutAndRejoinConverge(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
-	m.Disconnected(at(10), "b")
-	m.Disconnected(at(10), "c")
+	m.SetDisconnected(at(10), "b")
+	m.SetDisconnected(at(10), "c")
 	require.Equal(t, routers("a"), m.Dispatchers(at(11)))
-	m.Connected(at(100), "b", "b:1")
-	m.Connected(at(100), "c", "c:1")
+	m.SetConnected(at(100), "b", "b:1")
+	m.SetConnected(at(100), "c", "c:1")
 	require.Equal(t, routers("a"), m.Dispatchers(at(100)))
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(103)))
 }
@@ -125,22 +125,22 @@
 func TestLeavingRoutersDispatchOnlyWhenAllLeave(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
-	m.Leave(at(3), "b", true)
+	m.SetLeaving(at(3), "b", true)
 	require.Equal(t, routers("a", "c"), m.Dispatchers(at(3)))
-	m.List(at(4), []membership.Listed{{ID: "c", Address: "c:1", Leaving: true}})
+	m.SetList(at(4), []membership.ListedRouter{{ID: "c", Address: "c:1", Leaving: true}})
 	require.Equal(t, routers("a"), m.Dispatchers(at(4)))
-	m.Leave(at(5), "a", true)
+	m.SetLeaving(at(5), "a", true)
 	require.Equal(t, routers("a", "b", "c"), m.Dispatchers(at(5)))
 }
 
 func TestForgetsRoutersThatAreGone(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
-	m.Disconnected(at(3), "c")
-	m.List(at(4), []membership.Listed{{ID: "b", Address: "b:1"}})
-	require.Contains(t, m.Targets(), fleet.RouterID("c"))
-	m.List(at(1000), []membership.Listed{{ID: "b", Address: "b:1"}})
-	require.NotContains(t, m.Targets(), fleet.RouterID("c"))
+	m.SetDisconnected(at(3), "c")
+	m.SetList(at(4), []membership.ListedRouter{{ID: "b", Address: "b:1"}})
+	require.Contains(t, m.Addresses(), fleet.RouterID("c"))
+	m.SetList(at(1000), []membership.ListedRouter{{ID: "b", Address: "b:1"}})
+	require.NotContains(t, m.Addresses(), fleet.RouterID("c"))
 }
 
 // All routers of a fleet of 460 poll the list. Together they must stay far below
@@ -149,10 +149,10 @@
 	t.Parallel()
 	m := membership.New(membership.Options{Self: "a"})
 	require.Equal(t, 500*time.Millisecond, m.PollInterval(0))
-	var listed []membership.Listed
+	var listed []membership.ListedRouter
 	for i := range 460 {
-		listed = append(listed, membership.Listed{ID: fleet.RouterID(rune('A' + i))})
+		listed = append(listed, membership.ListedRouter{ID: fleet.RouterID(rune('A' + i))})
 	}
-	m.List(start, listed)
+	m.SetList(start, listed)
 	require.Less(t, 460/m.PollInterval(0).Seconds(), 201.0)
 }
--- a/metric/handler_test.go
+++ b/metric/handler_test.go
@@ -26,7 +26,7 @@
 	set := metric.New(own)
 	set.Refusals.WithLabelValues("router-overloaded").Add(17)
 	set.RefusedTokens.WithLabelValues("ada", "router-overloaded").Add(1234)
-	set.Service.WithLabelValues("ada").Add(99)
+	set.ServiceTokens.WithLabelValues("ada").Add(99)
 	set.Panics.Add(3)
 	set.QueueSeconds.WithLabelValues("engines").Observe(0.1)
 	recorder := httptest.NewRecorder()
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -17,9 +17,9 @@
 	Refusals *prometheus.CounterVec
 	// Retries counts retries by reason.
 	Retries *prometheus.CounterVec
-	// Service counts the weighted tokens that accounts received through this router, by
+	// ServiceTokens counts the weighted tokens that accounts received through this router, by
 	// account.
-	Service *prometheus.CounterVec
+	ServiceTokens *prometheus.CounterVec
 	// RefusedTokens counts the weighted tokens of the requests that this router refused, by
 	// account and reason. The reason distinguishes an overloaded router from a lack of
 	// engines.
@@ -38,8 +38,8 @@
 	ControlBytes *prometheus.CounterVec
 	// ControlMessages counts the messages of control traffic, with the same labels.
 	ControlMessages *prometheus.CounterVec
-	// Connections counts the connections opened to upstreams.
-	Connections prometheus.Counter
+	// UpstreamConnections counts the connections opened to upstreams.
+	UpstreamConnections prometheus.Counter
 	// Panics counts recovered panics.
 	Panics prometheus.Counter
 	// NoteVersion is the release note version that this router uses.
@@ -62,24 +62,24 @@
 // retry reasons start at zero, so that their rates work from the first scrape.
 func New(registry prometheus.Registerer) *Set {
 	s := &Set{
-		Requests:         newCounterVec("requests_total", "Answers by service and status class.", "service", "status"),
-		Refusals:         newCounterVec("refusals_total", "The router's own answers by reason.", "reason"),
-		Retries:          newCounterVec("retries_total", "Further attempts by reason.", "reason"),
-		Service:          newCounterVec("service_tokens_total", "Weighted tokens received, by account.", "account"),
-		RefusedTokens:    newCounterVec("refused_tokens_total", "Weighted tokens refused, by account and reason.", "account", "reason"),
-		InFlight:         newGaugeVec("in_flight", "Requests at upstreams, by service."),
-		Waiting:          newGaugeVec("waiting", "Requests that wait for a turn, by service."),
-		QueueSeconds:     newSecondsHistogram("queue_seconds", "Time from arrival to a slot."),
-		FirstByteSeconds: newSecondsHistogram("first_byte_seconds", "Time from arrival to the first byte of the answer."),
-		ControlBytes:     newCounterVec("control_bytes_total", "Bytes of control traffic, headers included.", "direction", "side"),
-		ControlMessages:  newCounterVec("control_messages_total", "Messages of control traffic.", "direction", "side"),
-		Connections:      newCounter("upstream_connections_total", "Connections opened to upstreams."),
-		Panics:           newCounter("panics_total", "Panics contained."),
-		NoteVersion:      newGauge("note_version", "The release note version in force."),
-		Routers:          newGauge("routers", "Routers believed alive, this one included."),
+		Requests:            newCounterVec("requests_total", "Answers by service and status class.", "service", "status"),
+		Refusals:            newCounterVec("refusals_total", "The router's own answers by reason.", "reason"),
+		Retries:             newCounterVec("retries_total", "Further attempts by reason.", "reason"),
+		ServiceTokens:       newCounterVec("service_tokens_total", "Weighted tokens received, by account.", "account"),
+		RefusedTokens:       newCounterVec("refused_tokens_total", "Weighted tokens refused, by account and reason.", "account", "reason"),
+		InFlight:            newGaugeVec("in_flight", "Requests at upstreams, by service."),
+		Waiting:             newGaugeVec("waiting", "Requests that wait for a turn, by service."),
+		QueueSeconds:        newSecondsHistogram("queue_seconds", "Time from arrival to a slot."),
+		FirstByteSeconds:    newSecondsHistogram("first_byte_seconds", "Time from arrival to the first byte of the answer."),
+		ControlBytes:        newCounterVec("control_bytes_total", "Bytes of control traffic, headers included.", "direction", "side"),
+		ControlMessages:     newCounterVec("control_messages_total", "Messages of control traffic.", "direction", "side"),
+		UpstreamConnections: newCounter("upstream_connections_total", "Connections opened to upstreams."),
+		Panics:              newCounter("panics_total", "Panics contained."),
+		NoteVersion:         newGauge("note_version", "The release note version in force."),
+		Routers:             newGauge("routers", "Routers believed alive, this one included."),
 	}
-	registry.MustRegister(s.Requests, s.Refusals, s.Retries, s.Service, s.RefusedTokens, s.InFlight, s.Waiting,
-		s.QueueSeconds, s.FirstByteSeconds, s.ControlBytes, s.ControlMessages, s.Connections, s.Panics, s.NoteVersion, s.Routers)
+	registry.MustRegister(s.Requests, s.Refusals, s.Retries, s.ServiceTokens, s.RefusedTokens, s.InFlight, s.Waiting,
+		s.QueueSeconds, s.FirstByteSeconds, s.ControlBytes, s.ControlMessages, s.UpstreamConnections, s.Panics, s.NoteVersion, s.Routers)
 	s.initReasons()
 	return s
 }
@@ -93,12 +93,12 @@
 	}
 }
 
-// ServiceByAccount returns the weighted tokens that each account has received so far.
-func (s *Set) ServiceByAccount() map[string]float64 {
+// ServiceTokensByAccount returns the weighted tokens that each account has received so far.
+func (s *Set) ServiceTokensByAccount() map[string]float64 {
 	tokens := make(map[string]float64)
 	metrics := make(chan prometheus.Metric)
 	go func() {
-		s.Service.Collect(metrics)
+		s.ServiceTokens.Collect(metrics)
 		close(metrics)
 	}()
 	for m := range metrics {
@@ -110,8 +110,8 @@
 	return tokens
 }
 
-// Control counts one control message of size bytes.
-func (s *Set) Control(direction, side string, size int) {
+// CountControlMessage counts one control message of size bytes.
+func (s *Set) CountControlMessage(direction, side string, size int) {
 	s.ControlBytes.WithLabelValues(direction, side).Add(float64(size))
 	s.ControlMessages.WithLabelValues(direction, side).Inc()
 }
--- a/note/check.go
+++ b/note/check.go
@@ -116,10 +116,10 @@
 func (c *checker) checkBaseVersion(version uint64) {
 	n := c.doc.Message
 	if n.GetBasedOn() > version {
-		c.doc.Add("based-on", document.OutOfBounds, fmt.Sprint(n.GetBasedOn()), fmt.Sprintf("a version that exists; the newest is %d", version))
+		c.doc.AddFault("based-on", document.OutOfBounds, fmt.Sprint(n.GetBasedOn()), fmt.Sprintf("a version that exists; the newest is %d", version))
 	}
 	if len(modifiedEntries(n)) == 0 {
-		c.doc.Add("", document.Missing, "no entry in added, changed or withdrawn", "at least one")
+		c.doc.AddFault("", document.Missing, "no entry in added, changed or withdrawn", "at least one")
 	}
 }
 
@@ -132,7 +132,7 @@
 			continue // Parsing the document has reported the missing id.
 		}
 		if path, ok := firstPaths[m.Entry]; ok {
-			c.doc.Add(m.path, document.Contradiction, strconv.Quote(m.ID), "each "+string(m.Kind)+" once; this one stands at "+path+" too")
+			c.doc.AddFault(m.path, document.Contradiction, strconv.Quote(m.ID), "each "+string(m.Kind)+" once; this one stands at "+path+" too")
 			continue
 		}
 		firstPaths[m.Entry] = m.path
@@ -140,9 +140,9 @@
 		added := strings.HasPrefix(m.path, "added.")
 		switch {
 		case added && exists:
-			c.doc.Add(m.path, document.AlreadyExists, strconv.Quote(m.ID), "an id that no "+string(m.Kind)+" has; use changed to change one")
+			c.doc.AddFault(m.path, document.AlreadyExists, strconv.Quote(m.ID), "an id that no "+string(m.Kind)+" has; use changed to change one")
 		case !added && !exists:
-			c.doc.Add(m.path, document.NotFound, strconv.Quote(m.ID), "the id of "+withArticle(m.Kind)+" in force"+c.suggest(m.Entry))
+			c.doc.AddFault(m.path, document.NotFound, strconv.Quote(m.ID), "the id of "+withArticle(m.Kind)+" in force"+c.suggest(m.Entry))
 		}
 	}
 }
@@ -175,7 +175,7 @@
 func (c *checker) checkReferences() {
 	for _, m := range serviceReferences(c.doc.Message) {
 		if m.ID != "" && !c.after.entries[m.Entry] {
-			c.doc.Add(m.path, document.NotFound, strconv.Quote(m.ID), "the id of a service in force or added here"+c.suggest(m.Entry))
+			c.doc.AddFault(m.path, document.NotFound, strconv.Quote(m.ID), "the id of a service in force or added here"+c.suggest(m.Entry))
 		}
 	}
 }
@@ -197,7 +197,7 @@
 		if more := len(referrers) - len(names); more > 0 {
 			found += fmt.Sprintf(" and %d more", more)
 		}
-		c.doc.Add(elementPath("withdrawn.services", i), document.StillInUse, found+" refer to", "a service that nothing refers to")
+		c.doc.AddFault(elementPath("withdrawn.services", i), document.StillInUse, found+" refer to", "a service that nothing refers to")
 	}
 }
 
@@ -206,7 +206,7 @@
 func (c *checker) checkServiceKinds() {
 	for i, s := range c.doc.Message.GetChanged().GetServices() {
 		if kind, ok := c.before.serviceKinds[s.GetId()]; ok && kind != s.GetKind() {
-			c.doc.Add(elementPath("changed.services", i)+".kind", document.NotAllowed, strconv.Quote(s.GetKind()), "the service's kind, "+kind+", which does not change")
+			c.doc.AddFault(elementPath("changed.services", i)+".kind", document.NotAllowed, strconv.Quote(s.GetKind()), "the service's kind, "+kind+", which does not change")
 		}
 	}
 }
@@ -220,7 +220,7 @@
 			if len(owners) < 2 || key == "" {
 				continue
 			}
-			c.doc.Add(elementPath(path+".key-sha256", j), document.Contradiction, "a key of "+otherOwners(owners, a.GetId()), "a key that is listed once")
+			c.doc.AddFault(elementPath(path+".key-sha256", j), document.Contradiction, "a key of "+otherOwners(owners, a.GetId()), "a key that is listed once")
 		}
 	})
 }
@@ -244,7 +244,7 @@
 			if len(owners) < 2 || u.GetAddress() == "" {
 				continue
 			}
-			c.doc.Add(elementPath(path, i)+".address", document.Contradiction, "the address of "+otherOwners(owners, u.GetId()), "an address that no other upstream has")
+			c.doc.AddFault(elementPath(path, i)+".address", document.Contradiction, "the address of "+otherOwners(owners, u.GetId()), "an address that no other upstream has")
 		}
 	}
 	check("added.upstreams", c.doc.Message.GetAdded().GetUpstreams())
--- a/note/fetch.go
+++ b/note/fetch.go
@@ -26,7 +26,7 @@
 
 // Methods returns the methods that peers call to fetch release notes from this
 // router. They are to be registered with the peer package.
-func (h *Holder) Methods() map[string]Method {
+func (h *Replica) Methods() map[string]Method {
 	return map[string]Method{FetchMethod: h.handleFetch, SnapshotMethod: h.handleSnapshot}
 }
 
@@ -52,7 +52,7 @@
 	snapshotPartBytes = 128 << 10
 )
 
-func (h *Holder) handleFetch(_ context.Context, params json.RawMessage) (any, error) {
+func (h *Replica) handleFetch(_ context.Context, params json.RawMessage) (any, error) {
 	request := protoJSON[*schema.NoteFetch]{&schema.NoteFetch{}}
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, eris.Wrap(err, "note.fetch")
@@ -81,7 +81,7 @@
 // router.
 const peerCallTimeout = 500 * time.Millisecond
 
-func (h *Holder) callPeer(ctx context.Context, router fleet.RouterID, method string, params, result any) error {
+func (h *Replica) callPeer(ctx context.Context, router fleet.RouterID, method string, params, result any) error {
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	return h.peers.Call(callCtx, router, method, params, result)
@@ -89,7 +89,7 @@
 
 // fetchFrom fetches and applies everything that a peer holds beyond the local
 // version.
-func (h *Holder) fetchFrom(ctx context.Context, router fleet.RouterID) error {
+func (h *Replica) fetchFrom(ctx context.Context, router fleet.RouterID) error {
 	for {
 		held := h.Version()
 		answer := protoJSON[*schema.NoteFetched]{&schema.NoteFetched{}}
@@ -124,7 +124,7 @@
 	data    []byte
 }
 
-func (h *Holder) handleSnapshot(_ context.Context, params json.RawMessage) (any, error) {
+func (h *Replica) handleSnapshot(_ context.Context, params json.RawMessage) (any, error) {
 	request := protoJSON[*schema.SnapshotFetch]{&schema.SnapshotFetch{}}
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, eris.Wrap(err, "note.snapshot")
@@ -146,7 +146,7 @@
 // encodeState returns the encoded state for a reader, and whether it was encoded
 // by this call. A reader in the middle of an earlier version continues with that
 // one, unless a new reader has replaced it.
-func (h *Holder) encodeState(version uint64) (encodedState, bool, error) {
+func (h *Replica) encodeState(version uint64) (encodedState, bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	state := h.state()
@@ -166,7 +166,7 @@
 // time between restarts. A slower reader starts again.
 const encodedStateTTL = time.Minute
 
-func (h *Holder) dropEncodedState(version uint64) {
+func (h *Replica) dropEncodedState(version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.encoded.version == version {
@@ -179,7 +179,7 @@
 const maxSnapshotBytes = 64 << 20
 
 // fetchState fetches and applies the whole state of a peer.
-func (h *Holder) fetchState(ctx context.Context, router fleet.RouterID) error {
+func (h *Replica) fetchState(ctx context.Context, router fleet.RouterID) error {
 	var version uint64
 	var data []byte
 	for {
--- a/note/fleet_test.go
+++ b/note/fleet_test.go
@@ -29,7 +29,7 @@
 	id        fleet.RouterID
 	table     *interceptedTable
 	store     *note.Store
-	holder    *note.Holder
+	holder    *note.Replica
 	publisher *note.Publisher
 }
 
@@ -48,13 +48,13 @@
 	router := r.routers[i]
 	router.table = &interceptedTable{Table: r.platform}
 	router.store = note.NewStore(router.table, r.platform)
-	router.holder = note.NewHolder(note.HolderOptions{
+	router.holder = note.NewReplica(note.ReplicaOptions{
 		Self: router.id, Store: router.store, Peers: fleetPeers{r, router.id}, Timer: r.clock,
 		Announce: func(to []fleet.RouterID, version fleet.Version) { r.announce(router.id, to, version) },
 		Log:      slog.New(slog.DiscardHandler),
 	})
 	router.publisher = note.NewPublisher(note.PublisherOptions{
-		Store: router.store, Holder: router.holder, Timer: advancingClock{r.clock}, SnapshotInterval: 4,
+		Store: router.store, Replica: router.holder, Timer: advancingClock{r.clock}, SnapshotInterval: 4,
 	})
 }
 
@@ -62,7 +62,7 @@
 	for _, router := range r.routers {
 		for _, id := range to {
 			if router.id == id && !r.isolated[from] && !r.isolated[id] {
-				router.holder.Heard(from, version)
+				router.holder.HandleAnnouncement(from, version)
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // call calls a method of a holder with JSON-encoded parameters and results.
-func call(ctx context.Context, holder *note.Holder, method string, params, result any) error {
+func call(ctx context.Context, holder *note.Replica, method string, params, result any) error {
 	encoded, err := json.Marshal(params)
 	if err != nil {
 		return err
--- a/note/heard.go
+++ b/note/heard.go
@@ -9,7 +9,7 @@
 )
 
 // announceVersion announces a version to peers.
-func (h *Holder) announceVersion(version fleet.Version) {
+func (h *Replica) announceVersion(version fleet.Version) {
 	if h.announce == nil {
 		return
 	}
@@ -20,9 +20,9 @@
 	h.announce(targets, version)
 }
 
-// Heard records that a peer holds a version. If it is newer than the local one,
+// HandleAnnouncement records that a peer holds a version. If it is newer than the local one,
 // Run fetches it. Heard does not block.
-func (h *Holder) Heard(from fleet.RouterID, version fleet.Version) {
+func (h *Replica) HandleAnnouncement(from fleet.RouterID, version fleet.Version) {
 	newer := version > h.Version()
 	h.mu.Lock()
 	h.peerVersions[from] = version
@@ -39,7 +39,7 @@
 // PeerVersion returns the version that a router last announced to this one, or
 // zero. In a fleet of more than maxFullBroadcast routers it may lag, because
 // each router announces to only a few.
-func (h *Holder) PeerVersion(router fleet.RouterID) fleet.Version {
+func (h *Replica) PeerVersion(router fleet.RouterID) fleet.Version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.peerVersions[router]
@@ -48,7 +48,7 @@
 // nextPending removes and returns the peer that announced the highest version
 // above the local one. It also drops announcements of versions that are not
 // newer.
-func (h *Holder) nextPending() (fleet.RouterID, bool) {
+func (h *Replica) nextPending() (fleet.RouterID, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := fleet.Version(h.state().GetVersion())
@@ -69,7 +69,7 @@
 
 // forgetDepartedPeers drops the announced versions of routers that are gone. Up
 // to 1,300 routers start in a day, each possibly with a new name.
-func (h *Holder) forgetDepartedPeers() {
+func (h *Replica) forgetDepartedPeers() {
 	routers := h.peers.Routers()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,7 +80,7 @@
 
 // FetchAnnounced fetches the versions that peers announced. It returns the error
 // of the last peer, and nil when that one delivered.
-func (h *Holder) FetchAnnounced(ctx context.Context) error {
+func (h *Replica) FetchAnnounced(ctx context.Context) error {
 	var lastErr error
 	for {
 		router, ok := h.nextPending()
--- a/note/holder.go
+++ b/note/holder.go
@@ -23,8 +23,8 @@
 	Call(ctx context.Context, router fleet.RouterID, method string, params, result any) error
 }
 
-// HolderOptions are the dependencies of a Holder.
-type HolderOptions struct {
+// ReplicaOptions are the dependencies of a Holder.
+type ReplicaOptions struct {
 	Self  fleet.RouterID
 	Store *Store
 	// Peers may be nil for a router without peers.
@@ -38,9 +38,9 @@
 	Log *slog.Logger
 }
 
-// Holder holds the current release notes of this router. Traffic reads Current
+// Replica holds the current release notes of this router. Traffic reads Current
 // without a lock. The version only ever increases, wherever notes come from.
-type Holder struct {
+type Replica struct {
 	self     fleet.RouterID
 	store    *Store
 	peers    Peers
@@ -65,9 +65,9 @@
 	pollSignal  chan struct{}
 }
 
-// NewHolder returns a Holder without any notes.
-func NewHolder(options HolderOptions) *Holder {
-	h := &Holder{
+// NewReplica returns a Holder without any notes.
+func NewReplica(options ReplicaOptions) *Replica {
+	h := &Replica{
 		self: options.Self, store: options.Store, peers: options.Peers, timer: options.Timer,
 		announce: options.Announce, log: options.Log,
 		pending: map[fleet.RouterID]fleet.Version{}, peerVersions: map[fleet.RouterID]fleet.Version{}, fetchSignal: make(chan struct{}, 1), pollSignal: make(chan struct{}, 1),
@@ -97,16 +97,16 @@
 }
 
 // Current returns the current view, or nil before the first one.
-func (h *Holder) Current() *View { return h.view.Load() }
+func (h *Replica) Current() *View { return h.view.Load() }
 
 // Ready reports whether any version is held.
-func (h *Holder) Ready() bool { return h.view.Load() != nil }
+func (h *Replica) Ready() bool { return h.view.Load() != nil }
 
 // Version returns the current version, or zero before the first one.
-func (h *Holder) Version() fleet.Version { return fleet.Version(h.state().GetVersion()) }
+func (h *Replica) Version() fleet.Version { return fleet.Version(h.state().GetVersion()) }
 
 // state returns the current state, or an empty one before the first.
-func (h *Holder) state() *schema.FleetState {
+func (h *Replica) state() *schema.FleetState {
 	if view := h.view.Load(); view != nil {
 		return view.State()
 	}
@@ -122,7 +122,7 @@
 // stale read or a peer that was cut off never lowers the version. It returns
 // false when a record could not be applied, usually because an earlier one is
 // missing.
-func (h *Holder) ApplyRecords(records ...*schema.NoteRecord) bool {
+func (h *Replica) ApplyRecords(records ...*schema.NoteRecord) bool {
 	h.mu.Lock()
 	before := h.state()
 	state := before
@@ -154,7 +154,7 @@
 
 // logApplyError logs a record that could not be applied. A gap is filled later;
 // a record of another history is a fault that an operator must know of.
-func (h *Holder) logApplyError(err error) {
+func (h *Replica) logApplyError(err error) {
 	var gap *GapError
 	if errors.As(err, &gap) {
 		h.log.Debug("earlier release notes are missing", "reason", err)
@@ -163,7 +163,7 @@
 	h.log.Error("release note does not match the state", "reason", err)
 }
 
-func (h *Holder) trimRecent() {
+func (h *Replica) trimRecent() {
 	if excess := len(h.recent) - maxRecentRecords; excess > 0 {
 		h.recent = append([]*schema.NoteRecord(nil), h.recent[excess:]...)
 	}
@@ -171,7 +171,7 @@
 
 // ApplyState makes a whole state the current one when its version is higher, and
 // announces it.
-func (h *Holder) ApplyState(state *schema.FleetState) {
+func (h *Replica) ApplyState(state *schema.FleetState) {
 	h.mu.Lock()
 	if state.GetVersion() <= h.state().GetVersion() {
 		h.mu.Unlock()
@@ -204,7 +204,7 @@
 // context's error. It polls the table and follows announcements concurrently:
 // otherwise a table that takes a minute for a read would block updates from
 // peers, and callers would be served by an old note.
-func (h *Holder) Run(ctx context.Context) error {
+func (h *Replica) Run(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -217,7 +217,7 @@
 
 // pollTable reads the table at each interval, and at once when fetching from a
 // peer failed.
-func (h *Holder) pollTable(ctx context.Context) {
+func (h *Replica) pollTable(ctx context.Context) {
 	for ctx.Err() == nil {
 		h.runWithTimeout(ctx, h.Refresh)
 		due := make(chan struct{})
@@ -232,7 +232,7 @@
 }
 
 // followAnnouncements fetches the versions that peers announce.
-func (h *Holder) followAnnouncements(ctx context.Context) {
+func (h *Replica) followAnnouncements(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -254,7 +254,7 @@
 }
 
 // runWithTimeout runs one catch-up step and reports whether it succeeded.
-func (h *Holder) runWithTimeout(ctx context.Context, step func(context.Context) error) bool {
+func (h *Replica) runWithTimeout(ctx context.Context, step func(context.Context) error) bool {
 	stepCtx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	err := step(stepCtx)
@@ -265,7 +265,7 @@
 }
 
 // nextPollDelay returns the interval with jitter.
-func (h *Holder) nextPollDelay() time.Duration {
+func (h *Replica) nextPollDelay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	interval := pollInterval
@@ -278,7 +278,7 @@
 
 // Refresh catches up once, from the table or, when that fails, from peers, so
 // that a router is updated even while the platform is down.
-func (h *Holder) Refresh(ctx context.Context) error {
+func (h *Replica) Refresh(ctx context.Context) error {
 	h.forgetDepartedPeers()
 	err := h.refreshFromTable(ctx)
 	if err == nil {
@@ -292,7 +292,7 @@
 	return err
 }
 
-func (h *Holder) refreshFromTable(ctx context.Context) error {
+func (h *Replica) refreshFromTable(ctx context.Context) error {
 	head, err := h.store.Head(ctx)
 	if err != nil {
 		return err
@@ -312,7 +312,7 @@
 // down. More would gain little: the next poll asks others.
 const maxFallbackPeers = 3
 
-func (h *Holder) randomPeers() []fleet.RouterID {
+func (h *Replica) randomPeers() []fleet.RouterID {
 	routers := append([]fleet.RouterID(nil), h.peers.Routers()...)
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/note/holder_test.go
+++ b/note/holder_test.go
@@ -102,7 +102,7 @@
 	r := newTestFleet(2)
 	r.publish(t, 0, addAccount("a"))
 	r.publish(t, 0, addAccount("b"))
-	r.platform.Faults.Set(fault.Fault{Kind: fault.Stale, Commits: 1})
+	r.platform.Faults.Set(fault.Fault{Kind: fault.Stale, CommitsBehind: 1})
 	require.NoError(t, r.routers[0].holder.Refresh(t.Context()))
 	require.Equal(t, fleet.Version(2), r.routers[0].holder.Version())
 	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
@@ -126,15 +126,15 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	p := memory.New(timer.System{})
 	store := note.NewStore(p, p)
-	holders := map[fleet.RouterID]*note.Holder{}
+	holders := map[fleet.RouterID]*note.Replica{}
 	for i := range 3 {
 		self := fleet.RouterID(fmt.Sprint("r", i))
-		holders[self] = note.NewHolder(note.HolderOptions{
+		holders[self] = note.NewReplica(note.ReplicaOptions{
 			Self: self, Store: store, Peers: localPeers{holders, self},
 			Announce: func(to []fleet.RouterID, version fleet.Version) {
 				for _, id := range to {
 					if !quiet {
-						holders[id].Heard(self, version)
+						holders[id].HandleAnnouncement(self, version)
 					}
 				}
 			},
@@ -143,7 +143,7 @@
 	for _, holder := range holders {
 		go func() { _ = holder.Run(ctx) }()
 	}
-	publisher := note.NewPublisher(note.PublisherOptions{Store: store, Holder: holders["r0"]})
+	publisher := note.NewPublisher(note.PublisherOptions{Store: store, Replica: holders["r0"]})
 	for version := range fleet.Version(10) {
 		_, err := publisher.Publish(ctx, addAccount(fmt.Sprint("a", version)), "aino", note.NewPublishID())
 		require.NoError(t, err)
@@ -169,17 +169,17 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		p := memory.New(timer.System{})
 		store := note.NewStore(p, p)
-		publisher := note.NewPublisher(note.PublisherOptions{Store: store, Holder: note.NewHolder(note.HolderOptions{Store: store})})
+		publisher := note.NewPublisher(note.PublisherOptions{Store: store, Replica: note.NewReplica(note.ReplicaOptions{Store: store})})
 		publish := func(id string) {
 			_, err := publisher.Publish(ctx, addAccount(id), "aino", note.NewPublishID())
 			require.NoError(t, err)
 		}
 		publish("a")
-		holder := note.NewHolder(note.HolderOptions{Self: "r", Store: store, Peers: frozenPeers{}})
+		holder := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store, Peers: frozenPeers{}})
 		go func() { _ = holder.Run(ctx) }()
 		time.Sleep(10 * time.Second)
 		publish("b")
-		holder.Heard("frozen", 2)
+		holder.HandleAnnouncement("frozen", 2)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		require.Equal(t, fleet.Version(2), holder.Version())
@@ -196,8 +196,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		p := memory.New(timer.System{})
 		store := note.NewStore(p, p)
-		holders := map[fleet.RouterID]*note.Holder{"a": note.NewHolder(note.HolderOptions{Self: "a", Store: store})}
-		holders["b"] = note.NewHolder(note.HolderOptions{Self: "b", Store: store, Peers: localPeers{holders, "b"}})
+		holders := map[fleet.RouterID]*note.Replica{"a": note.NewReplica(note.ReplicaOptions{Self: "a", Store: store})}
+		holders["b"] = note.NewReplica(note.ReplicaOptions{Self: "b", Store: store, Peers: localPeers{holders, "b"}})
 		holders["b"].ApplyRecords(&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")})
 		p.Faults.Set(fault.Fault{Kind: fault.Slow, DelayMs: 60_000})
 		go func() { _ = holders["b"].Run(ctx) }()
@@ -206,7 +206,7 @@
 			&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")},
 			&schema.NoteRecord{Version: 2, FirstNumber: 2, Note: addAccount("y")},
 		)
-		holders["b"].Heard("a", 2)
+		holders["b"].HandleAnnouncement("a", 2)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		require.Equal(t, fleet.Version(2), holders["b"].Version())
@@ -227,7 +227,7 @@
 
 // localPeers connects holders within one process.
 type localPeers struct {
-	holders map[fleet.RouterID]*note.Holder
+	holders map[fleet.RouterID]*note.Replica
 	self    fleet.RouterID
 }
 
@@ -278,7 +278,7 @@
 	r.platform.Faults.Set()
 	accepted, err := r.routers[1].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
 	require.NoError(t, err)
-	require.True(t, accepted.Already)
+	require.True(t, accepted.AlreadyAccepted)
 	require.Equal(t, uint64(1), accepted.Record.GetVersion())
 }
 
@@ -295,7 +295,7 @@
 	}
 	accepted, err := r.routers[0].publisher.Publish(t.Context(), addAccount("a"), "aino", note.NewPublishID())
 	require.NoError(t, err)
-	require.True(t, accepted.Already)
+	require.True(t, accepted.AlreadyAccepted)
 }
 
 // The publish takes effect a minute after its reply was lost. Meanwhile the
@@ -314,7 +314,7 @@
 	r.platform.Faults.Set()
 	accepted, err := r.routers[1].publisher.Publish(t.Context(), addAccount("a"), "aino", id)
 	require.NoError(t, err)
-	require.False(t, accepted.Already)
+	require.False(t, accepted.AlreadyAccepted)
 	r.clock.Advance(2 * time.Minute)
 	head, err := r.routers[0].store.Head(t.Context())
 	require.NoError(t, err)
@@ -350,10 +350,10 @@
 	r.publish(t, 0, addAccount("a"))
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
 	r.isolated["r1"] = true
-	r.routers[0].holder.Heard("r1", 1)
+	r.routers[0].holder.HandleAnnouncement("r1", 1)
 	require.NoError(t, r.routers[0].holder.FetchAnnounced(t.Context()))
 	require.Equal(t, fleet.Version(1), r.routers[0].holder.PeerVersion("r1"))
-	r.routers[0].holder.Heard("r1", 2)
+	r.routers[0].holder.HandleAnnouncement("r1", 2)
 	require.Error(t, r.routers[0].holder.FetchAnnounced(t.Context()))
 }
 
--- a/note/model_test.go
+++ b/note/model_test.go
@@ -141,9 +141,9 @@
 			Kind: rapid.SampledFrom([]fault.Kind{
 				fault.Down, fault.ReplyLost, fault.RequestLost, fault.Late, fault.Late, fault.Stale, fault.Stale,
 			}).Draw(t, "fault"),
-			Operation: rapid.SampledFrom([]string{"read", "scan", "commit", "commit", "put", "get"}).Draw(t, "operation"),
-			Times:     rapid.SampledFrom([]int{1, 1, 2, 20}).Draw(t, "times"),
-			Commits:   rapid.IntRange(1, 4).Draw(t, "commits"),
+			Operation:     rapid.SampledFrom([]string{"read", "scan", "commit", "commit", "put", "get"}).Draw(t, "operation"),
+			Times:         rapid.SampledFrom([]int{1, 1, 2, 20}).Draw(t, "times"),
+			CommitsBehind: rapid.IntRange(1, 4).Draw(t, "commits"),
 		}
 		if f.Kind == fault.Late && (f.Operation == "commit" || f.Operation == "put") {
 			f.DelayMs = rapid.SampledFrom([]int{60, 2000, 60_000}).Draw(t, "delay")
@@ -235,7 +235,7 @@
 
 func (m *model) checkAccepted(t *rapid.T, request *publishRequest, accepted note.PublishResult) {
 	m.outcomes["accepted"]++
-	if accepted.Already {
+	if accepted.AlreadyAccepted {
 		m.outcomes["already"]++
 	}
 	request.refused = false
--- a/note/publisher.go
+++ b/note/publisher.go
@@ -62,15 +62,15 @@
 // PublishResult is the result of a successful publish.
 type PublishResult struct {
 	Record *schema.NoteRecord
-	// Already is true when an earlier attempt with the same id had been accepted.
-	Already bool
+	// AlreadyAccepted is true when an earlier attempt with the same id had been accepted.
+	AlreadyAccepted bool
 }
 
 // PublisherOptions are the dependencies of a Publisher.
 type PublisherOptions struct {
 	Store *Store
-	// Holder provides the current state and is updated with accepted notes.
-	Holder *Holder
+	// Replica provides the current state and is updated with accepted notes.
+	Replica *Replica
 	// Timer is the system clock when nil.
 	Timer timer.Service
 	// SnapshotInterval is the number of versions between two snapshots; zero
@@ -81,14 +81,14 @@
 // Publisher publishes release notes. It is safe for concurrent use.
 type Publisher struct {
 	store            *Store
-	holder           *Holder
+	holder           *Replica
 	timer            timer.Service
 	snapshotInterval uint64
 }
 
 // NewPublisher returns a Publisher.
 func NewPublisher(options PublisherOptions) *Publisher {
-	p := &Publisher{store: options.Store, holder: options.Holder, timer: options.Timer, snapshotInterval: options.SnapshotInterval}
+	p := &Publisher{store: options.Store, holder: options.Replica, timer: options.Timer, snapshotInterval: options.SnapshotInterval}
 	if p.timer == nil {
 		p.timer = timer.System{}
 	}
@@ -169,7 +169,7 @@
 func (t *publication) shouldRetry(err error) bool {
 	var conflict *store.ConflictError
 	var stale *staleError
-	var indefinite *store.IndefiniteError
+	var indefinite *store.UnknownOutcomeError
 	var unavailable *store.UnavailableError
 	switch {
 	case errors.As(err, &indefinite):
@@ -227,7 +227,7 @@
 		return PublishResult{}, &staleError{"an accepted note"}
 	}
 	t.holder.ApplyRecords(record)
-	return PublishResult{Record: record, Already: true}, nil
+	return PublishResult{Record: record, AlreadyAccepted: true}, nil
 }
 
 // check returns the state at the head if the note can be accepted there.
@@ -305,7 +305,7 @@
 // more, since a refusal after a lost reply is due to a later head.
 func (t *publication) confirmRefusal(ctx context.Context, head Head, refusal error) error {
 	if err := t.store.table.Commit(ctx, store.Txn{Checks: t.preconditions(head)}); err != nil {
-		var indefinite *store.IndefiniteError
+		var indefinite *store.UnknownOutcomeError
 		if errors.As(err, &indefinite) && !t.replyLost {
 			return &staleError{"the head"} // The transaction writes nothing, so its lost reply does not matter.
 		}
--- a/note/store.go
+++ b/note/store.go
@@ -34,11 +34,11 @@
 // may return older data than an earlier one.
 type Store struct {
 	table   store.Table
-	objects store.Objects
+	objects store.ObjectStore
 }
 
 // NewStore returns a Store over the platform's services.
-func NewStore(table store.Table, objects store.Objects) *Store {
+func NewStore(table store.Table, objects store.ObjectStore) *Store {
 	return &Store{table: table, objects: objects}
 }
 
--- a/note/view.go
+++ b/note/view.go
@@ -18,7 +18,7 @@
 	accountsByKeyHash map[string]*schema.Account
 	services          map[fleet.ServiceID]*schema.Service
 	upstreams         map[fleet.ServiceID][]*schema.Upstream
-	entriesByNumber   map[fleet.Number]any
+	entriesByNumber   map[fleet.ShortID]any
 }
 
 // Source provides the current view.
@@ -35,26 +35,26 @@
 		accountsByKeyHash: make(map[string]*schema.Account, len(state.GetAccounts())),
 		services:          make(map[fleet.ServiceID]*schema.Service, len(state.GetServices())),
 		upstreams:         make(map[fleet.ServiceID][]*schema.Upstream, len(state.GetServices())),
-		entriesByNumber:   make(map[fleet.Number]any, len(state.GetAccounts())),
+		entriesByNumber:   make(map[fleet.ShortID]any, len(state.GetAccounts())),
 	}
 	for _, a := range state.GetAccounts() {
 		v.addAccount(a)
 	}
 	for _, s := range state.GetServices() {
 		v.services[fleet.ServiceID(s.GetId())] = s
-		v.entriesByNumber[fleet.Number(s.GetNumber())] = s
+		v.entriesByNumber[fleet.ShortID(s.GetNumber())] = s
 	}
 	for _, u := range state.GetUpstreams() {
 		service := fleet.ServiceID(u.GetService())
 		v.upstreams[service] = append(v.upstreams[service], u)
-		v.entriesByNumber[fleet.Number(u.GetNumber())] = u
+		v.entriesByNumber[fleet.ShortID(u.GetNumber())] = u
 	}
 	return v
 }
 
 func (v *View) addAccount(a *schema.Account) {
 	v.accounts[fleet.AccountID(a.GetId())] = a
-	v.entriesByNumber[fleet.Number(a.GetNumber())] = a
+	v.entriesByNumber[fleet.ShortID(a.GetNumber())] = a
 	for _, hash := range a.GetKeySha256() {
 		v.accountsByKeyHash[hash] = a
 	}
@@ -86,19 +86,19 @@
 func (v *View) Upstreams(service fleet.ServiceID) []*schema.Upstream { return v.upstreams[service] }
 
 // AccountByNumber returns an account by its number, or nil.
-func (v *View) AccountByNumber(n fleet.Number) *schema.Account {
+func (v *View) AccountByNumber(n fleet.ShortID) *schema.Account {
 	a, _ := v.entriesByNumber[n].(*schema.Account)
 	return a
 }
 
 // ServiceByNumber returns a service by its number, or nil.
-func (v *View) ServiceByNumber(n fleet.Number) *schema.Service {
+func (v *View) ServiceByNumber(n fleet.ShortID) *schema.Service {
 	s, _ := v.entriesByNumber[n].(*schema.Service)
 	return s
 }
 
 // UpstreamByNumber returns an upstream by its number, or nil.
-func (v *View) UpstreamByNumber(n fleet.Number) *schema.Upstream {
+func (v *View) UpstreamByNumber(n fleet.ShortID) *schema.Upstream {
 	u, _ := v.entriesByNumber[n].(*schema.Upstream)
 	return u
 }
--- a/nutmeglock.go
+++ b/nutmeglock.go
@@ -42,7 +42,7 @@
 // ReadSettings parses and validates settings in JSON with comments. name is the
 // file name for the faults of a *document.FaultsError.
 func ReadSettings(name string, data []byte) (*schema.RouterSettings, error) {
-	return settings.Read(name, data)
+	return settings.Parse(name, data)
 }
 
 // New returns a router that already listens. It fails if an address can't be
--- a/operator/client.go
+++ b/operator/client.go
@@ -48,20 +48,20 @@
 	return &Client{urls: trimmed, key: key, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// AnswerError reports a request that a router answered with an error.
-type AnswerError struct {
+// ResponseError reports a request that a router answered with an error.
+type ResponseError struct {
 	URL    string
 	Status int
 	Detail *schema.OperatorError
 }
 
 // Error returns the router's status, reason and message.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	return fmt.Sprintf("%s answered %d, %s: %s", e.URL, e.Status, e.Detail.GetReason(), e.Detail.GetMessage())
 }
 
 // Reason returns the router's reason.
-func (e *AnswerError) Reason() Reason { return Reason(e.Detail.GetReason()) }
+func (e *ResponseError) Reason() Reason { return Reason(e.Detail.GetReason()) }
 
 // UnreachableError reports a request that no router answered.
 type UnreachableError struct {
@@ -127,7 +127,7 @@
 	if err == nil {
 		return true
 	}
-	var answered *AnswerError
+	var answered *ResponseError
 	if !errors.As(err, &answered) {
 		return false
 	}
@@ -147,7 +147,7 @@
 // mayHaveArrived reports whether a router may have received and accepted the
 // note.
 func mayHaveArrived(err error) bool {
-	var answered *AnswerError
+	var answered *ResponseError
 	if errors.As(err, &answered) {
 		return answered.Reason() == Unsettled || answered.Reason() == Internal
 	}
@@ -159,7 +159,7 @@
 // *UnreachableError when none answered.
 func lastResponseError(causes []error) error {
 	for i := len(causes) - 1; i >= 0; i-- {
-		var answered *AnswerError
+		var answered *ResponseError
 		if errors.As(causes[i], &answered) {
 			return answered
 		}
@@ -233,7 +233,7 @@
 	var causes []error
 	for _, base := range c.urls {
 		err := c.doWithTimeout(ctx, method, base, path, body, answer)
-		var answered *AnswerError
+		var answered *ResponseError
 		if err == nil || (errors.As(err, &answered) && answered.Status < http.StatusInternalServerError) {
 			return err
 		}
@@ -275,9 +275,9 @@
 	}
 	body := &schema.OperatorErrorBody{}
 	if err := lenient.Unmarshal(data, body); err != nil || body.GetError() == nil {
-		return &AnswerError{URL: base, Status: response.StatusCode, Detail: &schema.OperatorError{
+		return &ResponseError{URL: base, Status: response.StatusCode, Detail: &schema.OperatorError{
 			Reason: string(Internal), Message: "the response is not from a router's administration address",
 		}}
 	}
-	return &AnswerError{URL: base, Status: response.StatusCode, Detail: body.GetError()}
+	return &ResponseError{URL: base, Status: response.StatusCode, Detail: body.GetError()}
 }
--- a/operator/notes.go
+++ b/operator/notes.go
@@ -52,7 +52,7 @@
 	if !ok {
 		return err
 	}
-	return &document.FaultsError{Faults: d.Locate(faults.Faults), Dropped: faults.Dropped}
+	return &document.FaultsError{Faults: d.LocateFaults(faults.Faults), Dropped: faults.Dropped}
 }
 
 func (a *api) publish(c echo.Context) error {
@@ -81,13 +81,13 @@
 	if err != nil {
 		return locateFaults(d, err)
 	}
-	a.Log.InfoContext(ctx, "release note accepted", "version", accepted.Record.GetVersion(), "author", accepted.Record.GetAuthor(), "publish-id", id, "already", accepted.Already)
+	a.Log.InfoContext(ctx, "release note accepted", "version", accepted.Record.GetVersion(), "author", accepted.Record.GetAuthor(), "publish-id", id, "already", accepted.AlreadyAccepted)
 	status := http.StatusCreated
-	if accepted.Already {
+	if accepted.AlreadyAccepted {
 		status = http.StatusOK
 	}
 	return writeJSON(c, status, &schema.PublishAnswer{
-		Version: accepted.Record.GetVersion(), Already: accepted.Already, Author: accepted.Record.GetAuthor(), PublishId: string(id),
+		Version: accepted.Record.GetVersion(), Already: accepted.AlreadyAccepted, Author: accepted.Record.GetAuthor(), PublishId: string(id),
 	})
 }
 
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -36,7 +36,7 @@
 	Keys      []*schema.OperatorKey
 	Store     *note.Store
 	Publisher *note.Publisher
-	Holder    *note.Holder
+	Replica   *note.Replica
 	State     State
 	// Metrics serves /metrics.
 	Metrics http.Handler
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -25,7 +25,7 @@
 const key = "the key of aino"
 
 // fakeState is a State with fixed values.
-type fakeState struct{ holder *note.Holder }
+type fakeState struct{ holder *note.Replica }
 
 func (fakeState) Ready() string { return "" }
 func (s fakeState) Router() *schema.RouterState {
@@ -54,13 +54,13 @@
 func (f *fixture) startRouter(t *testing.T) string {
 	t.Helper()
 	store := note.NewStore(f.platform, f.platform)
-	holder := note.NewHolder(note.HolderOptions{Self: "r", Store: store})
+	holder := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store})
 	server := httptest.NewServer(operator.New(operator.Options{
 		Keys: []*schema.OperatorKey{
 			{Name: "juma", KeySha256: note.HashKey("another key")}, {Name: "aino", KeySha256: note.HashKey(key)},
 		},
-		Store: store, Holder: holder, State: fakeState{holder},
-		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Holder: holder}),
+		Store: store, Replica: holder, State: fakeState{holder},
+		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Replica: holder}),
 		Registry:  f.registry,
 		Log:       slog.New(slog.DiscardHandler),
 	}))
@@ -108,9 +108,9 @@
 	require.Equal(t, uint32(3), accounts.GetAccounts()[0].GetLoad().GetWaiting())
 }
 
-func requireAnswerError(t *testing.T, err error) *operator.AnswerError {
+func requireAnswerError(t *testing.T, err error) *operator.ResponseError {
 	t.Helper()
-	var answered *operator.AnswerError
+	var answered *operator.ResponseError
 	require.ErrorAs(t, err, &answered)
 	return answered
 }
--- a/operator/state.go
+++ b/operator/state.go
@@ -12,7 +12,7 @@
 
 // currentView returns the current view, or a failure when there is none yet.
 func (a *api) currentView() (*note.View, error) {
-	view := a.Holder.Current()
+	view := a.Replica.Current()
 	if view == nil {
 		return nil, newRetryableFailure(http.StatusServiceUnavailable, NotReady, "this router holds no release note yet")
 	}
--- a/outlier/machine_test.go
+++ b/outlier/machine_test.go
@@ -22,12 +22,12 @@
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"success": func(t *rapid.T) { d.Success(upstream(t)) },
-			"soft":    func(t *rapid.T) { d.Failure(now, upstream(t), outlier.Soft) },
-			"hard":    func(t *rapid.T) { d.Failure(now, upstream(t), outlier.Hard) },
-			"try":     func(t *rapid.T) { d.Try(now, upstream(t)) },
-			"keep":    func(t *rapid.T) { d.Keep(map[int]bool{upstream(t): true}) },
-			"empty":   func(*rapid.T) { d.Keep(nil) },
+			"success": func(t *rapid.T) { d.RecordSuccess(upstream(t)) },
+			"soft":    func(t *rapid.T) { d.RecordFailure(now, upstream(t), outlier.Soft) },
+			"hard":    func(t *rapid.T) { d.RecordFailure(now, upstream(t), outlier.Hard) },
+			"try":     func(t *rapid.T) { d.RecordSend(now, upstream(t)) },
+			"keep":    func(t *rapid.T) { d.Retain(map[int]bool{upstream(t): true}) },
+			"empty":   func(*rapid.T) { d.Retain(nil) },
 		})
 		for key := range 5 {
 			require.True(t, d.Usable(now.Add(10*time.Second), key), "usable again once the ejection is over")
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -65,8 +65,8 @@
 	states map[K]*upstreamState
 }
 
-// Success records a successful exchange, which ends an ejection.
-func (d *Detector[K]) Success(key K) {
+// RecordSuccess records a successful exchange, which ends an ejection.
+func (d *Detector[K]) RecordSuccess(key K) {
 	s := d.state(key)
 	s.failureRate *= 1 - outcomeWeight
 	s.consecutiveFailures = 0
@@ -77,8 +77,8 @@
 	s.ejectedUntil = time.Time{}
 }
 
-// Failure records a failed exchange and reports whether it caused an ejection.
-func (d *Detector[K]) Failure(now time.Time, key K, kind FailureKind) bool {
+// RecordFailure records a failed exchange and reports whether it caused an ejection.
+func (d *Detector[K]) RecordFailure(now time.Time, key K, kind FailureKind) bool {
 	s := d.state(key)
 	s.failureRate += (1 - s.failureRate) * outcomeWeight
 	s.consecutiveFailures++
@@ -129,16 +129,16 @@
 	return !now.Before(s.ejectedUntil) && !now.Before(s.probeUntil)
 }
 
-// Try records that a request is sent to an upstream; after an ejection it is the probe.
-func (d *Detector[K]) Try(now time.Time, key K) {
+// RecordSend records that a request is sent to an upstream; after an ejection it is the probe.
+func (d *Detector[K]) RecordSend(now time.Time, key K) {
 	s := d.states[key]
 	if s != nil && s.ejection > 0 {
 		s.probeUntil = now.Add(probeTimeout)
 	}
 }
 
-// Keep drops the state of all upstreams that are not in keys.
-func (d *Detector[K]) Keep(keys map[K]bool) {
+// Retain drops the state of all upstreams that are not in keys.
+func (d *Detector[K]) Retain(keys map[K]bool) {
 	for key := range d.states {
 		if !keys[key] {
 			delete(d.states, key)
--- a/outlier/outlier_test.go
+++ b/outlier/outlier_test.go
@@ -32,17 +32,17 @@
 			key = i % n
 		}
 		sent[key]++
-		d.Try(now, key)
+		d.RecordSend(now, key)
 		rate := base
 		if key < failing {
 			rate = probability
 		}
 		if random.Float64() < rate {
 			failures++
-			d.Failure(now, key, outlier.Soft)
+			d.RecordFailure(now, key, outlier.Soft)
 			continue
 		}
-		d.Success(key)
+		d.RecordSuccess(key)
 	}
 	return sent, failures
 }
@@ -83,7 +83,7 @@
 func TestDeadUpstreamIsEjectedAtOnceAndProbedRarely(t *testing.T) {
 	t.Parallel()
 	var d outlier.Detector[string]
-	require.True(t, d.Failure(start, "a", outlier.Hard))
+	require.True(t, d.RecordFailure(start, "a", outlier.Hard))
 	probes := 0
 	for i := range 2_000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
@@ -91,14 +91,14 @@
 			continue
 		}
 		probes++
-		d.Try(now, "a")
-		d.Failure(now, "a", outlier.Hard)
+		d.RecordSend(now, "a")
+		d.RecordFailure(now, "a", outlier.Hard)
 	}
 	require.InDelta(t, 7, probes, 3)
 	later := start.Add(time.Minute)
 	require.True(t, d.Usable(later, "a"))
-	d.Try(later, "a")
+	d.RecordSend(later, "a")
 	require.False(t, d.Usable(later, "a"), "a second request during a probe")
-	d.Success("a")
+	d.RecordSuccess("a")
 	require.True(t, d.Usable(later, "a"))
 }
--- a/overload/detector.go
+++ b/overload/detector.go
@@ -82,8 +82,8 @@
 	return d.overloaded
 }
 
-// Wait returns the mean time for which goroutines recently waited for the processor.
-func (d *Detector) Wait() time.Duration {
+// MeanWait returns the mean time for which goroutines recently waited for the processor.
+func (d *Detector) MeanWait() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.meanWait
--- a/overload/machine_test.go
+++ b/overload/machine_test.go
@@ -25,7 +25,7 @@
 				s.Observe(now, wait)
 				d.Observe(now, wait)
 			},
-			"takes": func(t *rapid.T) { s.Takes(now, rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "account")) },
+			"takes": func(t *rapid.T) { s.Admit(now, rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "account")) },
 			"admission": func(t *rapid.T) {
 				a := s.Admission()
 				require.True(t, a.Rate > 0 && a.Rate <= 1, "%v", a.Rate)
@@ -39,6 +39,6 @@
 		}
 		require.False(t, s.IsShedding())
 		require.False(t, d.IsOverloaded())
-		require.True(t, s.Takes(now, "a"))
+		require.True(t, s.Admit(now, "a"))
 	})
 }
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -100,7 +100,7 @@
 // measured timer delays would consider itself idle.
 func TestWaitsForTheProcessorAreSeen(t *testing.T) {
 	t.Parallel()
-	var s overload.Scheduling
+	var s overload.SchedulingLatency
 	s.Wait()
 	done := make(chan struct{})
 	for range 2000 {
--- a/overload/scheduling.go
+++ b/overload/scheduling.go
@@ -13,20 +13,20 @@
 // dominated by a single pause of the machine.
 const tailShare = 0.1
 
-// Scheduling measures how long goroutines of this process wait for the processor. Its
+// SchedulingLatency measures how long goroutines of this process wait for the processor. Its
 // zero value is ready to use. It isn't safe for concurrent use.
 //
 // Callers wait this long too. Timer delays would not show it: the runtime checks timers
 // before other runnable work, so they fire in time on a router that reads requests half
 // a second late.
-type Scheduling struct {
+type SchedulingLatency struct {
 	sample   [1]metrics.Sample
 	previous []uint64
 }
 
 // Wait returns the 90th percentile of the waits since the last call, zero if no
 // goroutine ran.
-func (s *Scheduling) Wait() time.Duration {
+func (s *SchedulingLatency) Wait() time.Duration {
 	s.sample[0].Name = latencyMetric
 	metrics.Read(s.sample[:])
 	if s.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
--- a/overload/shedder.go
+++ b/overload/shedder.go
@@ -85,7 +85,7 @@
 
 // accountArrivals tracks the requests of one account.
 type accountArrivals struct {
-	recent rate.Recent
+	recent rate.DecayingSum
 	// credit is the fraction of a request by which the account's quota exceeds what was
 	// admitted.
 	credit float64
@@ -182,11 +182,11 @@
 		counts = append(counts, count)
 		total += count
 	}
-	s.fairLevel = share.Level(counts, (1-s.refusedShare)*total)
+	s.fairLevel = share.MaxMinLimit(counts, (1-s.refusedShare)*total)
 }
 
-// Takes counts a request that has just arrived and reports whether it is admitted.
-func (s *Shedder[K]) Takes(now time.Time, key K) bool {
+// Admit counts a request that has just arrived and reports whether it is admitted.
+func (s *Shedder[K]) Admit(now time.Time, key K) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Requests++
--- a/overload/shedder_test.go
+++ b/overload/shedder_test.go
@@ -73,7 +73,7 @@
 
 func (r *simulatedRouter) request(account string) {
 	r.requested[account]++
-	if !r.shedder.Takes(r.now, account) {
+	if !r.shedder.Admit(r.now, account) {
 		r.backlog += refusedCost
 		return
 	}
--- a/overload/standing.go
+++ b/overload/standing.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Standing measures for how long a queue has not been empty. A burst drains within moments;
+// StandingQueue measures for how long a queue has not been empty. A burst drains within moments;
 // a standing queue means that more arrives than is processed. Its zero value is an empty
 // queue. It is safe for concurrent use.
-type Standing struct {
+type StandingQueue struct {
 	mu sync.Mutex
 	// since is when the queue was first seen non-empty after it was empty, zero while it
 	// is empty.
@@ -16,7 +16,7 @@
 }
 
 // Observe records whether the queue is empty.
-func (s *Standing) Observe(now time.Time, empty bool) {
+func (s *StandingQueue) Observe(now time.Time, empty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -27,8 +27,8 @@
 	}
 }
 
-// For returns how long the queue has not been empty.
-func (s *Standing) For(now time.Time) time.Duration {
+// Duration returns how long the queue has not been empty.
+func (s *StandingQueue) Duration(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.since.IsZero() {
--- a/overload/standing_test.go
+++ b/overload/standing_test.go
@@ -13,13 +13,13 @@
 	t.Parallel()
 	start := time.Unix(0, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var s overload.Standing
-	require.Zero(t, s.For(at(0)))
+	var s overload.StandingQueue
+	require.Zero(t, s.Duration(at(0)))
 	s.Observe(at(10), false)
 	s.Observe(at(20), false)
-	require.Equal(t, 30*time.Millisecond, s.For(at(40)))
+	require.Equal(t, 30*time.Millisecond, s.Duration(at(40)))
 	s.Observe(at(50), true)
-	require.Zero(t, s.For(at(60)))
+	require.Zero(t, s.Duration(at(60)))
 	s.Observe(at(70), false)
-	require.Equal(t, 10*time.Millisecond, s.For(at(80)))
+	require.Equal(t, 10*time.Millisecond, s.Duration(at(80)))
 }
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -33,8 +33,8 @@
 	backoff     time.Duration
 }
 
-// Target replaces the addresses of the routers to connect to.
-func (p *Peers) Target(addresses map[fleet.RouterID]string) {
+// SetTargets replaces the addresses of the routers to connect to.
+func (p *Peers) SetTargets(addresses map[fleet.RouterID]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !maps.Equal(p.targets, addresses) {
--- a/peer/panic_test.go
+++ b/peer/panic_test.go
@@ -22,7 +22,7 @@
 		}
 	})
 	receiver.Handle("fault", func(context.Context, json.RawMessage) (any, error) { panic("panic in a call handler") })
-	sender.Target(map[fleet.RouterID]string{"two": receiver.address})
+	sender.SetTargets(map[fleet.RouterID]string{"two": receiver.address})
 	require.Eventually(t, func() bool { return len(sender.Routers()) == 1 }, waitTimeout, pollInterval)
 	for number := range uint64(3) {
 		sender.Send("two", &schema.Batch{GrantedThrough: number})
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -276,6 +276,6 @@
 
 func (p *Peers) countBytes(direction string, size int) {
 	if p.options.Metrics != nil {
-		p.options.Metrics.Control(direction, metric.Peer, size)
+		p.options.Metrics.CountControlMessage(direction, metric.Peer, size)
 	}
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -132,7 +132,7 @@
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
 	b := startNode(t, nodeConfig{id: "b"})
-	b.Target(map[fleet.RouterID]string{"a": a.address})
+	b.SetTargets(map[fleet.RouterID]string{"a": a.address})
 	waitConnected(t, a, b)
 	for i := range uint64(100) {
 		a.Send("b", numberedBatch(i+1))
@@ -168,7 +168,7 @@
 	wire := newProxy(t, a.address)
 	wire.cut()
 	b := startNode(t, nodeConfig{id: "b", seeds: []string{wire.address}})
-	a.Target(map[fleet.RouterID]string{"b": b.address})
+	a.SetTargets(map[fleet.RouterID]string{"b": b.address})
 	waitConnected(t, a, b)
 	wire.restore()
 	require.Eventually(t, func() bool { return a.Faults().Duplicate+b.Faults().Duplicate > 0 }, waitTimeout, pollInterval)
@@ -187,7 +187,7 @@
 		targets[fleet.RouterID(fmt.Sprintf("router-%d", i))] = n.address
 	}
 	for _, n := range nodes {
-		n.Target(targets)
+		n.SetTargets(targets)
 	}
 	waitConnected(t, nodes...)
 	for _, n := range nodes {
@@ -211,12 +211,12 @@
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
 	stranger := startNode(t, nodeConfig{id: "b", key: "another key altogether"})
-	stranger.Target(map[fleet.RouterID]string{"a": a.address})
+	stranger.SetTargets(map[fleet.RouterID]string{"a": a.address})
 	require.Eventually(t, func() bool {
 		return a.Faults().Rejected+stranger.Faults().Rejected > 0
 	}, waitTimeout, pollInterval)
 	// The router also rejects the stranger when it dials the stranger itself.
-	a.Target(map[fleet.RouterID]string{"b": stranger.address})
+	a.SetTargets(map[fleet.RouterID]string{"b": stranger.address})
 	before := a.Faults().Rejected
 	require.Eventually(t, func() bool { return a.Faults().Rejected > before }, waitTimeout, pollInterval)
 	for _, n := range []*testNode{a, stranger} {
@@ -282,10 +282,10 @@
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
 	newer := startNode(t, nodeConfig{id: "b", incarnation: 2})
-	newer.Target(map[fleet.RouterID]string{"a": a.address})
+	newer.SetTargets(map[fleet.RouterID]string{"a": a.address})
 	waitConnected(t, a, newer)
 	older := startNode(t, nodeConfig{id: "b", incarnation: 1})
-	older.Target(map[fleet.RouterID]string{"a": a.address})
+	older.SetTargets(map[fleet.RouterID]string{"a": a.address})
 	require.Eventually(t, func() bool { return a.Faults().Rejected > 0 }, waitTimeout, pollInterval)
 	newer.Send("a", numberedBatch(7))
 	require.Eventually(t, func() bool { return len(a.received()) == 1 }, waitTimeout, pollInterval)
@@ -302,7 +302,7 @@
 	frozen := startNode(t, nodeConfig{id: "b", readGate: gate, heartbeat: time.Hour})
 	healthy := startNode(t, nodeConfig{id: "c", heartbeat: time.Hour})
 	t.Cleanup(func() { close(gate) })
-	a.Target(map[fleet.RouterID]string{"b": frozen.address, "c": healthy.address})
+	a.SetTargets(map[fleet.RouterID]string{"b": frozen.address, "c": healthy.address})
 	require.Eventually(t, func() bool { return len(a.Routers()) == 2 }, waitTimeout, pollInterval)
 	big := &schema.Batch{Held: []*schema.Held{{Ids: make([]uint64, 200_000)}}}
 	sent := 0
@@ -325,7 +325,7 @@
 	const heartbeat = 50 * time.Millisecond
 	a := startNode(t, nodeConfig{id: "a", heartbeat: heartbeat})
 	paused := startNode(t, nodeConfig{id: "b", readGate: gate, heartbeat: heartbeat})
-	a.Target(map[fleet.RouterID]string{"b": paused.address})
+	a.SetTargets(map[fleet.RouterID]string{"b": paused.address})
 	waitConnected(t, a, paused)
 	a.Send("b", numberedBatch(1))
 	require.Eventually(t, func() bool { return len(paused.received()) == 1 }, waitTimeout, pollInterval)
@@ -349,7 +349,7 @@
 	a := startNode(t, nodeConfig{id: "a", heartbeat: heartbeat})
 	b := startNode(t, nodeConfig{id: "b", heartbeat: heartbeat})
 	wire := newProxy(t, a.address)
-	b.Target(map[fleet.RouterID]string{"a": wire.address})
+	b.SetTargets(map[fleet.RouterID]string{"a": wire.address})
 	waitConnected(t, a, b)
 	wire.cut()
 	require.Eventually(t, func() bool { return a.disconnects() == 1 && b.disconnects() >= 1 }, waitTimeout, pollInterval)
@@ -366,7 +366,7 @@
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a", heartbeat: time.Hour})
 	b := startNode(t, nodeConfig{id: "b", heartbeat: time.Hour})
-	b.Target(map[fleet.RouterID]string{"a": a.address})
+	b.SetTargets(map[fleet.RouterID]string{"a": a.address})
 	waitConnected(t, a, b)
 	for i := range uint64(10) {
 		b.Send("a", numberedBatch(i+1))
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -14,7 +14,7 @@
 
 // Candidate is an upstream that a request may be sent to.
 type Candidate struct {
-	Upstream fleet.Number
+	Upstream fleet.ShortID
 	InFlight int
 	Limit    int
 	// Affinity is the part of the prompt, from 0 to 1, that the upstream probably has
@@ -40,9 +40,9 @@
 	preferredAffinity = 0.2
 )
 
-// Affinity picks the candidate with the lowest load relative to its limit, minus the value
+// CacheAffinity picks the candidate with the lowest load relative to its limit, minus the value
 // of its cache. Its zero value is ready to use.
-type Affinity struct {
+type CacheAffinity struct {
 	// CacheWeight is the part of an upstream's limit that a fully cached prompt outweighs; zero
 	// means 0.5.
 	CacheWeight float64
@@ -50,7 +50,7 @@
 
 // Pick returns the candidate with the lowest score, and among equals the one with the most
 // free slots.
-func (a Affinity) Pick(candidates []Candidate) (int, bool) {
+func (a CacheAffinity) Pick(candidates []Candidate) (int, bool) {
 	cacheWeight := a.CacheWeight
 	if cacheWeight <= 0 {
 		cacheWeight = defaultCacheWeight
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -31,7 +31,7 @@
 		{"most room among equals", []placement.Candidate{{Limit: 4}, {Limit: 16}}, 1},
 	}
 	for _, c := range cases {
-		got, ok := placement.Affinity{}.Pick(c.candidates)
+		got, ok := placement.CacheAffinity{}.Pick(c.candidates)
 		require.True(t, ok, c.name)
 		require.Equal(t, c.want, got, c.name)
 	}
@@ -51,7 +51,7 @@
 		for _, c := range candidates {
 			room = room || c.InFlight < c.Limit
 		}
-		for _, policy := range []placement.Policy{placement.Affinity{}, placement.LeastLoaded{}} {
+		for _, policy := range []placement.Policy{placement.CacheAffinity{}, placement.LeastLoaded{}} {
 			i, ok := policy.Pick(candidates)
 			require.Equal(t, room, ok)
 			require.True(t, !ok || candidates[i].InFlight < candidates[i].Limit)
@@ -71,7 +71,7 @@
 		for range requests {
 			candidates := make([]placement.Candidate, 10)
 			for i := range candidates {
-				candidates[i] = placement.Candidate{Upstream: fleet.Number(i), InFlight: inFlight[i], Limit: 16, Affinity: cached[i]}
+				candidates[i] = placement.Candidate{Upstream: fleet.ShortID(i), InFlight: inFlight[i], Limit: 16, Affinity: cached[i]}
 			}
 			placement.AddPreferredAffinity(42, candidates)
 			i, ok := policy.Pick(candidates)
@@ -84,24 +84,24 @@
 		}
 		return counts
 	}
-	require.Len(t, place(placement.Affinity{}, 6), 1)
+	require.Len(t, place(placement.CacheAffinity{}, 6), 1)
 	require.Len(t, place(placement.LeastLoaded{}, 6), 6, "the baseline computes it six times")
-	require.Len(t, place(placement.Affinity{}, 160), 10)
-	for _, count := range place(placement.Affinity{}, 160) {
+	require.Len(t, place(placement.CacheAffinity{}, 160), 10)
+	for _, count := range place(placement.CacheAffinity{}, 160) {
 		require.Equal(t, 16, count)
 	}
 }
 
 func TestDispatchersPreferTheSameUpstream(t *testing.T) {
 	t.Parallel()
-	chosen := make(map[fleet.Number]bool)
+	chosen := make(map[fleet.ShortID]bool)
 	for prefix := uint64(1); prefix < 200; prefix++ {
 		forward := []placement.Candidate{{Upstream: 1, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 3, Limit: 9}}
 		backward := []placement.Candidate{{Upstream: 3, Limit: 9}, {Upstream: 2, Limit: 9}, {Upstream: 1, Limit: 9}}
 		placement.AddPreferredAffinity(prefix, forward)
 		placement.AddPreferredAffinity(prefix, backward)
-		i, _ := placement.Affinity{}.Pick(forward)
-		j, _ := placement.Affinity{}.Pick(backward)
+		i, _ := placement.CacheAffinity{}.Pick(forward)
+		j, _ := placement.CacheAffinity{}.Pick(backward)
 		require.Equal(t, forward[i].Upstream, backward[j].Upstream)
 		chosen[forward[i].Upstream] = true
 	}
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -56,7 +56,7 @@
 	Capacity int
 	// MaxAge is how long a stored prefix counts; zero means ten minutes.
 	MaxAge    time.Duration
-	upstreams map[fleet.Number]*cache
+	upstreams map[fleet.ShortID]*cache
 }
 
 // cache is the estimated cache of one upstream. recency lists the entries, most recently
@@ -79,7 +79,7 @@
 // Apply applies an upstream's events in order of arrival. Events that were already applied
 // are ignored. After a gap in the sequence, entries stored before it are trusted half as
 // much.
-func (x *Index) Apply(now time.Time, upstream fleet.Number, events []Event) {
+func (x *Index) Apply(now time.Time, upstream fleet.ShortID, events []Event) {
 	c := x.cache(upstream)
 	for _, event := range events {
 		if event.Sequence <= c.sequence {
@@ -99,7 +99,7 @@
 }
 
 // Sequence returns the sequence number of the latest event of an upstream.
-func (x *Index) Sequence(upstream fleet.Number) uint64 {
+func (x *Index) Sequence(upstream fleet.ShortID) uint64 {
 	if c := x.upstreams[upstream]; c != nil {
 		return c.sequence
 	}
@@ -108,7 +108,7 @@
 
 // RecordSent records that a request with these prefixes is sent to the upstream, which will
 // probably cache them soon.
-func (x *Index) RecordSent(now time.Time, upstream fleet.Number, prefixes []uint64) {
+func (x *Index) RecordSent(now time.Time, upstream fleet.ShortID, prefixes []uint64) {
 	c := x.cache(upstream)
 	for _, prefix := range prefixes {
 		x.useEntry(c, prefix).sent = now
@@ -117,7 +117,7 @@
 
 // Affinity returns the part of a prompt, from 0 to 1, that the upstream probably has
 // cached. Prefixes are the hashes of the prompt's prefixes from short to long.
-func (x *Index) Affinity(now time.Time, upstream fleet.Number, prefixes []uint64) float64 {
+func (x *Index) Affinity(now time.Time, upstream fleet.ShortID, prefixes []uint64) float64 {
 	c := x.upstreams[upstream]
 	if c == nil {
 		return 0
@@ -154,23 +154,23 @@
 
 // Forget drops the state of an upstream that was removed, or that restarted with an empty
 // cache and new sequence numbers.
-func (x *Index) Forget(upstream fleet.Number) { delete(x.upstreams, upstream) }
+func (x *Index) Forget(upstream fleet.ShortID) { delete(x.upstreams, upstream) }
 
 // Len returns the number of prefixes kept for an upstream.
-func (x *Index) Len(upstream fleet.Number) int {
+func (x *Index) Len(upstream fleet.ShortID) int {
 	if c := x.upstreams[upstream]; c != nil {
 		return len(c.entries)
 	}
 	return 0
 }
 
-func (x *Index) cache(upstream fleet.Number) *cache {
+func (x *Index) cache(upstream fleet.ShortID) *cache {
 	c := x.upstreams[upstream]
 	if c != nil {
 		return c
 	}
 	if x.upstreams == nil {
-		x.upstreams = make(map[fleet.Number]*cache)
+		x.upstreams = make(map[fleet.ShortID]*cache)
 	}
 	c = &cache{entries: make(map[uint64]*list.Element), recency: list.New()}
 	x.upstreams[upstream] = c
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-const testUpstream fleet.Number = 7
+const testUpstream fleet.ShortID = 7
 
 func storedEvents(first uint64, prefixes ...uint64) []prefix.Event {
 	events := make([]prefix.Event, len(prefixes))
--- a/quarantine/entry.go
+++ b/quarantine/entry.go
@@ -11,7 +11,7 @@
 }
 
 // Restore loads persisted entries and ignores those that have expired.
-func (w *Watch) Restore(now time.Time, entries []Entry) {
+func (w *Tracker) Restore(now time.Time, entries []Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range entries {
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -27,20 +27,20 @@
 type Crash struct {
 	Request  Fingerprint
 	Upstream turn.Instance
-	// Began and Ended are how long ago the request started to run and the upstream
+	// StartedAgo and Ended are how long ago the request started to run and the upstream
 	// crashed.
-	Began, Ended time.Duration
-	// Served is how long ago the reporting router last served the request, zero for
+	StartedAgo, CrashedAgo time.Duration
+	// ServedAgo is how long ago the reporting router last served the request, zero for
 	// never.
-	Served time.Duration
+	ServedAgo time.Duration
 }
 
-// Standing is the state of a request in the quarantine.
-type Standing int
+// Status is the state of a request in the quarantine.
+type Status int
 
 // The standings of a request.
 const (
-	Unremarkable Standing = iota
+	NotSuspected Status = iota
 	Suspected
 	Refused
 )
@@ -71,19 +71,19 @@
 
 // count records a crash. It returns the new standing of the request, or Unremarkable if
 // the crash doesn't change it.
-func (c *crashCounter) count(now time.Time, crash Crash) Standing {
+func (c *crashCounter) count(now time.Time, crash Crash) Status {
 	r := c.record(now, crash.Request)
-	if r.crashes > 0 && crash.Served > 0 && now.Add(-crash.Served).After(r.lastCrash) {
+	if r.crashes > 0 && crash.ServedAgo > 0 && now.Add(-crash.ServedAgo).After(r.lastCrash) {
 		c.clear(crash.Request)
 		r = c.record(now, crash.Request)
 	}
 	if r.upstreams[crash.Upstream] {
-		return Unremarkable
+		return NotSuspected
 	}
 	r.upstreams[crash.Upstream] = true
-	began, ended := now.Add(-crash.Began), now.Add(-crash.Ended)
+	began, ended := now.Add(-crash.StartedAgo), now.Add(-crash.CrashedAgo)
 	if r.crashes > 0 && (began.Before(r.lastCrash.Add(-clockSlack)) || ended.Before(r.lastCrash.Add(commonCauseWindow))) {
-		return Unremarkable
+		return NotSuspected
 	}
 	if r.crashes == 0 {
 		r.firstCrash = ended
@@ -96,7 +96,7 @@
 	case r.crashes >= suspectedCrashes:
 		return Suspected
 	default:
-		return Unremarkable
+		return NotSuspected
 	}
 }
 
--- a/quarantine/machine_test.go
+++ b/quarantine/machine_test.go
@@ -21,7 +21,7 @@
 func TestWatchOutlivesAnyReport(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		var w quarantine.Watch
+		var w quarantine.Tracker
 		now := epoch
 		request := func(t *rapid.T) quarantine.Fingerprint {
 			return quarantine.Fingerprint(rapid.Uint64Range(0, 3).Draw(t, "request"))
@@ -31,21 +31,21 @@
 		}
 		crash := func(t *rapid.T) quarantine.Crash {
 			return quarantine.Crash{
-				Request: request(t), Upstream: turn.Instance{ID: rapid.SampledFrom([]fleet.UpstreamID{"", "a", "b", "c"}).Draw(t, "upstream"), Life: registry.Life(rapid.Int64().Draw(t, "life"))},
-				Began: length(t, "began"), Ended: length(t, "ended"), Served: length(t, "served"),
+				Request: request(t), Upstream: turn.Instance{ID: rapid.SampledFrom([]fleet.UpstreamID{"", "a", "b", "c"}).Draw(t, "upstream"), StartTime: registry.StartTime(rapid.Int64().Draw(t, "life"))},
+				StartedAgo: length(t, "began"), CrashedAgo: length(t, "ended"), ServedAgo: length(t, "served"),
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 100_000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"served":  func(t *rapid.T) { w.Served(now, request(t)) },
-			"crashed": func(t *rapid.T) { w.Crashed(now, crash(t)) },
-			"report":  func(t *rapid.T) { w.Report(now, crash(t)) },
+			"served":  func(t *rapid.T) { w.RecordServed(now, request(t)) },
+			"crashed": func(t *rapid.T) { w.RecordCrash(now, crash(t)) },
+			"report":  func(t *rapid.T) { w.CountCrash(now, crash(t)) },
 			"receive": func(t *rapid.T) {
-				w.Receive(now, quarantine.Verdict{
-					Request: request(t), Standing: quarantine.Standing(rapid.IntRange(-1, 5).Draw(t, "standing")),
-					Since: length(t, "since"), Term: length(t, "term"), Left: length(t, "left"),
+				w.ApplyVerdict(now, quarantine.Verdict{
+					Request: request(t), Status: quarantine.Status(rapid.IntRange(-1, 5).Draw(t, "standing")),
+					FirstCrashAgo: length(t, "since"), Term: length(t, "term"), Remaining: length(t, "left"),
 				})
 			},
 			"restore": func(t *rapid.T) {
@@ -53,7 +53,7 @@
 			},
 			"": func(t *rapid.T) {
 				for known := range quarantine.Fingerprint(4) {
-					require.LessOrEqual(t, w.Refuses(now, known), longestTerm)
+					require.LessOrEqual(t, w.RefusedFor(now, known), longestTerm)
 				}
 			},
 		})
--- a/quarantine/watch_test.go
+++ b/quarantine/watch_test.go
@@ -23,14 +23,14 @@
 // testRouters are the watches of a fleet. The first one is the counting router.
 type testRouters struct {
 	now     time.Time
-	watches []*quarantine.Watch
+	watches []*quarantine.Tracker
 	crashed int
 }
 
 func newRouters(count int) *testRouters {
 	f := &testRouters{now: epoch}
 	for range count {
-		f.watches = append(f.watches, &quarantine.Watch{})
+		f.watches = append(f.watches, &quarantine.Tracker{})
 	}
 	return f
 }
@@ -38,7 +38,7 @@
 // broadcast sends a verdict to the routers until one objects, and then that objection.
 func (f *testRouters) broadcast(v quarantine.Verdict) {
 	for _, w := range f.watches {
-		if objection, objects, _ := w.Receive(f.now, v); objects {
+		if objection, objects, _ := w.ApplyVerdict(f.now, v); objects {
 			f.broadcast(objection)
 			return
 		}
@@ -47,12 +47,12 @@
 
 // crash simulates the crash of an upstream that ran the request of a router.
 func (f *testRouters) crash(router int, upstream turn.Instance, ran time.Duration) {
-	report, verdict := f.watches[router].Crashed(f.now, quarantine.Crash{Request: request, Upstream: upstream, Began: ran})
-	if verdict.Standing == quarantine.Refused {
+	report, verdict := f.watches[router].RecordCrash(f.now, quarantine.Crash{Request: request, Upstream: upstream, StartedAgo: ran})
+	if verdict.Status == quarantine.Refused {
 		f.broadcast(verdict)
 		return
 	}
-	if verdict, ok := f.watches[0].Report(f.now, report); ok {
+	if verdict, ok := f.watches[0].CountCrash(f.now, report); ok {
 		f.broadcast(verdict)
 	}
 }
@@ -65,11 +65,11 @@
 }
 
 func upstreamNumber(n int) turn.Instance {
-	return turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("u%d", n)), Life: 1}
+	return turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("u%d", n)), StartTime: 1}
 }
 
 func (f *testRouters) serve(router int) {
-	if verdict, ok := f.watches[router].Served(f.now, request); ok {
+	if verdict, ok := f.watches[router].RecordServed(f.now, request); ok {
 		f.broadcast(verdict)
 	}
 }
@@ -78,7 +78,7 @@
 func (f *testRouters) refusingCount() int {
 	count := 0
 	for _, w := range f.watches {
-		if w.Refuses(f.now, request) > 0 {
+		if w.RefusedFor(f.now, request) > 0 {
 			count++
 		}
 	}
@@ -152,7 +152,7 @@
 	f := newRouters(2)
 	for life := range 3 {
 		f.now = f.now.Add(2 * runTime)
-		f.crash(1, turn.Instance{ID: "u", Life: registry.Life(life)}, runTime)
+		f.crash(1, turn.Instance{ID: "u", StartTime: registry.StartTime(life)}, runTime)
 	}
 	require.Equal(t, 2, f.refusingCount())
 }
@@ -167,10 +167,10 @@
 	f.crashNextUpstream(1)
 	f.crashNextUpstream(1)
 	require.Equal(t, 4, f.refusingCount())
-	other := &quarantine.Watch{}
-	other.Served(served, request)
+	other := &quarantine.Tracker{}
+	other.RecordServed(served, request)
 	f.watches = append(f.watches, other)
-	f.broadcast(quarantine.Verdict{Request: request, Standing: quarantine.Refused, Since: f.now.Sub(epoch), Term: time.Minute, Left: time.Minute})
+	f.broadcast(quarantine.Verdict{Request: request, Status: quarantine.Refused, FirstCrashAgo: f.now.Sub(epoch), Term: time.Minute, Remaining: time.Minute})
 	require.Zero(t, f.refusingCount())
 }
 
@@ -181,12 +181,12 @@
 	for range 3 {
 		f.crashNextUpstream(1)
 	}
-	term := f.watches[1].Refuses(f.now, request)
+	term := f.watches[1].RefusedFor(f.now, request)
 	f.now = f.now.Add(term + time.Second)
 	require.Zero(t, f.refusingCount())
 	f.crashNextUpstream(2)
 	require.Equal(t, 3, f.refusingCount())
-	require.Greater(t, f.watches[1].Refuses(f.now, request), term)
+	require.Greater(t, f.watches[1].RefusedFor(f.now, request), term)
 }
 
 // Guards against a known request that crashes more than three upstreams in a day.
@@ -231,7 +231,7 @@
 	for range 3 {
 		f.crashNextUpstream(1)
 	}
-	f.now = f.now.Add(f.watches[1].Refuses(f.now, request) + time.Second)
+	f.now = f.now.Add(f.watches[1].RefusedFor(f.now, request) + time.Second)
 	f.serve(2)
 	f.crashNextUpstream(1)
 	f.crashNextUpstream(2)
@@ -245,11 +245,11 @@
 	for range 3 {
 		f.crashNextUpstream(1)
 	}
-	newWatch := &quarantine.Watch{}
-	for _, v := range f.watches[0].Refused(f.now) {
-		newWatch.Receive(f.now, v)
+	newWatch := &quarantine.Tracker{}
+	for _, v := range f.watches[0].ActiveVerdicts(f.now) {
+		newWatch.ApplyVerdict(f.now, v)
 	}
-	require.Positive(t, newWatch.Refuses(f.now, request))
+	require.Positive(t, newWatch.RefusedFor(f.now, request))
 }
 
 // Guards against a restarted fleet that has lost its refused requests.
@@ -279,11 +279,11 @@
 // Guards against memory that grows with the number of requests whose upstreams crash.
 func TestEvidenceIsBounded(t *testing.T) {
 	t.Parallel()
-	var w quarantine.Watch
+	var w quarantine.Tracker
 	const many = 20_000
 	for i := range many {
-		w.Served(epoch, quarantine.Fingerprint(1+i))
-		w.Report(epoch.Add(time.Duration(i)*time.Millisecond), quarantine.Crash{Request: quarantine.Fingerprint(1 + i), Upstream: upstreamNumber(i)})
+		w.RecordServed(epoch, quarantine.Fingerprint(1+i))
+		w.CountCrash(epoch.Add(time.Duration(i)*time.Millisecond), quarantine.Crash{Request: quarantine.Fingerprint(1 + i), Upstream: upstreamNumber(i)})
 	}
 	records, served := w.Sizes()
 	require.LessOrEqual(t, records, many/4)
--- a/rate/peak.go
+++ b/rate/peak.go
@@ -5,7 +5,7 @@
 // Peak follows the maximum of an amount. It decays by a factor of e in each time
 // constant, and rises at once with the amount. Its zero value is zero. It is not safe for
 // concurrent use.
-type Peak struct{ value Recent }
+type Peak struct{ value DecayingSum }
 
 // At returns the decayed peak at now.
 func (p *Peak) At(now time.Time, timeConstant time.Duration) float64 {
--- a/rate/recent.go
+++ b/rate/recent.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Recent is a sum that decays exponentially: it falls by a factor of e in each time
+// DecayingSum is a sum that decays exponentially: it falls by a factor of e in each time
 // constant, which every call is given. Its zero value is zero. It is not safe for
 // concurrent use.
-type Recent struct {
+type DecayingSum struct {
 	amount    float64
 	updatedAt time.Time
 }
 
 // At returns the decayed sum at now.
-func (r *Recent) At(now time.Time, timeConstant time.Duration) float64 {
+func (r *DecayingSum) At(now time.Time, timeConstant time.Duration) float64 {
 	if r.amount == 0 {
 		return 0
 	}
@@ -23,7 +23,7 @@
 }
 
 // Add adds an amount, which may be negative. The sum never falls below zero.
-func (r *Recent) Add(now time.Time, timeConstant time.Duration, amount float64) {
+func (r *DecayingSum) Add(now time.Time, timeConstant time.Duration, amount float64) {
 	r.amount = max(r.At(now, timeConstant)+amount, 0)
 	r.updatedAt = now
 }
--- a/rate/recent_test.go
+++ b/rate/recent_test.go
@@ -13,7 +13,7 @@
 func TestRecentDecays(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
-	var r rate.Recent
+	var r rate.DecayingSum
 	require.Zero(t, r.At(now, time.Second))
 	r.Add(now, time.Second, 10)
 	require.InDelta(t, 10, r.At(now, time.Second), 1e-9)
@@ -29,7 +29,7 @@
 func TestRecentFollowsASteadyRate(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
-	var r rate.Recent
+	var r rate.DecayingSum
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
 		r.Add(now, time.Second, 1)
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -18,11 +18,11 @@
 
 // The parts whose panics are recovered.
 const (
-	Request Part = "request"
-	Home    Part = "home"
-	Message Part = "message"
-	Update  Part = "update"
-	Crash   Part = "crash-report"
+	Request     Part = "request"
+	Home        Part = "home"
+	Message     Part = "message"
+	Update      Part = "update"
+	CrashReport Part = "crash-report"
 	// Control is work on shared state. A panic in it shuts the process down in order.
 	Control Part = "control"
 )
@@ -46,11 +46,11 @@
 type Guard struct {
 	// Log receives one line per panic.
 	Log *slog.Logger
-	// Count is called for each panic. It may be nil.
-	Count func()
-	// End is called by RunControl after a panic. It must start an orderly shutdown of the
+	// OnPanic is called for each panic. It may be nil.
+	OnPanic func()
+	// Shutdown is called by RunControl after a panic. It must start an orderly shutdown of the
 	// process, and may be nil only if RunControl isn't used.
-	End func(err error)
+	Shutdown func(err error)
 }
 
 // Do runs work of a part and returns *Error if it panicked. The attributes describe the
@@ -89,13 +89,13 @@
 // shuts down in order.
 func (g *Guard) RunControl(work func(), attributes ...any) {
 	if err := g.Do(Control, withoutError(work), attributes...); err != nil {
-		g.End(err)
+		g.Shutdown(err)
 	}
 }
 
 func (g *Guard) report(e *Error, attributes []any) error {
-	if g.Count != nil {
-		g.Count()
+	if g.OnPanic != nil {
+		g.OnPanic()
 	}
 	stack := string(e.Stack[:min(len(e.Stack), maxStack)])
 	g.Log.Error("panic", append([]any{"part", e.Part, "value", fmt.Sprint(e.Value), "stack", stack}, attributes...)...)
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	var out bytes.Buffer
 	counted := 0
-	g := &recovery.Guard{Log: slog.New(slog.NewJSONHandler(&out, nil)), Count: func() { counted++ }}
+	g := &recovery.Guard{Log: slog.New(slog.NewJSONHandler(&out, nil)), OnPanic: func() { counted++ }}
 	err := g.Do(recovery.Home, func() error { return divideOneBy(0) }, "request", "id-1")
 	var panicked *recovery.Error
 	require.ErrorAs(t, err, &panicked)
--- a/refusal/summary.go
+++ b/refusal/summary.go
@@ -29,10 +29,10 @@
 type Sum struct {
 	Kind
 	Count int
-	// First holds the IDs of the first refused requests.
-	First []fleet.RequestID
-	// Longest is the longest time for which one of the requests waited.
-	Longest time.Duration
+	// FirstIDs holds the IDs of the first refused requests.
+	FirstIDs []fleet.RequestID
+	// LongestWait is the longest time for which one of the requests waited.
+	LongestWait time.Duration
 }
 
 // Summary sums the refusals beyond a limit per second, so that the log of a flooded router
@@ -61,9 +61,9 @@
 	}
 	sum := s.sum(kind)
 	sum.Count++
-	sum.Longest = max(sum.Longest, waited)
-	if len(sum.First) < maxFirstIDs {
-		sum.First = append(sum.First, id)
+	sum.LongestWait = max(sum.LongestWait, waited)
+	if len(sum.FirstIDs) < maxFirstIDs {
+		sum.FirstIDs = append(sum.FirstIDs, id)
 	}
 	return true
 }
--- a/refusal/summary_test.go
+++ b/refusal/summary_test.go
@@ -34,8 +34,8 @@
 	require.Len(t, sums, 1)
 	require.Equal(t, kind, sums[0].Kind)
 	require.Equal(t, 1950, sums[0].Count)
-	require.Equal(t, []fleet.RequestID{"50", "51", "52"}, sums[0].First)
-	require.Equal(t, time.Duration(1999), sums[0].Longest)
+	require.Equal(t, []fleet.RequestID{"50", "51", "52"}, sums[0].FirstIDs)
+	require.Equal(t, time.Duration(1999), sums[0].LongestWait)
 	require.Empty(t, s.Take())
 	require.Equal(t, 50, add(&s, start.Add(time.Second), kind, 100), "each second has its own limit")
 }
--- a/registry/codec.go
+++ b/registry/codec.go
@@ -10,7 +10,7 @@
 	u := c.Upstream
 	return &schema.UpstreamChange{
 		Id: string(u.ID), Service: string(u.Service), Address: u.Address, DataCenter: string(u.DataCenter),
-		Slots: uint32(u.Slots), Life: int64(u.Life), Draining: u.Draining, Gone: c.Gone, Revision: uint64(c.Revision),
+		Slots: uint32(u.Slots), Life: int64(u.StartTime), Draining: u.Draining, Gone: c.Removed, Revision: uint64(c.Revision),
 	}
 }
 
@@ -19,9 +19,9 @@
 	return Change{
 		Upstream: Upstream{
 			ID: fleet.UpstreamID(in.GetId()), Service: fleet.ServiceID(in.GetService()), Address: in.GetAddress(),
-			DataCenter: fleet.DataCenterID(in.GetDataCenter()), Slots: int(in.GetSlots()), Life: Life(in.GetLife()),
+			DataCenter: fleet.DataCenterID(in.GetDataCenter()), Slots: int(in.GetSlots()), StartTime: StartTime(in.GetLife()),
 			Draining: in.GetDraining(),
 		},
-		Gone: in.GetGone(), Revision: Revision(in.GetRevision()),
+		Removed: in.GetGone(), Revision: Revision(in.GetRevision()),
 	}
 }
--- a/registry/machine_test.go
+++ b/registry/machine_test.go
@@ -17,9 +17,9 @@
 	for i := range list {
 		id := rapid.SampledFrom([]fleet.UpstreamID{"", "a", "b", "c"}).Draw(t, "id")
 		list[i] = entry(id, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "revision")))
-		list[i].Gone = rapid.Bool().Draw(t, "gone")
+		list[i].Removed = rapid.Bool().Draw(t, "gone")
 		list[i].Upstream.Draining = rapid.Bool().Draw(t, "draining")
-		list[i].Upstream.Life = registry.Life(rapid.Int64Range(-1, 3).Draw(t, "life"))
+		list[i].Upstream.StartTime = registry.StartTime(rapid.Int64Range(-1, 3).Draw(t, "life"))
 	}
 	return list
 }
@@ -38,25 +38,27 @@
 			"replace": func(t *rapid.T) {
 				d.Replace(now, changes(t), registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "as")))
 			},
-			"empty":    func(t *rapid.T) { d.Replace(now, nil, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "as"))) },
-			"apply":    func(t *rapid.T) { d.Apply(now, changes(t)) },
-			"receive":  func(t *rapid.T) { d.Receive(now, changes(t), registry.Revision(rapid.Uint64().Draw(t, "complete"))) },
-			"lost":     func(*rapid.T) { d.Lost() },
-			"regained": func(*rapid.T) { d.Regained(now) },
-			"settle":   func(*rapid.T) { d.Settle(now) },
+			"empty": func(t *rapid.T) { d.Replace(now, nil, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "as"))) },
+			"apply": func(t *rapid.T) { d.Apply(now, changes(t)) },
+			"receive": func(t *rapid.T) {
+				d.ApplyFromPeer(now, changes(t), registry.Revision(rapid.Uint64().Draw(t, "complete")))
+			},
+			"lost":     func(*rapid.T) { d.SetUnavailable() },
+			"regained": func(*rapid.T) { d.SetAvailable(now) },
+			"settle":   func(*rapid.T) { d.RemoveDue(now) },
 			"": func(t *rapid.T) {
 				for _, ready := range d.Ready() {
 					for _, u := range ready {
 						change, ok := d.Get(u.ID)
-						require.True(t, ok && !change.Gone && !change.Upstream.Draining, "%s is ready", u.ID)
+						require.True(t, ok && !change.Removed && !change.Upstream.Draining, "%s is ready", u.ID)
 					}
 				}
 			},
 		})
 		// Once the store is back with an empty list, every entry is removed at the end of its grace period.
-		d.Regained(now)
+		d.SetAvailable(now)
 		d.Replace(now, nil, 1_000)
-		d.Settle(now.Add(time.Minute))
+		d.RemoveDue(now.Add(time.Minute))
 		require.Empty(t, ids(&d))
 	})
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -35,9 +35,9 @@
 // Revision orders the changes to the platform's list.
 type Revision uint64
 
-// Life distinguishes successive starts of an upstream with the same id. It is the
+// StartTime distinguishes successive starts of an upstream with the same id. It is the
 // start time in milliseconds since 1970.
-type Life int64
+type StartTime int64
 
 // Upstream is an entry of the list.
 type Upstream struct {
@@ -46,7 +46,7 @@
 	Address    string
 	DataCenter fleet.DataCenterID
 	Slots      int
-	Life       Life
+	StartTime  StartTime
 	// Draining upstreams finish their requests and accept no new ones.
 	Draining bool
 }
@@ -55,7 +55,7 @@
 type Change struct {
 	Upstream Upstream
 	Revision Revision
-	Gone     bool
+	Removed  bool
 }
 
 // entry is the state of one upstream id.
@@ -99,10 +99,10 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		e := d.entries[id]
-		if listed[id] || e.change.Gone || e.change.Revision > revision {
+		if listed[id] || e.change.Removed || e.change.Revision > revision {
 			continue
 		}
-		gone := Change{Upstream: e.change.Upstream, Revision: revision, Gone: true}
+		gone := Change{Upstream: e.change.Upstream, Revision: revision, Removed: true}
 		changed = append(changed, d.applyOne(now, gone, false)...)
 	}
 	d.complete = max(d.complete, d.latest)
@@ -115,10 +115,10 @@
 	return d.applyAll(now, changes, false)
 }
 
-// Receive applies changes that took effect at another router, which has already
+// ApplyFromPeer applies changes that took effect at another router, which has already
 // waited for entries to return. Complete is the revision up to which these changes
 // and those known before are all there are.
-func (d *Directory) Receive(now time.Time, changes []Change, complete Revision) []Change {
+func (d *Directory) ApplyFromPeer(now time.Time, changes []Change, complete Revision) []Change {
 	changed := d.applyAll(now, changes, true)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -159,14 +159,14 @@
 	if known && (c.Revision < previous.change.Revision || (c.Revision == previous.change.Revision && !previous.removalPending)) {
 		return nil
 	}
-	if c.Gone && !confirmed && known && !previous.change.Gone && d.mayReturn(now, previous) {
+	if c.Removed && !confirmed && known && !previous.change.Removed && d.mayReturn(now, previous) {
 		previous.removalPending = true
 		previous.removeAt = d.removalTime(now)
 		previous.change.Revision = c.Revision
 		d.entries[c.Upstream.ID] = previous
 		return nil
 	}
-	if c.Gone && known {
+	if c.Removed && known {
 		c.Upstream = previous.change.Upstream
 	}
 	d.entries[c.Upstream.ID] = entry{change: c}
@@ -195,8 +195,8 @@
 	return d.graceEnd
 }
 
-// Due returns when the next pending removal is due, and whether there is one.
-func (d *Directory) Due() (time.Time, bool) {
+// NextRemoval returns when the next pending removal is due, and whether there is one.
+func (d *Directory) NextRemoval() (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var first time.Time
@@ -211,9 +211,9 @@
 	return first, !first.IsZero()
 }
 
-// Settled returns the revision up to which all changes have taken effect. Pending
+// SettledRevision returns the revision up to which all changes have taken effect. Pending
 // removals lower it, because another router may already have confirmed them.
-func (d *Directory) Settled() Revision {
+func (d *Directory) SettledRevision() Revision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	settled := d.complete
@@ -225,15 +225,15 @@
 	return settled
 }
 
-// Lost records that the list can't be read. The known entries stay in effect.
-func (d *Directory) Lost() {
+// SetUnavailable records that the list can't be read. The known entries stay in effect.
+func (d *Directory) SetUnavailable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unavailable = true
 }
 
-// Regained records that the list can be read again.
-func (d *Directory) Regained(now time.Time) {
+// SetAvailable records that the list can be read again.
+func (d *Directory) SetAvailable(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.unavailable {
@@ -250,9 +250,9 @@
 	}
 }
 
-// Settle removes the entries whose pending removal is due, and returns the
+// RemoveDue removes the entries whose pending removal is due, and returns the
 // removals.
-func (d *Directory) Settle(now time.Time) []Change {
+func (d *Directory) RemoveDue(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var gone []Change
@@ -262,7 +262,7 @@
 			continue
 		}
 		e.removalPending = false
-		e.change.Gone = true
+		e.change.Removed = true
 		d.latest = max(d.latest, e.change.Revision)
 		d.entries[id] = e
 		gone = append(gone, e.change)
@@ -278,8 +278,8 @@
 	return e.change, known
 }
 
-// Known reports whether the list was ever read or received.
-func (d *Directory) Known() bool {
+// IsLoaded reports whether the list was ever read or received.
+func (d *Directory) IsLoaded() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.loaded
@@ -306,7 +306,7 @@
 	ready := make(map[fleet.ServiceID][]Upstream)
 	for _, e := range d.entries {
 		u := e.change.Upstream
-		if e.change.Gone || u.Draining {
+		if e.change.Removed || u.Draining {
 			continue
 		}
 		ready[u.Service] = append(ready[u.Service], u)
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -19,7 +19,7 @@
 
 func gone(id fleet.UpstreamID, revision registry.Revision) registry.Change {
 	c := entry(id, revision)
-	c.Gone = true
+	c.Removed = true
 	return c
 }
 
@@ -68,16 +68,16 @@
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1), entry("b", 2), draining("c", 3)}, 3)
-	d.Lost()
+	d.SetUnavailable()
 	back := start.Add(5 * time.Second)
-	d.Regained(back)
+	d.SetAvailable(back)
 	d.Replace(back, nil, 20)
-	due, ok := d.Due()
+	due, ok := d.NextRemoval()
 	require.True(t, ok)
 	require.Equal(t, []fleet.UpstreamID{"a", "b"}, ids(&d))
 	d.Apply(back.Add(time.Second), []registry.Change{entry("a", 21)})
-	require.Empty(t, d.Settle(back.Add(time.Second)))
-	removed := d.Settle(due)
+	require.Empty(t, d.RemoveDue(back.Add(time.Second)))
+	removed := d.RemoveDue(due)
 	require.Len(t, removed, 1)
 	require.Equal(t, fleet.UpstreamID("b"), removed[0].Upstream.ID)
 	require.Equal(t, []fleet.UpstreamID{"a"}, ids(&d))
@@ -91,15 +91,15 @@
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1)}, 1)
-	d.Lost()
-	d.Regained(start)
+	d.SetUnavailable()
+	d.SetAvailable(start)
 	vanished := start.Add(700 * time.Millisecond)
 	d.Apply(vanished, []registry.Change{gone("a", 9)})
 	require.Equal(t, []fleet.UpstreamID{"a"}, ids(&d))
-	due, ok := d.Due()
+	due, ok := d.NextRemoval()
 	require.True(t, ok)
 	require.Less(t, due.Sub(vanished), 1500*time.Millisecond)
-	require.Len(t, d.Settle(due), 1)
+	require.Len(t, d.RemoveDue(due), 1)
 	require.Empty(t, ids(&d))
 }
 
@@ -110,14 +110,14 @@
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1), entry("b", 2)}, 2)
-	d.Lost()
-	d.Regained(start)
+	d.SetUnavailable()
+	d.SetAvailable(start)
 	d.Apply(start, []registry.Change{gone("a", 7), draining("b", 9)})
 	require.EqualValues(t, 9, d.Latest())
-	require.EqualValues(t, 6, d.Settled())
-	require.Len(t, d.Receive(start, []registry.Change{gone("a", 7), draining("b", 9)}, 9), 1)
+	require.EqualValues(t, 6, d.SettledRevision())
+	require.Len(t, d.ApplyFromPeer(start, []registry.Change{gone("a", 7), draining("b", 9)}, 9), 1)
 	require.Empty(t, ids(&d))
-	require.EqualValues(t, 9, d.Settled())
+	require.EqualValues(t, 9, d.SettledRevision())
 }
 
 // An upstream that leaves while the store is available is removed at once.
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -33,8 +33,8 @@
 	Ratio float64
 	// Burst is the maximum number of retries saved up; zero means 20.
 	Burst float64
-	// Attempts is the maximum number of attempts per request; zero means 3.
-	Attempts int
+	// MaxAttempts is the maximum number of attempts per request; zero means 3.
+	MaxAttempts int
 
 	mutex      sync.Mutex
 	spent      float64
@@ -42,16 +42,16 @@
 	started    bool
 }
 
-// Resize sets Burst: a router's part of the fleet's burst changes with the number of
+// SetBurst sets Burst: a router's part of the fleet's burst changes with the number of
 // routers.
-func (b *Budget) Resize(burst float64) {
+func (b *Budget) SetBurst(burst float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.Burst = burst
 }
 
-// First counts a first attempt.
-func (b *Budget) First(now time.Time) {
+// RecordFirstAttempt counts a first attempt.
+func (b *Budget) RecordFirstAttempt(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.refill(now)
@@ -81,14 +81,14 @@
 // it. Once a byte was sent to the caller, the answer of another attempt would be appended
 // to the first one's, so only a stream that can be resumed is continued.
 func (b *Budget) isRetryable(now time.Time, attempt Attempt) bool {
-	attempts := b.Attempts
+	attempts := b.MaxAttempts
 	if attempts <= 0 {
 		attempts = defaultAttempts
 	}
 	harmless := attempt.Outcome == refusal.NotRun || attempt.Idempotent || attempt.Resumable
 	continuable := !attempt.AnswerStarted || attempt.Resumable
-	hasTime := now.Add(attempt.Expected).Before(attempt.Deadline)
-	return harmless && continuable && hasTime && attempt.Count < attempts
+	hasTime := now.Add(attempt.ExpectedLatency).Before(attempt.Deadline)
+	return harmless && continuable && hasTime && attempt.Number < attempts
 }
 
 // refill adds the tokens earned by the time since the last call.
@@ -113,8 +113,8 @@
 // comparisons with Budget.
 type Unlimited struct{ budget Budget }
 
-// First does nothing.
-func (*Unlimited) First(time.Time) {}
+// RecordFirstAttempt does nothing.
+func (*Unlimited) RecordFirstAttempt(time.Time) {}
 
 // Allow reports whether a retry does no harm and can still succeed in time.
 func (u *Unlimited) Allow(now time.Time, attempt Attempt) bool {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -18,24 +18,24 @@
 
 // The reasons for a retry.
 const (
-	ConnectFailed    Reason = "connect-failed"
-	UpstreamRefused  Reason = "upstream-refused"
-	UpstreamDraining Reason = "upstream-draining"
-	BrokenBefore     Reason = "broken-before-answer"
-	StreamBroken     Reason = "stream-broken"
-	AnsweredError    Reason = "answered-error"
-	UpstreamSilent   Reason = "upstream-silent"
+	ConnectFailed      Reason = "connect-failed"
+	UpstreamRefused    Reason = "upstream-refused"
+	UpstreamDraining   Reason = "upstream-draining"
+	BrokenBeforeAnswer Reason = "broken-before-answer"
+	StreamBroken       Reason = "stream-broken"
+	AnsweredError      Reason = "answered-error"
+	UpstreamSilent     Reason = "upstream-silent"
 )
 
 // Reasons returns all reasons, for counters that start at zero.
 func Reasons() []Reason {
-	return []Reason{ConnectFailed, UpstreamRefused, UpstreamDraining, BrokenBefore, StreamBroken, AnsweredError, UpstreamSilent}
+	return []Reason{ConnectFailed, UpstreamRefused, UpstreamDraining, BrokenBeforeAnswer, StreamBroken, AnsweredError, UpstreamSilent}
 }
 
 // Attempt describes a failed attempt.
 type Attempt struct {
-	// Count is the number of attempts so far, including this one.
-	Count int
+	// Number is the number of attempts so far, including this one.
+	Number int
 	// Outcome tells whether the upstream may have run the request.
 	Outcome refusal.Outcome
 	// Idempotent is true if a second run does no harm.
@@ -46,14 +46,14 @@
 	// the last byte that was sent.
 	Resumable bool
 	Deadline  time.Time
-	// Expected is the expected time from the start of another attempt to its first byte.
-	Expected time.Duration
+	// ExpectedLatency is the expected time from the start of another attempt to its first byte.
+	ExpectedLatency time.Duration
 }
 
 // Policy decides on retries. It is safe for concurrent use.
 type Policy interface {
-	// First counts a first attempt, which adds to the budget for retries.
-	First(now time.Time)
+	// RecordFirstAttempt counts a first attempt, which adds to the budget for retries.
+	RecordFirstAttempt(now time.Time)
 	// Allow reports whether the request may be retried now and, if so, charges the
 	// retry to the budget.
 	Allow(now time.Time, attempt Attempt) bool
