--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -15,7 +15,7 @@
 
 func failed(change func(*retry.Attempt)) retry.Attempt {
 	attempt := retry.Attempt{
-		Count: 1, Outcome: refusal.NotRun, Deadline: epoch.Add(time.Minute), Expected: time.Second,
+		Number: 1, Outcome: refusal.NotRun, Deadline: epoch.Add(time.Minute), ExpectedLatency: time.Second,
 	}
 	change(&attempt)
 	return attempt
@@ -34,9 +34,9 @@
 		{"run", func(a *retry.Attempt) { a.Outcome = refusal.Run }, false},
 		{"a byte went out", func(a *retry.Attempt) { a.Idempotent = true; a.AnswerStarted = true }, false},
 		{"a byte went out of a resumable stream", func(a *retry.Attempt) { a.Outcome = refusal.Run; a.AnswerStarted = true; a.Resumable = true }, true},
-		{"no time left", func(a *retry.Attempt) { a.Expected = time.Minute }, false},
-		{"third attempt", func(a *retry.Attempt) { a.Count = 2 }, true},
-		{"too many attempts", func(a *retry.Attempt) { a.Count = 3 }, false},
+		{"no time left", func(a *retry.Attempt) { a.ExpectedLatency = time.Minute }, false},
+		{"third attempt", func(a *retry.Attempt) { a.Number = 2 }, true},
+		{"too many attempts", func(a *retry.Attempt) { a.Number = 3 }, false},
 	}
 	for _, c := range cases {
 		var budget retry.Budget
@@ -49,7 +49,7 @@
 func TestResizedBudgetAllowsLess(t *testing.T) {
 	t.Parallel()
 	budget := retry.Budget{Burst: 12}
-	budget.Resize(3)
+	budget.SetBurst(3)
 	allowed := 0
 	for range 12 {
 		if budget.Allow(epoch, failed(func(*retry.Attempt) {})) {
@@ -68,7 +68,7 @@
 		count := 0
 		for i := range 10_000 {
 			now := epoch.Add(time.Duration(i) * time.Millisecond)
-			policy.First(now)
+			policy.RecordFirstAttempt(now)
 			if policy.Allow(now, failed(func(a *retry.Attempt) { a.Deadline = now.Add(time.Minute) })) {
 				count++
 			}
@@ -83,7 +83,7 @@
 func TestQuietHoursSaveUpNoMoreThanABurst(t *testing.T) {
 	t.Parallel()
 	var budget retry.Budget
-	budget.First(epoch)
+	budget.RecordFirstAttempt(epoch)
 	later := epoch.Add(time.Hour)
 	allowed := 0
 	for range 100 {
--- a/route/route.go
+++ b/route/route.go
@@ -43,19 +43,19 @@
 	Shares []Share
 	// Timeout bounds the time from the arrival of a request to the end of its answer.
 	Timeout time.Duration
-	// Target is the target time to the answer, or to its first event.
-	Target time.Duration
+	// LatencyTarget is the target time to the answer, or to its first event.
+	LatencyTarget time.Duration
 	// MaxPause is the longest acceptable pause between two events.
 	MaxPause time.Duration
-	// Attempts bounds the number of upstreams that may run one request.
-	Attempts int
+	// MaxAttempts bounds the number of upstreams that may run one request.
+	MaxAttempts int
 	// Public routes need no key.
 	Public bool
 	// Resumable streams may continue at another upstream after the last event.
 	Resumable bool
-	// Cached requests list the parts of their prompt, and are faster at upstreams that
+	// PromptCaching requests list the parts of their prompt, and are faster at upstreams that
 	// have these parts cached.
-	Cached bool
+	PromptCaching bool
 }
 
 // Idempotent reports whether a second run of a request does no harm.
@@ -164,8 +164,8 @@
 	}
 	for _, share := range r.Shares {
 		lowest, ok := t.targets[share.Service]
-		if !ok || r.Target < lowest {
-			t.targets[share.Service] = r.Target
+		if !ok || r.LatencyTarget < lowest {
+			t.targets[share.Service] = r.LatencyTarget
 		}
 	}
 }
@@ -224,8 +224,8 @@
 	return t.targets[id]
 }
 
-// Keyed reports whether requests need a key, which is so if there is any account.
-func (t *Table) Keyed() bool { return t != nil && t.requiresKey }
+// RequiresKey reports whether requests need a key, which is so if there is any account.
+func (t *Table) RequiresKey() bool { return t != nil && t.requiresKey }
 
 // AccountOf returns the account that holds a key.
 func (t *Table) AccountOf(key string) (fleet.AccountID, bool) {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -17,8 +17,8 @@
 		Routes: []route.Route{
 			{Name: "orders", Host: "a.example", Prefix: "/orders/", Kind: route.NonIdempotent, Shares: []route.Share{{Service: "plain", Weight: 1}}},
 			{Name: "urgent", Host: "a.example", Prefix: "/orders/urgent/", Kind: route.Safe, Shares: []route.Share{{Service: "plain", Weight: 1}}},
-			{Name: "reports", Host: "A.example", Prefix: "/r/", Kind: route.Streaming, Target: time.Second, Shares: []route.Share{{Service: "model", Weight: 90}, {Service: "next", Weight: 10}}},
-			{Name: "notes", Host: "a.example", Prefix: "/n/", Kind: route.Streaming, Target: 400 * time.Millisecond, Shares: []route.Share{{Service: "model", Weight: 1}}},
+			{Name: "reports", Host: "A.example", Prefix: "/r/", Kind: route.Streaming, LatencyTarget: time.Second, Shares: []route.Share{{Service: "model", Weight: 90}, {Service: "next", Weight: 10}}},
+			{Name: "notes", Host: "a.example", Prefix: "/n/", Kind: route.Streaming, LatencyTarget: 400 * time.Millisecond, Shares: []route.Share{{Service: "model", Weight: 1}}},
 		},
 		Accounts: []route.Account{{ID: "ada", Keys: []string{"k1", "k2"}}},
 	})
@@ -64,7 +64,7 @@
 	_, ok := none.Find("a.example", "/orders/1")
 	require.False(t, ok)
 	require.Zero(t, none.Version())
-	require.False(t, none.Keyed())
+	require.False(t, none.RequiresKey())
 }
 
 func TestAccountsAndTargets(t *testing.T) {
--- a/router/body.go
+++ b/router/body.go
@@ -18,7 +18,7 @@
 	controller := http.NewResponseController(w)
 	// Only response writers of tests do not support deadlines.
 	_ = controller.SetReadDeadline(time.Now().Add(r.Limits.BodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, r.Limits.BodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, r.Limits.MaxBodyBytes))
 	if err != nil {
 		// The deadline stays set: net/http reads the rest of the body before it
 		// sends the response. Without a deadline it would wait for a slow caller
@@ -35,7 +35,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return refusal.New(refusal.BodyTooLarge, fmt.Sprintf("the body is longer than %d bytes", r.Limits.BodyBytes), 0)
+		return refusal.New(refusal.BodyTooLarge, fmt.Sprintf("the body is longer than %d bytes", r.Limits.MaxBodyBytes), 0)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return refusal.New(refusal.BodyTooSlow, fmt.Sprintf("the body did not arrive within %s", r.Limits.BodyTimeout), time.Second)
 	default:
--- a/router/caller.go
+++ b/router/caller.go
@@ -76,9 +76,9 @@
 
 // authorisedService returns the service with the id if it is of the kind and
 // the account may call it.
-func (r *Router) authorisedService(c echo.Context, account *schema.Account, id fleet.ServiceID, kind fleet.Kind) (*schema.Service, *refusal.Error) {
+func (r *Router) authorisedService(c echo.Context, account *schema.Account, id fleet.ServiceID, kind fleet.ServiceKind) (*schema.Service, *refusal.Error) {
 	service := r.Notes.Current().Service(id)
-	if service == nil || fleet.Kind(service.GetKind()) != kind {
+	if service == nil || fleet.ServiceKind(service.GetKind()) != kind {
 		return nil, refusal.New(refusal.UnknownService, fmt.Sprintf("there is no %s %q", kindName(kind), id), 0)
 	}
 	c.Set(contextService, service.GetId())
@@ -90,7 +90,7 @@
 }
 
 // kindName returns the name of the kind for refusals.
-func kindName(kind fleet.Kind) string {
+func kindName(kind fleet.ServiceKind) string {
 	if kind == fleet.Model {
 		return "model"
 	}
--- a/router/chat.go
+++ b/router/chat.go
@@ -40,7 +40,7 @@
 	request := in.callRequest(c, service)
 	request.Idempotent = c.Request().Header.Get(HeaderNonIdempotent) != "true"
 	request.Prefix = prefixHashes(chat.Messages)
-	request.Estimate = r.Estimator.Model(in.account, service, len(in.body), chat.maxOutputTokens())
+	request.EstimatedCost = r.Estimator.EstimateChat(in.account, service, len(in.body), chat.maxOutputTokens())
 	return r.passToRunner(c, request)
 }
 
--- a/router/estimator.go
+++ b/router/estimator.go
@@ -7,7 +7,7 @@
 
 // Estimator predicts the cost of a request before it runs.
 type Estimator interface {
-	// Model returns the expected cost of a chat completion whose body has
+	// EstimateChat returns the expected cost of a chat completion whose body has
 	// bodyBytes and whose output is limited to maxTokens; zero means no limit.
-	Model(account *schema.Account, service *schema.Service, bodyBytes, maxTokens int) fleet.Tokens
+	EstimateChat(account *schema.Account, service *schema.Service, bodyBytes, maxTokens int) fleet.Tokens
 }
--- a/router/intake.go
+++ b/router/intake.go
@@ -55,15 +55,15 @@
 func (in parsedRequest) callRequest(c echo.Context, service *schema.Service) call.Request {
 	req := c.Request()
 	return call.Request{
-		ID:       requestID(c),
-		Account:  in.account,
-		Service:  service,
-		Method:   req.Method,
-		Path:     req.URL.RequestURI(),
-		Header:   forwardedHeader(req.Header),
-		Body:     in.body,
-		Key:      in.idempotencyKey,
-		Deadline: in.deadline,
+		ID:             requestID(c),
+		Account:        in.account,
+		Service:        service,
+		Method:         req.Method,
+		Path:           req.URL.RequestURI(),
+		Header:         forwardedHeader(req.Header),
+		Body:           in.body,
+		IdempotencyKey: in.idempotencyKey,
+		Deadline:       in.deadline,
 	}
 }
 
@@ -107,7 +107,7 @@
 	request := in.callRequest(c, service)
 	request.Path = plainPath(c)
 	request.Idempotent = isIdempotent(c.Request(), service)
-	request.Estimate = estimate.Call(service.GetCallCost())
+	request.EstimatedCost = estimate.CallCost(service.GetCallCost())
 	return r.passToRunner(c, request)
 }
 
--- a/router/report.go
+++ b/router/report.go
@@ -35,14 +35,14 @@
 	arrived, _ := c.Get(contextArrival).(time.Time)
 	report := call.Report{
 		Account: fleet.AccountID(account.GetId()), Service: fleet.ServiceID(service.GetId()),
-		Model:   fleet.Kind(service.GetKind()) == fleet.Model,
-		Arrived: arrived, Deadline: r.Limits.DefaultDeadline, Total: r.Timer.Now().Sub(arrived),
-		Refused: reason,
+		IsModel: fleet.ServiceKind(service.GetKind()) == fleet.Model,
+		Arrived: arrived, Timeout: r.Limits.DefaultDeadline, TotalTime: r.Timer.Now().Sub(arrived),
+		RefusalReason: reason,
 	}
 	report.NonIdempotent = c.Request().Header.Get(HeaderNonIdempotent) == "true" ||
-		!report.Model && !isIdempotent(c.Request(), service)
+		!report.IsModel && !isIdempotent(c.Request(), service)
 	if deadline, refused := r.parseDeadline(c.Request()); refused == nil {
-		report.Deadline = deadline.Sub(r.Timer.Now())
+		report.Timeout = deadline.Sub(r.Timer.Now())
 	}
 	r.Observers.Ended(report)
 }
@@ -55,7 +55,7 @@
 		return view.Service(fleet.ServiceID(id))
 	}
 	service := view.Service(fleet.ServiceID(c.Param("service")))
-	if fleet.Kind(service.GetKind()) != fleet.Plain {
+	if fleet.ServiceKind(service.GetKind()) != fleet.Plain {
 		return nil
 	}
 	return service
--- a/router/resume.go
+++ b/router/resume.go
@@ -29,7 +29,7 @@
 	if refused != nil {
 		return refused
 	}
-	return r.Runner.Resume(c.Request().Context(), c.Response(), call.Resumption{
+	return r.Runner.Resume(c.Request().Context(), c.Response(), call.ResumeRequest{
 		ID: requestID(c), Account: account, Token: c.Param("token"), After: after, Deadline: deadline,
 	})
 }
--- a/router/router.go
+++ b/router/router.go
@@ -20,10 +20,10 @@
 
 // Limits bounds the requests of a caller. The zero value allows nothing.
 type Limits struct {
-	// BodyBytes and HeaderBytes limit the sizes of the body and of the header,
+	// MaxBodyBytes and HeaderBytes limit the sizes of the body and of the header,
 	// which counts names and values.
-	BodyBytes   int64
-	HeaderBytes int
+	MaxBodyBytes   int64
+	MaxHeaderBytes int
 	// BodyTimeout limits the time to read a body.
 	BodyTimeout time.Duration
 	// DefaultDeadline applies to requests without a timeout header, and
@@ -39,7 +39,7 @@
 	// response was cut off. ctx is cancelled when the caller disconnects.
 	Run(ctx context.Context, w http.ResponseWriter, request call.Request) error
 	// Resume writes the rest of a stream to w. It returns the same errors as Run.
-	Resume(ctx context.Context, w http.ResponseWriter, resumption call.Resumption) error
+	Resume(ctx context.Context, w http.ResponseWriter, resumption call.ResumeRequest) error
 }
 
 // Options holds the dependencies of a Router. All except Observers are required.
@@ -97,7 +97,7 @@
 		if r.Notes.Current() == nil {
 			return refusal.New(refusal.NotReady, "this router holds no release note yet", notReadyRetryAfter)
 		}
-		if size := headerSize(c.Request().Header); size > r.Limits.HeaderBytes {
+		if size := headerSize(c.Request().Header); size > r.Limits.MaxHeaderBytes {
 			return refusal.New(refusal.HeaderTooLarge, "the request header is longer than this router allows", 0)
 		}
 		return next(c)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -47,14 +47,16 @@
 	return err
 }
 
-func (*fakeRunner) Resume(_ context.Context, w http.ResponseWriter, _ call.Resumption) error {
+func (*fakeRunner) Resume(_ context.Context, w http.ResponseWriter, _ call.ResumeRequest) error {
 	_, err := io.WriteString(w, "ran")
 	return err
 }
 
 type fixedEstimator struct{}
 
-func (fixedEstimator) Model(*schema.Account, *schema.Service, int, int) fleet.Tokens { return 320 }
+func (fixedEstimator) EstimateChat(*schema.Account, *schema.Service, int, int) fleet.Tokens {
+	return 320
+}
 
 var fleetState = &schema.FleetState{
 	Version: 1,
@@ -72,7 +74,7 @@
 		Metrics: metric.New(prometheus.NewRegistry()),
 		Log:     slog.New(slog.DiscardHandler),
 		Limits: router.Limits{
-			BodyBytes: 256, HeaderBytes: 200, BodyTimeout: time.Second,
+			MaxBodyBytes: 256, MaxHeaderBytes: 200, BodyTimeout: time.Second,
 			DefaultDeadline: time.Second, MaxDeadline: time.Minute,
 		},
 	}), runner
--- a/scenario/fleet.go
+++ b/scenario/fleet.go
@@ -166,7 +166,7 @@
 	for _, name := range a.listOption("leaving") {
 		leaving[name] = true
 	}
-	reply := standin.VMsOrder{VMs: []standin.VM{}}
+	reply := standin.VMsRequest{VMs: []standin.VM{}}
 	for _, name := range a.positional[1:] {
 		p, err := s.findProcess(name)
 		if err != nil {
@@ -196,11 +196,11 @@
 	if err != nil {
 		return err
 	}
-	orders := fault.Orders{Faults: []fault.Fault{}}
+	orders := fault.SetRequest{Faults: []fault.Fault{}}
 	if a.positional[1] != "clear" {
 		orders.Faults = append(orders.Faults, fault.Fault{
 			Kind: fault.Kind(a.positional[1]), Operation: a.options["operation"], Prefix: a.options["prefix"],
-			Times: n[0], DelayMs: n[1], Commits: n[2], Commit: n[3], Events: n[4],
+			Times: n[0], DelayMs: n[1], CommitsBehind: n[2], AtCommit: n[3], AfterEvents: n[4],
 		})
 	}
 	return s.sendOrder(a.positional[0], http.MethodPut, standin.FaultsPath, orders)
@@ -217,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	return s.sendOrder(a.positional[0], http.MethodPut, standin.LimitsPath, standin.Limits{Reads: float64(n[0]), Writes: float64(n[1])})
+	return s.sendOrder(a.positional[0], http.MethodPut, standin.LimitsPath, standin.RateLimits{Reads: float64(n[0]), Writes: float64(n[1])})
 }
 
 // drain tells upstreams to refuse new work and finish their current work:
--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -15,11 +15,11 @@
 
 // waiter is a request in one of this router's queues.
 type waiter struct {
-	work dispatch.Work
+	work dispatch.Request
 	item *waiting.Item[queueKey, *waiter]
 	// avoided holds the numbers of the upstreams in work.Avoid.
 	avoided   []uint32
-	preferred []fleet.Number
+	preferred []fleet.ShortID
 	// overtaken counts the later requests that were started before this one.
 	overtaken int
 	queue     *queue
@@ -35,7 +35,7 @@
 }
 
 // Acquire waits until the request gets a slot.
-func (s *Scheduler) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Slot, error) {
+func (s *Scheduler) Acquire(ctx context.Context, work dispatch.Request) (dispatch.Slot, error) {
 	w := &waiter{work: work, result: make(chan acquireResult, 1)}
 	if !s.loop.Post(func() { s.local.add(s, s.timer.Now(), w) }) {
 		return nil, refusal.New(refusal.Stopping, "the router is stopping", time.Second)
@@ -74,17 +74,17 @@
 // Upstream returns the upstream to send the request to.
 func (g *slot) Upstream() *schema.Upstream { return g.upstream }
 
-// Progress records the request's cost so far. It is sent to a dispatcher that
+// ReportCost records the request's cost so far. It is sent to a dispatcher that
 // takes over; the current one estimates it from the time that the request runs.
-func (g *slot) Progress(cost fleet.Tokens) {
+func (g *slot) ReportCost(cost fleet.Tokens) {
 	g.held.cost.Store(int64(cost))
 	if g.reportBegin.CompareAndSwap(true, false) {
 		g.scheduler.loop.Post(func() { g.scheduler.local.reportProgress(g.scheduler, g.held) })
 	}
 }
 
-// Done returns the slot. A second call has no effect.
-func (g *slot) Done(done dispatch.Done) {
+// Release returns the slot. A second call has no effect.
+func (g *slot) Release(done dispatch.Completion) {
 	if g.returned.Swap(true) {
 		return
 	}
@@ -93,7 +93,7 @@
 
 func (s *Scheduler) observeWait(w *waiter, now time.Time) {
 	if s.metrics != nil {
-		s.metrics.QueueSeconds.WithLabelValues(w.work.Service.GetId()).Observe(now.Sub(w.item.Since()).Seconds())
+		s.metrics.QueueSeconds.WithLabelValues(w.work.Service.GetId()).Observe(now.Sub(w.item.QueuedAt()).Seconds())
 	}
 }
 
--- a/scheduler/asking.go
+++ b/scheduler/asking.go
@@ -24,13 +24,13 @@
 // arrive, and in a burst the accounts with the most callers would hold most of
 // the fleet's slots for the duration of a request.
 func (l *localRequests) rankDispatchers(s *Scheduler, now time.Time, q *queue) []fleet.RouterID {
-	var preferred []fleet.Number
+	var preferred []fleet.ShortID
 	if head := l.waiting.Head(q.key); head != nil {
 		preferred = head.Value().preferred
 	}
 	ranked := s.assignment.rankForQueue(q, preferred)
 	ranked = slices.DeleteFunc(ranked, func(router fleet.RouterID) bool { return !s.isReachable(router) })
-	inFlight, limit := s.dispatcher.Busy(now, q.key.service)
+	inFlight, limit := s.dispatcher.ServiceLoad(now, q.key.service)
 	preferOwn := l.startRate >= preferOwnRate && inFlight < limit
 	if !preferOwn {
 		return ranked
@@ -106,7 +106,7 @@
 		if head == nil {
 			continue
 		}
-		wanted := fanout.Of(l.waiting.Len(q.key), now.Sub(head.Since()))
+		wanted := fanout.Dispatchers(l.waiting.Len(q.key), now.Sub(head.QueuedAt()))
 		if len(q.askedDispatchers) >= min(wanted, len(s.assignment.liveRouters)) {
 			continue
 		}
@@ -120,7 +120,7 @@
 }
 
 // handleFree asks a dispatcher that announced idle slots for a service.
-func (l *localRequests) handleFree(s *Scheduler, now time.Time, from fleet.RouterID, service fleet.Number) {
+func (l *localRequests) handleFree(s *Scheduler, now time.Time, from fleet.RouterID, service fleet.ShortID) {
 	for _, q := range l.queues {
 		if q.key.service != service || l.waiting.Len(q.key) == 0 || slices.Contains(q.askedDispatchers, from) {
 			continue
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -20,12 +20,12 @@
 type assignment struct {
 	liveRouters []fleet.RouterID
 	version     fleet.Version
-	dispatchers map[fleet.Number]fleet.RouterID
+	dispatchers map[fleet.ShortID]fleet.RouterID
 	// available lists, for each service, its upstreams that take new requests.
-	available      map[fleet.Number][]availableUpstream
-	serviceNumbers map[fleet.ServiceID]fleet.Number
+	available      map[fleet.ShortID][]availableUpstream
+	serviceNumbers map[fleet.ServiceID]fleet.ShortID
 	// ownServices are the services of the upstreams that this router dispatches.
-	ownServices map[fleet.Number]bool
+	ownServices map[fleet.ShortID]bool
 	// hasDenials is set if any router was excluded from a service after denials.
 	hasDenials bool
 	// epoch is incremented with each change.
@@ -34,12 +34,12 @@
 
 // availableUpstream is an upstream that takes new requests, and its dispatcher.
 type availableUpstream struct {
-	number     fleet.Number
+	number     fleet.ShortID
 	dispatcher fleet.RouterID
 }
 
 // dispatcherKey returns the rendezvous key that selects an upstream's dispatcher.
-func dispatcherKey(upstream fleet.Number) rendezvous.Key {
+func dispatcherKey(upstream fleet.ShortID) rendezvous.Key {
 	return rendezvous.KeyOfNumber("dispatcher", uint64(upstream))
 }
 
@@ -79,7 +79,7 @@
 		return
 	}
 	for _, a := range s.view.State().GetAccounts() {
-		number := fleet.Number(a.GetNumber())
+		number := fleet.ShortID(a.GetNumber())
 		if view.AccountByNumber(number) == nil {
 			s.dispatcher.Forget(number)
 			s.exchange.forget(number)
@@ -90,18 +90,18 @@
 func (s *Scheduler) computeAssignment(view *note.View, live []fleet.RouterID, before assignment) assignment {
 	a := assignment{
 		liveRouters: live, version: view.Version(), epoch: before.epoch + 1,
-		dispatchers:    make(map[fleet.Number]fleet.RouterID, len(view.State().GetUpstreams())),
-		available:      make(map[fleet.Number][]availableUpstream),
-		serviceNumbers: make(map[fleet.ServiceID]fleet.Number, len(view.State().GetServices())),
-		ownServices:    make(map[fleet.Number]bool),
+		dispatchers:    make(map[fleet.ShortID]fleet.RouterID, len(view.State().GetUpstreams())),
+		available:      make(map[fleet.ShortID][]availableUpstream),
+		serviceNumbers: make(map[fleet.ServiceID]fleet.ShortID, len(view.State().GetServices())),
+		ownServices:    make(map[fleet.ShortID]bool),
 	}
 	for _, service := range view.State().GetServices() {
-		a.serviceNumbers[fleet.ServiceID(service.GetId())] = fleet.Number(service.GetNumber())
+		a.serviceNumbers[fleet.ServiceID(service.GetId())] = fleet.ShortID(service.GetNumber())
 	}
 	pickDispatcher := s.dispatcherPicker(live, before, a.serviceNumbers)
 	a.hasDenials = s.denials.any()
 	for _, u := range view.State().GetUpstreams() {
-		number := fleet.Number(u.GetNumber())
+		number := fleet.ShortID(u.GetNumber())
 		router := s.self
 		if s.sharing != StaticShare {
 			router = pickDispatcher(u)
@@ -119,7 +119,7 @@
 // dispatcherPicker returns a function that selects an upstream's dispatcher. If the
 // former one is still live, it is compared only with the routers that joined: at
 // the target size a full comparison takes 5.5 million hashes for each change.
-func (s *Scheduler) dispatcherPicker(live []fleet.RouterID, before assignment, services map[fleet.ServiceID]fleet.Number) func(*schema.Upstream) fleet.RouterID {
+func (s *Scheduler) dispatcherPicker(live []fleet.RouterID, before assignment, services map[fleet.ServiceID]fleet.ShortID) func(*schema.Upstream) fleet.RouterID {
 	var joined []fleet.RouterID
 	for _, router := range live {
 		if !slices.Contains(before.liveRouters, router) {
@@ -131,7 +131,7 @@
 		isLive[router] = true
 	}
 	return func(u *schema.Upstream) fleet.RouterID {
-		upstream := fleet.Number(u.GetNumber())
+		upstream := fleet.ShortID(u.GetNumber())
 		if service := services[fleet.ServiceID(u.GetService())]; s.denials.affects(service) {
 			return cmp.Or(rendezvous.Pick(dispatcherKey(upstream), s.denials.filter(service, live)), s.self)
 		}
@@ -150,7 +150,7 @@
 func (s *Scheduler) updateOwned(now time.Time) {
 	var owned []*schema.Upstream
 	for _, u := range s.view.State().GetUpstreams() {
-		if s.assignment.dispatchers[fleet.Number(u.GetNumber())] != s.self {
+		if s.assignment.dispatchers[fleet.ShortID(u.GetNumber())] != s.self {
 			continue
 		}
 		if u = s.usableShare(u); u != nil {
@@ -158,7 +158,7 @@
 		}
 	}
 	others := s.sharing != StaticShare && len(s.connectedRouters()) > 0
-	s.dispatcher.Own(now, owned, s.assignment.serviceNumbers, others)
+	s.dispatcher.SetUpstreams(now, owned, s.assignment.serviceNumbers, others)
 	s.loadPoller.setUpstreams(owned)
 }
 
@@ -199,7 +199,7 @@
 }
 
 // keeperOf returns the router that keeps an account's total for a service.
-func (a *assignment) keeperOf(service, account fleet.Number) fleet.RouterID {
+func (a *assignment) keeperOf(service, account fleet.ShortID) fleet.RouterID {
 	return rendezvous.Pick(rendezvous.KeyOfNumber("keeper", uint64(service)<<32|uint64(account)), a.liveRouters)
 }
 
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -42,7 +42,7 @@
 		n := rand.IntN(1 << 20)
 		for pb.Next() {
 			n++
-			slot, err := routers[n%count].Acquire(b.Context(), dispatch.Work{
+			slot, err := routers[n%count].Acquire(b.Context(), dispatch.Request{
 				Account: view.Account(fleet.AccountID(fmt.Sprintf("account-%d", n%16))), Service: view.Service("model"),
 				Estimate: 300, Deadline: time.Now().Add(time.Minute),
 			})
@@ -51,7 +51,7 @@
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
-			slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: 310, FirstToken: time.Millisecond})
+			slot.Release(dispatch.Completion{Result: dispatch.Answered, Cost: 310, FirstTokenLatency: time.Millisecond})
 		}
 	})
 	b.StopTimer()
--- a/scheduler/denial.go
+++ b/scheduler/denial.go
@@ -23,7 +23,7 @@
 }
 
 type denialKey struct {
-	service fleet.Number
+	service fleet.ShortID
 	router  fleet.RouterID
 }
 
@@ -46,7 +46,7 @@
 func newDenials() denials { return denials{byKey: make(map[denialKey]denial)} }
 
 // record records a denial and reports whether it caused the router's exclusion.
-func (d *denials) record(now time.Time, service fleet.Number, router fleet.RouterID) bool {
+func (d *denials) record(now time.Time, service fleet.ShortID, router fleet.RouterID) bool {
 	key := denialKey{service, router}
 	known := d.byKey[key]
 	if known.confirmed {
@@ -73,7 +73,7 @@
 }
 
 // filter returns the routers that are not excluded from a service.
-func (d *denials) filter(service fleet.Number, routers []fleet.RouterID) []fleet.RouterID {
+func (d *denials) filter(service fleet.ShortID, routers []fleet.RouterID) []fleet.RouterID {
 	var rest []fleet.RouterID
 	for _, router := range routers {
 		if !d.byKey[denialKey{service, router}].confirmed {
@@ -84,7 +84,7 @@
 }
 
 // affects reports whether any router is excluded from a service.
-func (d *denials) affects(service fleet.Number) bool {
+func (d *denials) affects(service fleet.ShortID) bool {
 	for key, entry := range d.byKey {
 		if key.service == service && entry.confirmed {
 			return true
@@ -104,7 +104,7 @@
 }
 
 // sendDenial tells a router that this one dispatches no upstream of a service.
-func (s *Scheduler) sendDenial(to fleet.RouterID, service fleet.Number) {
+func (s *Scheduler) sendDenial(to fleet.RouterID, service fleet.ShortID) {
 	if s.view == nil || s.assignment.ownServices[service] || to == s.self {
 		return
 	}
@@ -116,7 +116,7 @@
 
 // handleDenial handles a router's report that it dispatches no upstream of a
 // service. The next review repeats the asks to it.
-func (s *Scheduler) handleDenial(now time.Time, from fleet.RouterID, service fleet.Number) {
+func (s *Scheduler) handleDenial(now time.Time, from fleet.RouterID, service fleet.ShortID) {
 	if !slices.ContainsFunc(s.assignment.available[service], func(u availableUpstream) bool { return u.dispatcher == from }) {
 		return
 	}
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -18,12 +18,12 @@
 	// router the dispatcher: it is sent once, and the views may converge later.
 	received map[drainReport]bool
 	// announced are the draining upstreams of this dispatcher last reported to the others.
-	announced []fleet.Number
+	announced []fleet.ShortID
 }
 
 // drainReport is a router's report that an upstream drains.
 type drainReport struct {
-	upstream fleet.Number
+	upstream fleet.ShortID
 	reporter fleet.RouterID
 }
 
@@ -31,7 +31,7 @@
 
 // announce reports changes at this dispatcher's upstreams to all routers, including this one.
 func (d *drainReports) announce(s *Scheduler) {
-	draining := s.dispatcher.Draining()
+	draining := s.dispatcher.DrainingUpstreams()
 	if slices.Equal(draining, d.announced) {
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // numbersExcept returns the numbers in all that are not in excluded, as message fields.
-func numbersExcept(all, excluded []fleet.Number) []uint32 {
+func numbersExcept(all, excluded []fleet.ShortID) []uint32 {
 	var rest []uint32
 	for _, number := range all {
 		if !slices.Contains(excluded, number) {
@@ -64,12 +64,12 @@
 		changed = d.removeIf(func(report drainReport) bool { return report.reporter == from })
 	}
 	for _, number := range batch.GetDraining() {
-		report := drainReport{fleet.Number(number), from}
+		report := drainReport{fleet.ShortID(number), from}
 		changed = changed || !d.received[report]
 		d.received[report] = true
 	}
 	for _, number := range batch.GetWorking() {
-		report := drainReport{fleet.Number(number), from}
+		report := drainReport{fleet.ShortID(number), from}
 		changed = changed || d.received[report]
 		delete(d.received, report)
 	}
@@ -84,6 +84,6 @@
 }
 
 // isDraining reports whether an upstream drains according to its dispatcher.
-func (s *Scheduler) isDraining(upstream fleet.Number, dispatcher fleet.RouterID) bool {
+func (s *Scheduler) isDraining(upstream fleet.ShortID, dispatcher fleet.RouterID) bool {
 	return s.drainReports.received[drainReport{upstream, dispatcher}]
 }
--- a/scheduler/entry.go
+++ b/scheduler/entry.go
@@ -53,7 +53,7 @@
 		return
 	}
 	w.item = l.waiting.Push(w.queue.key, w, now, w.work.Deadline)
-	w.queue.drainMeter.Waits(now, true)
+	w.queue.drainMeter.SetWaiting(now, true)
 	l.updateAsks(s, now, w.queue, len(w.avoided) > 0)
 }
 
@@ -64,7 +64,7 @@
 	if s.view == nil {
 		return refusal.New(refusal.NotReady, "no release note is in force here yet", time.Second)
 	}
-	key := queueKey{fleet.Number(w.work.Service.GetNumber()), fleet.Number(w.work.Account.GetNumber())}
+	key := queueKey{fleet.ShortID(w.work.Service.GetNumber()), fleet.ShortID(w.work.Account.GetNumber())}
 	available := s.assignment.available[key.service]
 	if len(available) == 0 {
 		return refusal.New(refusal.NoUpstream, "the service has no upstream that takes work", noUpstreamRetryAfter)
@@ -80,25 +80,25 @@
 	w.avoided = avoidedNumbers(s, w, available)
 	w.preferred = l.preferredUpstreams(s, w)
 	return s.admission.Admit(now, w.work.Deadline, admission.Queue{
-		Account: l.waiting.Len(key), AccountBound: s.accountBound(q), Total: l.waiting.Total(), TotalBound: s.maxWaitingTotal,
-		Drain: q.drainMeter.Most(now),
+		AccountWaiting: l.waiting.Len(key), AccountBound: s.accountBound(q), TotalWaiting: l.waiting.Total(), TotalBound: s.maxWaitingTotal,
+		DrainRate: q.drainMeter.MaxRate(now),
 	})
 }
 
 // preferredUpstreams returns the upstreams that probably have the request's
 // prompt cached: first the one to which this router last sent its longest known
 // prefix, then those that all routers prefer for its first block.
-func (l *localRequests) preferredUpstreams(s *Scheduler, w *waiter) []fleet.Number {
+func (l *localRequests) preferredUpstreams(s *Scheduler, w *waiter) []fleet.ShortID {
 	service := w.queue.key.service
-	preferred := s.assignment.prefixUpstreams(service, w.work.Prefix)
-	upstream, ok := l.recentPrefixes.find(w.work.Prefix)
+	preferred := s.assignment.prefixUpstreams(service, w.work.Prefixes)
+	upstream, ok := l.recentPrefixes.find(w.work.Prefixes)
 	if !ok || !s.assignment.serves(service, upstream) {
 		return preferred
 	}
 	if i := slices.Index(preferred, upstream); i >= 0 {
 		preferred = slices.Delete(preferred, i, i+1)
 	}
-	return append([]fleet.Number{upstream}, preferred...)
+	return append([]fleet.ShortID{upstream}, preferred...)
 }
 
 func (s *Scheduler) accountBound(q *queue) int {
@@ -111,13 +111,13 @@
 // avoidedNumbers returns the numbers of the upstreams to avoid. It returns none
 // if that would exclude all, since the request could never start then.
 func avoidedNumbers(s *Scheduler, w *waiter, available []availableUpstream) []uint32 {
-	if len(w.work.Avoid) == 0 {
+	if len(w.work.AvoidedUpstreams) == 0 {
 		return nil
 	}
 	var avoided []uint32
 	for _, u := range available {
 		upstream := s.view.UpstreamByNumber(u.number)
-		if slices.Contains(w.work.Avoid, fleet.UpstreamID(upstream.GetId())) {
+		if slices.Contains(w.work.AvoidedUpstreams, fleet.UpstreamID(upstream.GetId())) {
 			avoided = append(avoided, uint32(u.number))
 		}
 	}
@@ -130,7 +130,7 @@
 // abandon removes a request whose caller has gone, or returns its slot.
 func (l *localRequests) abandon(s *Scheduler, now time.Time, w *waiter) {
 	if w.heldSlot != nil {
-		l.handleDone(s, w.heldSlot, dispatch.Done{Result: dispatch.Unused})
+		l.handleDone(s, w.heldSlot, dispatch.Completion{Result: dispatch.Unused})
 		return
 	}
 	if l.remove(now, w) {
@@ -142,7 +142,7 @@
 func (l *localRequests) remove(now time.Time, w *waiter) bool {
 	removed := l.waiting.Remove(w.item)
 	if removed {
-		w.queue.drainMeter.Waits(now, l.waiting.Len(w.queue.key) > 0)
+		w.queue.drainMeter.SetWaiting(now, l.waiting.Len(w.queue.key) > 0)
 	}
 	return removed
 }
@@ -174,7 +174,7 @@
 	for _, item := range l.waiting.Expire(now) {
 		w := item.Value()
 		q := w.queue
-		q.drainMeter.Waits(now, l.waiting.Len(q.key) > 0)
+		q.drainMeter.SetWaiting(now, l.waiting.Len(q.key) > 0)
 		w.result <- acquireResult{refused: refusal.New(
 			refusal.DeadlinePassed, "the deadline passed before the request's turn", l.retryAfter(now, q),
 		)}
@@ -205,10 +205,10 @@
 			}
 			continue
 		}
-		rate := q.drainMeter.Most(now)
+		rate := q.drainMeter.MaxRate(now)
 		for i, w := range l.waiters(q) {
 			refused := s.admission.Admit(now, w.work.Deadline, admission.Queue{
-				Account: i, AccountBound: i + 1, TotalBound: 1, Drain: rate,
+				AccountWaiting: i, AccountBound: i + 1, TotalBound: 1, DrainRate: rate,
 			})
 			if refused != nil && refused.Reason == refusal.DeadlineBeforeTurn {
 				l.refuse(now, w, refused)
@@ -252,13 +252,13 @@
 
 // handleGrant starts a waiting request, or returns the slot unused if there is none.
 func (l *localRequests) handleGrant(s *Scheduler, now time.Time, from fleet.RouterID, message *schema.Grant) {
-	id := dispatcher.GrantIDOf(message.GetId(), s.nonce(from))
+	id := dispatcher.NewGrantID(message.GetId(), s.nonce(from))
 	if l.heldSlots[grantKey{from, id}] != nil {
 		return
 	}
 	l.lastGrant[from] = max(l.lastGrant[from], message.GetId())
 	h := &heldSlot{
-		key: grantKey{from, id}, account: fleet.Number(message.GetAccount()), upstream: fleet.Number(message.GetUpstream()),
+		key: grantKey{from, id}, account: fleet.ShortID(message.GetAccount()), upstream: fleet.ShortID(message.GetUpstream()),
 	}
 	u := s.upstream(h.upstream)
 	q := l.queues[queueKey{s.assignment.serviceNumbers[fleet.ServiceID(u.GetService())], h.account}]
@@ -273,7 +273,7 @@
 	case s.isLeaving(u):
 		// The dispatcher doesn't know yet that the upstream is leaving. A slot
 		// returned as unused would be granted again at once.
-		l.release(s, h, dispatch.Done{Result: dispatch.Draining})
+		l.release(s, h, dispatch.Completion{Result: dispatch.Draining})
 	case w == nil:
 		// The dispatcher treats the ask as withdrawn when the slot is returned.
 		q.dispatcherCounts[from] = 0
@@ -287,7 +287,7 @@
 // resetCounts records that a dispatcher treats an account's asks as withdrawn.
 // The next review repeats them. Repeated at once they would get the same grant
 // again, because the dispatcher has a newer release note than this router.
-func (l *localRequests) resetCounts(router fleet.RouterID, account fleet.Number) {
+func (l *localRequests) resetCounts(router fleet.RouterID, account fleet.ShortID) {
 	for key, q := range l.queues {
 		if key.account == account {
 			delete(q.dispatcherCounts, router)
@@ -297,7 +297,7 @@
 
 // upstream returns an upstream by its number, or nil if this router's current
 // view does not contain it.
-func (s *Scheduler) upstream(number fleet.Number) *schema.Upstream {
+func (s *Scheduler) upstream(number fleet.ShortID) *schema.Upstream {
 	if s.view == nil {
 		return nil
 	}
@@ -306,9 +306,9 @@
 
 func (l *localRequests) start(s *Scheduler, now time.Time, w *waiter, h *heldSlot, u *schema.Upstream, begin bool) {
 	l.remove(now, w)
-	w.queue.drainMeter.Started(now)
+	w.queue.drainMeter.AddStart(now)
 	l.starts++
-	l.recentPrefixes.record(w.work.Prefix, h.upstream)
+	l.recentPrefixes.record(w.work.Prefixes, h.upstream)
 	h.service = w.queue.service
 	l.heldSlots[h.key] = h
 	w.heldSlot = h
--- a/scheduler/exchange.go
+++ b/scheduler/exchange.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		x.keepers[key] = current
-		s.dispatcher.Reassigned(key.Service, key.Account)
+		s.dispatcher.MarkReassigned(key.Service, key.Account)
 	}
 }
 
@@ -87,7 +87,7 @@
 
 // handleReport adds a dispatcher's report as keeper and answers with the total.
 func (x *serviceExchange) handleReport(s *Scheduler, now time.Time, from fleet.RouterID, incarnation fleet.Incarnation, message *schema.ServiceReport) {
-	key := keeper.Key{Service: fleet.Number(message.GetService()), Account: fleet.Number(message.GetAccount())}
+	key := keeper.Key{Service: fleet.ShortID(message.GetService()), Account: fleet.ShortID(message.GetAccount())}
 	total := s.keeper.Report(now, from, incarnation, share.Report[keeper.Key]{
 		Key: key, Cumulative: fleet.Tokens(message.GetCumulative()), Floor: fleet.Tokens(message.GetFloor()),
 		Outstanding: fleet.Tokens(message.GetOutstanding()),
@@ -95,20 +95,20 @@
 	out := s.outbox.batchTo(from)
 	out.Totals = append(out.Totals, &schema.ServiceTotal{
 		Service: message.GetService(), Account: message.GetAccount(),
-		Total: int64(total.Sum), Covered: int64(total.Covered),
+		Total: int64(total.Sum), Covered: int64(total.OwnReported),
 		Outstanding: clampUint32(total.Outstanding),
 	})
 }
 
 // handleTotal applies a keeper's total.
 func (x *serviceExchange) handleTotal(s *Scheduler, message *schema.ServiceTotal) {
-	s.dispatcher.Observe(fleet.Number(message.GetService()), fleet.Number(message.GetAccount()), share.Total{
-		Sum: fleet.Tokens(message.GetTotal()), Covered: fleet.Tokens(message.GetCovered()),
+	s.dispatcher.Observe(fleet.ShortID(message.GetService()), fleet.ShortID(message.GetAccount()), share.Total{
+		Sum: fleet.Tokens(message.GetTotal()), OwnReported: fleet.Tokens(message.GetCovered()),
 		Outstanding: fleet.Tokens(message.GetOutstanding()),
 	})
 }
 
 // forget removes a withdrawn account.
-func (x *serviceExchange) forget(account fleet.Number) {
+func (x *serviceExchange) forget(account fleet.ShortID) {
 	maps.DeleteFunc(x.keepers, func(key keeper.Key, _ keeperInstance) bool { return key.Account == account })
 }
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -261,7 +261,7 @@
 			f.start(killed, 2)
 			time.Sleep(500 * time.Millisecond)
 
-			slot.Done(dispatch.Done{Result: result})
+			slot.Release(dispatch.Completion{Result: result})
 
 			time.Sleep(500 * time.Millisecond)
 			current := f.dispatcherOf(id)
@@ -291,7 +291,7 @@
 			}
 			time.Sleep(time.Second)
 
-			slot.Done(dispatch.Done{Result: dispatch.Unused})
+			slot.Release(dispatch.Completion{Result: dispatch.Unused})
 
 			time.Sleep(10 * time.Second)
 			require.Len(t, answered, 3, ids[n])
--- a/scheduler/fairness_test.go
+++ b/scheduler/fairness_test.go
@@ -60,7 +60,7 @@
 
 // runStreamed runs one request and calls onStart when it gets its slot.
 func (f *testFleet) runStreamed(m *serviceMeter, r *testRouter, account string, cost float64, onStart func()) {
-	slot, err := r.Acquire(r.ctx, dispatch.Work{
+	slot, err := r.Acquire(r.ctx, dispatch.Request{
 		Account: f.view.Account(fleet.AccountID(account)), Service: f.view.Service("model"),
 		Estimate: (minCost + maxCost) / 2, Deadline: time.Now().Add(time.Hour),
 	})
@@ -74,13 +74,13 @@
 	f.upstreams.mu.Unlock()
 	for streamed := 0.0; streamed < cost && r.ctx.Err() == nil; streamed = time.Since(s.startedAt).Seconds() * tokensPerSec {
 		time.Sleep(min(time.Second, time.Duration((cost-streamed)/tokensPerSec*float64(time.Second))+time.Millisecond))
-		slot.Progress(fleet.Tokens(min(cost, time.Since(s.startedAt).Seconds()*tokensPerSec)))
+		slot.ReportCost(fleet.Tokens(min(cost, time.Since(s.startedAt).Seconds()*tokensPerSec)))
 	}
 	f.upstreams.mu.Lock()
 	delete(m.running, s)
 	m.completed[account] += cost
 	f.upstreams.mu.Unlock()
-	slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: fleet.Tokens(cost), FirstToken: time.Second})
+	slot.Release(dispatch.Completion{Result: dispatch.Answered, Cost: fleet.Tokens(cost), FirstTokenLatency: time.Second})
 }
 
 // measureGap returns the largest difference between the service of two accounts
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -83,7 +83,7 @@
 type bounded struct{}
 
 func (bounded) Admit(_, _ time.Time, queue admission.Queue) *refusal.Error {
-	if queue.Account >= queue.AccountBound {
+	if queue.AccountWaiting >= queue.AccountBound {
 		return refusal.New(refusal.AccountQueueFull, "too many waiting requests", time.Second)
 	}
 	return nil
@@ -123,10 +123,10 @@
 	client    *http.Client
 	// notes and vms override the sources of single routers.
 	notes   map[fleet.RouterID]note.Source
-	vms     map[fleet.RouterID]store.VMs
+	vms     map[fleet.RouterID]store.VMLister
 	limiter func(slots int) inflight.Limiter
 	// order overrides share.Fair.
-	order func() share.Order[fleet.Number]
+	order func() share.Policy[fleet.ShortID]
 	// placement overrides placement.LeastLoaded.
 	placement placement.Policy
 }
@@ -159,7 +159,7 @@
 	}
 	order := f.order
 	if order == nil {
-		order = func() share.Order[fleet.Number] { return &share.Fair[fleet.Number]{} }
+		order = func() share.Policy[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
 	}
 	policy := f.placement
 	if policy == nil {
@@ -169,10 +169,10 @@
 	if limiter == nil {
 		limiter = newFixed
 	}
-	s := scheduler.New(scheduler.Options[share.Order[fleet.Number], inflight.Limiter, placement.Policy]{
+	s := scheduler.New(scheduler.Options[share.Policy[fleet.ShortID], inflight.Limiter, placement.Policy]{
 		Self: id, Incarnation: incarnation, Notes: notes, VMs: f.vms[id], Peers: f.network.newPeers(id, incarnation),
-		Order: order, Limiter: limiter,
-		Admission: bounded{}, MaxWaiting: 10_000, MaxWaitingTotal: 100_000, Sharing: f.sharing, Placement: policy, Client: f.client,
+		SharePolicy: order, Limiter: limiter,
+		Admission: bounded{}, MaxWaiting: 10_000, MaxWaitingTotal: 100_000, Sharing: f.sharing, Placement: policy, PollClient: f.client,
 	})
 	ctx, cancel := context.WithCancel(f.t.Context())
 	r := &testRouter{Scheduler: s, stop: cancel, ctx: ctx, done: make(chan struct{})}
@@ -225,8 +225,8 @@
 }
 
 // work returns a request of an account with a deadline in an hour.
-func (f *testFleet) work(account string) dispatch.Work {
-	return dispatch.Work{
+func (f *testFleet) work(account string) dispatch.Request {
+	return dispatch.Request{
 		Account: f.view.Account(fleet.AccountID(account)), Service: f.view.Service("model"), Estimate: 300,
 		Deadline: time.Now().Add(time.Hour),
 	}
@@ -242,7 +242,7 @@
 	select {
 	case <-time.After(duration):
 		f.upstreams.end(upstream, account, cost)
-		slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: cost, FirstToken: duration / 10})
+		slot.Release(dispatch.Completion{Result: dispatch.Answered, Cost: cost, FirstTokenLatency: duration / 10})
 	case <-r.ctx.Done():
 		f.upstreams.end(upstream, account, 0)
 	}
--- a/scheduler/flood_test.go
+++ b/scheduler/flood_test.go
@@ -15,7 +15,7 @@
 
 // queueTimes returns the queue times of an account that sends one request at a
 // time, to each router in turn.
-func queueTimes(t *testing.T, flood bool, requests int, order func() share.Order[fleet.Number]) []time.Duration {
+func queueTimes(t *testing.T, flood bool, requests int, order func() share.Policy[fleet.ShortID]) []time.Duration {
 	t.Helper()
 	var times []time.Duration
 	synctest.Test(t, func(t *testing.T) {
@@ -54,7 +54,7 @@
 	require.Less(t, p50, 250*time.Millisecond)
 	require.Less(t, p90, 450*time.Millisecond)
 	require.Less(t, maximum, 1500*time.Millisecond)
-	firstCome := queueTimes(t, true, 3, func() share.Order[fleet.Number] { return &share.FirstCome[fleet.Number]{} })
+	firstCome := queueTimes(t, true, 3, func() share.Policy[fleet.ShortID] { return &share.FirstCome[fleet.ShortID]{} })
 	t.Logf("first come first served: p50 %v", firstCome[len(firstCome)/2])
 	require.Greater(t, firstCome[len(firstCome)/2], 10*time.Second)
 }
--- a/scheduler/free.go
+++ b/scheduler/free.go
@@ -14,7 +14,7 @@
 // stay idle while its requests wait.
 type freeAnnouncer struct {
 	// idleServices are the services with idle slots and no waiting asks.
-	idleServices map[fleet.Number]bool
+	idleServices map[fleet.ShortID]bool
 	nextAt       time.Time
 	interval     time.Duration
 }
@@ -36,17 +36,17 @@
 )
 
 func newFreeAnnouncer() freeAnnouncer {
-	return freeAnnouncer{idleServices: make(map[fleet.Number]bool), interval: minAnnounceInterval}
+	return freeAnnouncer{idleServices: make(map[fleet.ShortID]bool), interval: minAnnounceInterval}
 }
 
 func (f *freeAnnouncer) tick(s *Scheduler, now time.Time) {
-	if s.sharing == StaticShare || len(s.routers) < fanout.Most {
+	if s.sharing == StaticShare || len(s.routers) < fanout.MaxDispatchers {
 		// Queues ask every dispatcher anyway.
 		return
 	}
-	counts := s.dispatcher.Idle(now)
+	counts := s.dispatcher.FreeSlots(now)
 	for service := range counts {
-		if s.dispatcher.Unmet(service) {
+		if s.dispatcher.HasWaiting(service) {
 			delete(counts, service)
 		}
 	}
@@ -69,7 +69,7 @@
 	f.interval = min(2*f.interval, maxAnnounceInterval*time.Duration(1+len(counts)/servicesPerMaxInterval))
 }
 
-func announceIdleSlots(s *Scheduler, counts map[fleet.Number]int) {
+func announceIdleSlots(s *Scheduler, counts map[fleet.ShortID]int) {
 	routers := s.connectedRouters()
 	for i, index := range rand.Perm(len(routers)) {
 		if i >= announceFanout {
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -13,8 +13,8 @@
 // heldSlot is a slot held by a request of this router.
 type heldSlot struct {
 	key      grantKey
-	account  fleet.Number
-	upstream fleet.Number
+	account  fleet.ShortID
+	upstream fleet.ShortID
 	service  *schema.Service
 	// cost is the request's cost so far, written by the request's own goroutine.
 	cost atomic.Int64
@@ -58,20 +58,20 @@
 
 // returnUnused returns a slot to which nothing was sent.
 func (l *localRequests) returnUnused(s *Scheduler, h *heldSlot) {
-	l.release(s, h, dispatch.Done{Result: dispatch.Unused})
+	l.release(s, h, dispatch.Completion{Result: dispatch.Unused})
 }
 
 // handleDone returns the slot of a request that has ended. Dispatchers take an
 // unused slot as a sign that the account has no waiting requests here. If it has,
 // they are asked again: an unchanged ask is not repeated, so the requests would
 // wait for ever.
-func (l *localRequests) handleDone(s *Scheduler, h *heldSlot, done dispatch.Done) {
+func (l *localRequests) handleDone(s *Scheduler, h *heldSlot, done dispatch.Completion) {
 	dispatchers := []fleet.RouterID{s.settlingDispatcher(h), s.assignment.dispatchers[h.upstream]}
 	l.release(s, h, done)
 	if done.Result != dispatch.Unused || h.service == nil {
 		return
 	}
-	q := l.queues[queueKey{fleet.Number(h.service.GetNumber()), h.account}]
+	q := l.queues[queueKey{fleet.ShortID(h.service.GetNumber()), h.account}]
 	if q == nil {
 		return
 	}
@@ -85,7 +85,7 @@
 // changes its dispatcher, both count the slot, so the current dispatcher gets a
 // release too, with the cost that it already knows. It needs one for unused slots
 // as well: otherwise it would never free them, and the upstream would idle.
-func (l *localRequests) release(s *Scheduler, h *heldSlot, done dispatch.Done) {
+func (l *localRequests) release(s *Scheduler, h *heldSlot, done dispatch.Completion) {
 	delete(l.heldSlots, h.key)
 	settling, current := s.settlingDispatcher(h), s.assignment.dispatchers[h.upstream]
 	s.sendRelease(settling, h, done, done.Cost)
@@ -95,9 +95,9 @@
 	s.countServiceTokens(h, done)
 }
 
-func (s *Scheduler) sendRelease(to fleet.RouterID, h *heldSlot, done dispatch.Done, cost fleet.Tokens) {
+func (s *Scheduler) sendRelease(to fleet.RouterID, h *heldSlot, done dispatch.Completion, cost fleet.Tokens) {
 	message := &schema.Release{
-		Cost: clampUint32(cost), Result: schemaResult(done.Result), FirstTokenMs: clampUint32(done.FirstToken.Milliseconds()),
+		Cost: clampUint32(cost), Result: schemaResult(done.Result), FirstTokenMs: clampUint32(done.FirstTokenLatency.Milliseconds()),
 	}
 	if h.key.granter == to && h.key.id.GrantedBy(s.nonce(to)) {
 		message.Id = h.key.id.Count()
@@ -136,12 +136,12 @@
 	}
 }
 
-func (s *Scheduler) countServiceTokens(h *heldSlot, done dispatch.Done) {
+func (s *Scheduler) countServiceTokens(h *heldSlot, done dispatch.Completion) {
 	if s.metrics == nil || done.Cost <= 0 {
 		return
 	}
 	if a := s.view.AccountByNumber(h.account); a != nil {
-		s.metrics.Service.WithLabelValues(a.GetId()).Add(float64(done.Cost))
+		s.metrics.ServiceTokens.WithLabelValues(a.GetId()).Add(float64(done.Cost))
 	}
 }
 
@@ -154,7 +154,7 @@
 }
 
 func (l *localRequests) heldMessages(include func(h *heldSlot) bool) []*schema.Held {
-	byUpstream := make(map[fleet.Number]*schema.Held)
+	byUpstream := make(map[fleet.ShortID]*schema.Held)
 	var all []*schema.Held
 	for _, h := range l.heldSlots {
 		if !include(h) {
--- a/scheduler/inbox.go
+++ b/scheduler/inbox.go
@@ -20,8 +20,8 @@
 	s.outbox.drop(change.Router)
 	r.connected = change.Connected
 	if !change.Connected {
-		s.members.Disconnected(now, change.Router)
-		s.dispatcher.Gone(now, change.Router)
+		s.members.SetDisconnected(now, change.Router)
+		s.dispatcher.HandleDisconnect(now, change.Router)
 		s.drainReports.removeIf(func(report drainReport) bool { return report.reporter == change.Router })
 		s.local.handleRouterLost(s, now, change.Router)
 		s.refreshAssignment(now)
@@ -35,7 +35,7 @@
 	r.incarnation, r.awaitsComplete = change.Incarnation, true
 	r.dataCenter, r.address = change.DataCenter, change.Address
 	r.seenGrant, r.ackedGrant = 0, 0
-	s.members.Connected(now, change.Router, change.Address)
+	s.members.SetConnected(now, change.Router, change.Address)
 	s.refreshAssignment(now)
 	if s.view != nil {
 		s.exchange.updateKeepers(s)
@@ -78,8 +78,8 @@
 		return
 	}
 	now := s.timer.Now()
-	if leaving := batch.GetLeaving(); (leaving || batch.GetComplete()) && leaving != s.members.Leaving(from) {
-		s.members.Leave(now, from, leaving)
+	if leaving := batch.GetLeaving(); (leaving || batch.GetComplete()) && leaving != s.members.IsLeaving(from) {
+		s.members.SetLeaving(now, from, leaving)
 		s.refreshAssignment(now)
 	}
 	s.handleBatch(now, from, r, batch)
@@ -108,7 +108,7 @@
 	}
 	ids := heldIDs(batch)
 	if batch.GetComplete() && r.awaitsComplete {
-		s.dispatcher.Connected(now, from, ids, r.restarted)
+		s.dispatcher.HandleConnect(now, from, ids, r.restarted)
 	}
 	s.handleHeld(now, from, batch)
 	for _, message := range batch.GetReleases() {
@@ -116,19 +116,19 @@
 	}
 	if batch.GetComplete() && !r.awaitsComplete {
 		// This follows the releases, since released slots are no longer held.
-		s.dispatcher.Complete(now, from, ids)
+		s.dispatcher.Reconcile(now, from, ids)
 	}
 	if batch.GetComplete() {
 		r.awaitsComplete, r.restarted = false, false
 	}
 	for _, message := range batch.GetAsks() {
-		s.dispatcher.Ask(now, from, dispatcher.GrantIDOf(r.seenGrant, s.nonce(s.self)), message)
+		s.dispatcher.HandleAsk(now, from, dispatcher.NewGrantID(r.seenGrant, s.nonce(s.self)), message)
 		if message.GetWaiting() > 0 {
-			s.sendDenial(from, fleet.Number(message.GetService()))
+			s.sendDenial(from, fleet.ShortID(message.GetService()))
 		}
 	}
 	for _, service := range batch.GetDenied() {
-		s.handleDenial(now, from, fleet.Number(service))
+		s.handleDenial(now, from, fleet.ShortID(service))
 	}
 	for _, message := range batch.GetGrants() {
 		s.local.handleGrant(s, now, from, message)
@@ -140,7 +140,7 @@
 		s.exchange.handleTotal(s, message)
 	}
 	for _, message := range batch.GetFree() {
-		s.local.handleFree(s, now, from, fleet.Number(message.GetService()))
+		s.local.handleFree(s, now, from, fleet.ShortID(message.GetService()))
 	}
 }
 
@@ -162,8 +162,8 @@
 		return
 	}
 	for _, message := range batch.GetHeld() {
-		if u := s.view.UpstreamByNumber(fleet.Number(message.GetUpstream())); u != nil {
-			s.dispatcher.Held(now, from, s.assignment.serviceNumbers[fleet.ServiceID(u.GetService())], message)
+		if u := s.view.UpstreamByNumber(fleet.ShortID(message.GetUpstream())); u != nil {
+			s.dispatcher.HandleHeld(now, from, s.assignment.serviceNumbers[fleet.ServiceID(u.GetService())], message)
 		}
 	}
 }
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -37,7 +37,7 @@
 // loadPoller polls this dispatcher's upstreams for their load.
 type loadPoller struct {
 	scheduler *Scheduler
-	upstreams map[fleet.Number]*polledUpstream
+	upstreams map[fleet.ShortID]*polledUpstream
 	ctx       context.Context
 	cancel    context.CancelFunc
 }
@@ -51,7 +51,7 @@
 }
 
 func newLoadPoller(s *Scheduler) *loadPoller {
-	p := &loadPoller{scheduler: s, upstreams: make(map[fleet.Number]*polledUpstream)}
+	p := &loadPoller{scheduler: s, upstreams: make(map[fleet.ShortID]*polledUpstream)}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
@@ -61,9 +61,9 @@
 // setUpstreams replaces the upstreams to poll.
 func (p *loadPoller) setUpstreams(owned []*schema.Upstream) {
 	before := p.upstreams
-	p.upstreams = make(map[fleet.Number]*polledUpstream, len(owned))
+	p.upstreams = make(map[fleet.ShortID]*polledUpstream, len(owned))
 	for _, u := range owned {
-		number := fleet.Number(u.GetNumber())
+		number := fleet.ShortID(u.GetNumber())
 		polled := before[number]
 		if polled == nil || polled.address != u.GetAddress() {
 			polled = &polledUpstream{address: u.GetAddress()}
@@ -72,8 +72,8 @@
 	}
 }
 
-func (p *loadPoller) pollInterval(now time.Time, number fleet.Number, polled *polledUpstream) time.Duration {
-	if polled.rampUntil.IsZero() && p.scheduler.dispatcher.Filled(now, number) {
+func (p *loadPoller) pollInterval(now time.Time, number fleet.ShortID, polled *polledUpstream) time.Duration {
+	if polled.rampUntil.IsZero() && p.scheduler.dispatcher.IsFull(now, number) {
 		polled.rampUntil = now.Add(rampPollTime)
 	}
 	if now.Before(polled.rampUntil) {
@@ -98,7 +98,7 @@
 
 // poll polls one upstream and posts its report to the control goroutine. Without
 // an answer there is no report; the limiter allows for that.
-func (p *loadPoller) poll(number fleet.Number, polled *polledUpstream) {
+func (p *loadPoller) poll(number fleet.ShortID, polled *polledUpstream) {
 	s := p.scheduler
 	load, err := p.fetch(polled.address)
 	s.loop.Post(func() {
@@ -107,7 +107,7 @@
 			s.logger.Debug("upstream did not report its load", "upstream", number, "error", err)
 			return
 		}
-		s.dispatcher.Reported(s.timer.Now(), number, load)
+		s.dispatcher.UpdateLoad(s.timer.Now(), number, load)
 	})
 }
 
@@ -146,7 +146,7 @@
 	}
 	return inflight.Load{
 		Running: report.Running, Queued: report.Queued, CacheUsed: report.CacheUsed,
-		At: time.UnixMilli(report.AtUnixMS), Draining: report.Draining,
+		MeasuredAt: time.UnixMilli(report.AtUnixMS), Draining: report.Draining,
 	}, nil
 }
 
@@ -159,8 +159,8 @@
 	_ = request.Write(&sent)
 	_ = response.Header.Write(&received)
 	const statusLine = len("HTTP/1.1 200 OK\r\n\r\n")
-	p.scheduler.metrics.Control(metric.Sent, metric.Upstream, int(sent.Load()))
-	p.scheduler.metrics.Control(metric.Received, metric.Upstream, int(received.Load())+statusLine+body)
+	p.scheduler.metrics.CountControlMessage(metric.Sent, metric.Upstream, int(sent.Load()))
+	p.scheduler.metrics.CountControlMessage(metric.Received, metric.Upstream, int(received.Load())+statusLine+body)
 }
 
 // byteCounter is an io.Writer that counts the bytes written to it.
--- a/scheduler/loopback_test.go
+++ b/scheduler/loopback_test.go
@@ -71,10 +71,10 @@
 			Self: id, Incarnation: 1, Address: listener.Addr().String(), Key: []byte("the key of the fleet"),
 			Listener: listener, Metrics: metrics, Heartbeat: 200 * time.Millisecond,
 		})
-		s := scheduler.New(scheduler.Options[*share.Fair[fleet.Number], inflight.Fixed, placement.Affinity]{
+		s := scheduler.New(scheduler.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.CacheAffinity]{
 			Self: id, Incarnation: 1, Notes: fixedNotes{view}, Peers: peers, VMs: list, Metrics: metrics,
-			Order:   func() *share.Fair[fleet.Number] { return &share.Fair[fleet.Number]{} },
-			Limiter: func(slots int) inflight.Fixed { return inflight.Fixed(slots) }, Admission: admission.Bounded{},
+			SharePolicy: func() *share.Fair[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} },
+			Limiter:     func(slots int) inflight.Fixed { return inflight.Fixed(slots) }, Admission: admission.Bounded{},
 		})
 		group.Go(func() { _ = peers.Run(ctx) })
 		group.Go(func() { _ = s.Run(ctx) })
@@ -100,13 +100,13 @@
 
 func (r *tcpRouter) runOne(tb testing.TB, view *note.View, account string, duration time.Duration) string {
 	tb.Helper()
-	slot, err := r.Acquire(tb.Context(), dispatch.Work{
+	slot, err := r.Acquire(tb.Context(), dispatch.Request{
 		Account: view.Account(fleet.AccountID(account)), Service: view.Service("model"), Estimate: 300,
 		Deadline: time.Now().Add(time.Minute),
 	})
 	require.NoError(tb, err)
 	time.Sleep(duration)
-	slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: 310, FirstToken: duration})
+	slot.Release(dispatch.Completion{Result: dispatch.Answered, Cost: 310, FirstTokenLatency: duration})
 	return slot.Upstream().GetId()
 }
 
@@ -142,7 +142,7 @@
 				return false
 			}
 			for _, u := range state.Upstreams {
-				if u.InFlight+u.Here > 0 {
+				if u.InFlight+u.LocalInFlight > 0 {
 					return false
 				}
 			}
--- a/scheduler/network_test.go
+++ b/scheduler/network_test.go
@@ -50,7 +50,7 @@
 
 func (p *networkPeers) OnBatch(fn func(fleet.RouterID, *schema.Batch)) { p.onBatch = fn }
 func (p *networkPeers) OnChange(fn func(peer.Change))                  { p.onChange = fn }
-func (p *networkPeers) Target(map[fleet.RouterID]string)               {}
+func (p *networkPeers) SetTargets(map[fleet.RouterID]string)           {}
 
 func (p *networkPeers) Send(to fleet.RouterID, batch *schema.Batch) {
 	data, _ := proto.Marshal(batch)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -21,13 +21,13 @@
 	// askedDispatchers are the dispatchers asked for slots, in this order.
 	askedDispatchers []fleet.RouterID
 	ranking          dispatcherRanking
-	drainMeter       admission.Drain
+	drainMeter       admission.DrainMeter
 	usedAt           time.Time
 }
 
 type queueKey struct {
-	service fleet.Number
-	account fleet.Number
+	service fleet.ShortID
+	account fleet.ShortID
 }
 
 // affinityLookahead is how many of the oldest requests are searched for one whose
@@ -38,7 +38,7 @@
 // chooseRequest returns the request to start at an upstream: the first of the
 // oldest few that prefers it, else the oldest that does not avoid it, or nil. If
 // the chosen one is not the oldest, the oldest is counted as overtaken.
-func chooseRequest(head *waiting.Item[queueKey, *waiter], upstream fleet.Number) *waiter {
+func chooseRequest(head *waiting.Item[queueKey, *waiter], upstream fleet.ShortID) *waiter {
 	var first, chosen *waiter
 	depth := 0
 	for item := head; item != nil && depth < affinityLookahead; item = item.Next() {
@@ -84,7 +84,7 @@
 	}
 	head := item.Value()
 	message.Estimate = clampUint32(head.work.Estimate)
-	message.WaitedMs = clampUint32(now.Sub(item.Since()).Milliseconds())
+	message.WaitedMs = clampUint32(now.Sub(item.QueuedAt()).Milliseconds())
 	if len(q.askedDispatchers) > 1 {
 		message.Asked = uint32(len(q.askedDispatchers))
 	}
--- a/scheduler/ranking.go
+++ b/scheduler/ranking.go
@@ -19,7 +19,7 @@
 // rankForAccount returns a service's dispatchers in the order in which an account
 // asks them. Each upstream is scored, so that the accounts spread over the
 // dispatchers in proportion to their upstreams.
-func (a *assignment) rankForAccount(service, account fleet.Number) []fleet.RouterID {
+func (a *assignment) rankForAccount(service, account fleet.ShortID) []fleet.RouterID {
 	type scored struct {
 		router fleet.RouterID
 		score  rendezvous.Key
@@ -42,7 +42,7 @@
 
 // rankForQueue returns the order in which a queue asks its dispatchers, those of
 // the preferred upstreams first.
-func (a *assignment) rankForQueue(q *queue, preferred []fleet.Number) []fleet.RouterID {
+func (a *assignment) rankForQueue(q *queue, preferred []fleet.ShortID) []fleet.RouterID {
 	if q.ranking.epoch != a.epoch {
 		q.ranking = dispatcherRanking{a.epoch, a.rankForAccount(q.key.service, q.key.account)}
 	}
@@ -64,11 +64,11 @@
 // prefixUpstreams returns the two upstreams preferred by all requests with the
 // same first prompt block, so that they find it cached. Every router computes the
 // same two, without any messages.
-func (a *assignment) prefixUpstreams(service fleet.Number, prefix []uint64) []fleet.Number {
+func (a *assignment) prefixUpstreams(service fleet.ShortID, prefix []uint64) []fleet.ShortID {
 	if len(prefix) == 0 {
 		return nil
 	}
-	var first, second fleet.Number
+	var first, second fleet.ShortID
 	var firstScore, secondScore rendezvous.Key
 	for _, u := range a.available[service] {
 		score := rendezvous.KeyOfNumber("prefix", prefix[0]^uint64(dispatcherKey(u.number)))
@@ -80,10 +80,10 @@
 			second, secondScore = u.number, score
 		}
 	}
-	return slices.DeleteFunc([]fleet.Number{first, second}, func(u fleet.Number) bool { return u == 0 })
+	return slices.DeleteFunc([]fleet.ShortID{first, second}, func(u fleet.ShortID) bool { return u == 0 })
 }
 
 // serves reports whether an upstream of a service is available.
-func (a *assignment) serves(service, upstream fleet.Number) bool {
+func (a *assignment) serves(service, upstream fleet.ShortID) bool {
 	return slices.ContainsFunc(a.available[service], func(u availableUpstream) bool { return u.number == upstream })
 }
--- a/scheduler/recent.go
+++ b/scheduler/recent.go
@@ -12,15 +12,15 @@
 // its first block alone it could go to any upstream that caches the same system
 // prompt. Its zero value is ready to use.
 type recentPrefixes struct {
-	current  map[uint64]fleet.Number
-	previous map[uint64]fleet.Number
+	current  map[uint64]fleet.ShortID
+	previous map[uint64]fleet.ShortID
 }
 
 // record records that a prompt with these blocks is sent to an upstream.
-func (r *recentPrefixes) record(blocks []uint64, upstream fleet.Number) {
+func (r *recentPrefixes) record(blocks []uint64, upstream fleet.ShortID) {
 	if r.current == nil || len(r.current) >= prefixGenerationSize {
 		r.previous = r.current
-		r.current = make(map[uint64]fleet.Number)
+		r.current = make(map[uint64]fleet.ShortID)
 	}
 	for _, block := range blocks {
 		r.current[block] = upstream
@@ -29,7 +29,7 @@
 
 // find returns the upstream that the longest known prefix was last sent to, and
 // whether one is known.
-func (r *recentPrefixes) find(blocks []uint64) (fleet.Number, bool) {
+func (r *recentPrefixes) find(blocks []uint64) (fleet.ShortID, bool) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if upstream, ok := r.current[blocks[i]]; ok {
 			return upstream, true
--- a/scheduler/recent_test.go
+++ b/scheduler/recent_test.go
@@ -16,13 +16,13 @@
 // runPrompt runs one request with prompt blocks through a router and returns its upstream.
 func (f *testFleet) runPrompt(t *testing.T, id fleet.RouterID, blocks ...uint64) string {
 	t.Helper()
-	slot, err := f.routers[id].Acquire(t.Context(), dispatch.Work{
+	slot, err := f.routers[id].Acquire(t.Context(), dispatch.Request{
 		Account: f.view.Account("account-0"), Service: f.view.Service("model"), Estimate: 300,
-		Deadline: time.Now().Add(time.Hour), Prefix: blocks,
+		Deadline: time.Now().Add(time.Hour), Prefixes: blocks,
 	})
 	require.NoError(t, err)
 	time.Sleep(time.Second)
-	slot.Done(dispatch.Done{Result: dispatch.Answered, Cost: 300})
+	slot.Release(dispatch.Completion{Result: dispatch.Answered, Cost: 300})
 	return slot.Upstream().GetId()
 }
 
@@ -33,7 +33,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(1, 12, 8))
-		f.placement = placement.Affinity{}
+		f.placement = placement.CacheAffinity{}
 		ids := f.startAll(6)
 		defer f.stopAll()
 		used := make(map[string]bool)
@@ -51,7 +51,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(1, 12, 1))
-		f.placement = placement.Affinity{}
+		f.placement = placement.CacheAffinity{}
 		ids := f.startAll(6)
 		defer f.stopAll()
 		const conversations = 5
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -42,8 +42,8 @@
 	// OnChange registers fn, which is called when a connection opens, before its
 	// first batch, and when it closes, after its last.
 	OnChange(fn func(change peer.Change))
-	// Target sets the routers to connect to.
-	Target(addresses map[fleet.RouterID]string)
+	// SetTargets sets the routers to connect to.
+	SetTargets(addresses map[fleet.RouterID]string)
 }
 
 // Sharing selects how the routers share the slots of an upstream.
@@ -58,25 +58,25 @@
 )
 
 // Options configure a Scheduler.
-type Options[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy] struct {
+type Options[O share.Policy[fleet.ShortID], L inflight.Limiter, P placement.Policy] struct {
 	Self        fleet.RouterID
 	Incarnation fleet.Incarnation
 	Notes       note.Source
 	// Peers is nil if there are no other routers.
 	Peers Peers
 	// VMs is the platform's VM list; if nil, only connections determine the members.
-	VMs     store.VMs
+	VMs     store.VMLister
 	Timer   timer.Service
 	Metrics *metric.Set
 	Logger  *slog.Logger
-	// Client polls upstreams for their load; nil disables polling.
-	Client *http.Client
+	// PollClient polls upstreams for their load; nil disables polling.
+	PollClient *http.Client
 
-	Sharing   Sharing
-	Order     func() O
-	Limiter   func(slots int) L
-	Placement P
-	Admission admission.Policy
+	Sharing     Sharing
+	SharePolicy func() O
+	Limiter     func(slots int) L
+	Placement   P
+	Admission   admission.Policy
 	// MaxWaiting and MaxWaitingTotal limit the waiting requests of an account
 	// and of all accounts; zero means 256 and 4096.
 	MaxWaiting      int
@@ -96,27 +96,27 @@
 
 // slotDispatcher is the part of dispatcher.Dispatcher that the scheduler uses.
 type slotDispatcher interface {
-	Own(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.Number, others bool)
-	Ask(now time.Time, from fleet.RouterID, through dispatcher.GrantID, message *schema.Ask)
+	SetUpstreams(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.ShortID, others bool)
+	HandleAsk(now time.Time, from fleet.RouterID, through dispatcher.GrantID, message *schema.Ask)
 	Grant(now time.Time) []dispatcher.Grant
 	Release(now time.Time, from fleet.RouterID, message *schema.Release)
-	Held(now time.Time, from fleet.RouterID, service fleet.Number, message *schema.Held)
-	Complete(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool)
-	Connected(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool, restarted bool)
-	Gone(now time.Time, router fleet.RouterID)
+	HandleHeld(now time.Time, from fleet.RouterID, service fleet.ShortID, message *schema.Held)
+	Reconcile(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool)
+	HandleConnect(now time.Time, from fleet.RouterID, ids map[dispatcher.GrantID]bool, restarted bool)
+	HandleDisconnect(now time.Time, router fleet.RouterID)
 	Tick(now time.Time)
-	Reported(now time.Time, upstream fleet.Number, load inflight.Load)
-	Reports(threshold fleet.Tokens) map[fleet.Number][]share.Report[fleet.Number]
-	Observe(service, account fleet.Number, total share.Total)
-	Reassigned(service, account fleet.Number)
-	Forget(account fleet.Number)
-	Idle(now time.Time) map[fleet.Number]int
-	Busy(now time.Time, service fleet.Number) (inFlight, limit int)
-	Draining() []fleet.Number
-	Filled(now time.Time, upstream fleet.Number) bool
-	Unmet(service fleet.Number) bool
-	InFlight(upstream fleet.Number) (int, bool)
-	Limit(now time.Time, upstream fleet.Number) int
+	UpdateLoad(now time.Time, upstream fleet.ShortID, load inflight.Load)
+	Reports(threshold fleet.Tokens) map[fleet.ShortID][]share.Report[fleet.ShortID]
+	Observe(service, account fleet.ShortID, total share.Total)
+	MarkReassigned(service, account fleet.ShortID)
+	Forget(account fleet.ShortID)
+	FreeSlots(now time.Time) map[fleet.ShortID]int
+	ServiceLoad(now time.Time, service fleet.ShortID) (inFlight, limit int)
+	DrainingUpstreams() []fleet.ShortID
+	IsFull(now time.Time, upstream fleet.ShortID) bool
+	HasWaiting(service fleet.ShortID) bool
+	InFlight(upstream fleet.ShortID) (int, bool)
+	Limit(now time.Time, upstream fleet.ShortID) int
 }
 
 // config holds the Options except those of the dispatcher.
@@ -125,7 +125,7 @@
 	incarnation     fleet.Incarnation
 	notes           note.Source
 	peers           Peers
-	vms             store.VMs
+	vms             store.VMLister
 	timer           timer.Service
 	metrics         *metric.Set
 	logger          *slog.Logger
@@ -180,11 +180,11 @@
 }
 
 // New returns a Scheduler; Run starts it.
-func New[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) *Scheduler {
+func New[O share.Policy[fleet.ShortID], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) *Scheduler {
 	s := &Scheduler{config: configOf(options), routers: make(map[fleet.RouterID]*remoteRouter)}
 	s.loop = control.New(s.finishRound)
 	s.dispatcher = dispatcher.New(dispatcher.Options[O, L, P]{
-		Order: options.Order, Limiter: options.Limiter, Placement: options.Placement,
+		SharePolicy: options.SharePolicy, Limiter: options.Limiter, Placement: options.Placement,
 		Weight: s.accountWeight, Warmup: options.Warmup, Nonce: nonceOf(options.Self, options.Incarnation),
 		TakeoverWait: options.TakeoverWait, Grace: options.Grace,
 	})
@@ -208,11 +208,11 @@
 	return s
 }
 
-func configOf[O share.Order[fleet.Number], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) config {
+func configOf[O share.Policy[fleet.ShortID], L inflight.Limiter, P placement.Policy](options Options[O, L, P]) config {
 	c := config{
 		self: options.Self, incarnation: options.Incarnation, notes: options.Notes, peers: options.Peers,
 		vms: options.VMs, timer: options.Timer, metrics: options.Metrics, logger: options.Logger,
-		client: options.Client, sharing: options.Sharing, admission: options.Admission,
+		client: options.PollClient, sharing: options.Sharing, admission: options.Admission,
 		maxWaiting: options.MaxWaiting, maxWaitingTotal: options.MaxWaitingTotal,
 	}
 	if c.timer == nil {
@@ -272,7 +272,7 @@
 func (s *Scheduler) Leave() {
 	s.loop.Post(func() {
 		s.stopping = true
-		s.members.Leave(s.timer.Now(), s.self, true)
+		s.members.SetLeaving(s.timer.Now(), s.self, true)
 		for id, r := range s.routers {
 			if r.connected {
 				s.outbox.batchTo(id).Leaving = true
@@ -303,7 +303,7 @@
 	for _, g := range s.dispatcher.Grant(now) {
 		out := s.outbox.batchTo(g.To)
 		out.Grants = append(out.Grants, &schema.Grant{
-			Id: g.ID.Count(), Account: uint32(g.Account), Upstream: uint32(g.Upstream), Begin: g.Begin,
+			Id: g.ID.Count(), Account: uint32(g.Account), Upstream: uint32(g.Upstream), Begin: g.ReportBegin,
 		})
 		s.outbox.sendUrgently(g.To)
 	}
@@ -329,7 +329,7 @@
 	s.updateGauges()
 }
 
-func (s *Scheduler) accountWeight(account fleet.Number) uint32 {
+func (s *Scheduler) accountWeight(account fleet.ShortID) uint32 {
 	if s.view == nil {
 		return 1
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -62,7 +62,7 @@
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := f.routers["router-0"].Acquire(ctx, dispatch.Work{
+		_, err := f.routers["router-0"].Acquire(ctx, dispatch.Request{
 			Account: f.view.Account("account-0"), Service: f.view.Service("model"), Estimate: 1, Deadline: time.Now().Add(time.Hour),
 		})
 		var refused *refusal.Error
@@ -87,7 +87,7 @@
 		go func() { _ = f.runOnFirst("account-0", time.Minute) }()
 		time.Sleep(time.Second)
 		startedAt := time.Now()
-		_, err := f.routers["router-0"].Acquire(t.Context(), dispatch.Work{
+		_, err := f.routers["router-0"].Acquire(t.Context(), dispatch.Request{
 			Account: f.view.Account("account-0"), Service: f.view.Service("model"), Estimate: 1, Deadline: startedAt.Add(2 * time.Second),
 		})
 		var refused *refusal.Error
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -36,8 +36,8 @@
 	ID         fleet.UpstreamID
 	Service    fleet.ServiceID
 	Dispatcher fleet.RouterID
-	// Here is the number of this router's requests in flight at the upstream.
-	Here int
+	// LocalInFlight is the number of this router's requests in flight at the upstream.
+	LocalInFlight int
 	// InFlight and Limit cover all routers; only the upstream's dispatcher knows them.
 	InFlight int
 	Limit    int
@@ -86,7 +86,7 @@
 	}
 	state.Version = s.view.Version()
 	state.InFlight = make(map[fleet.AccountID]int)
-	local := make(map[fleet.Number]int)
+	local := make(map[fleet.ShortID]int)
 	for _, h := range s.local.heldSlots {
 		local[h.upstream]++
 		if account := s.view.AccountByNumber(h.account); account != nil {
@@ -94,11 +94,11 @@
 		}
 	}
 	for _, u := range s.view.State().GetUpstreams() {
-		number := fleet.Number(u.GetNumber())
+		number := fleet.ShortID(u.GetNumber())
 		inFlight, _ := s.dispatcher.InFlight(number)
 		state.Upstreams = append(state.Upstreams, UpstreamState{
 			ID: fleet.UpstreamID(u.GetId()), Service: fleet.ServiceID(u.GetService()),
-			Dispatcher: s.assignment.dispatchers[number], Here: local[number],
+			Dispatcher: s.assignment.dispatchers[number], LocalInFlight: local[number],
 			InFlight: inFlight, Limit: s.dispatcher.Limit(now, number), Leaving: u.GetLeaving() || s.leavingInList[fleet.UpstreamID(u.GetId())],
 		})
 	}
--- a/scheduler/view_test.go
+++ b/scheduler/view_test.go
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(2, 8, 2))
 		lists := map[fleet.RouterID]*vmList{"router-0": {}, "router-1": {}, "router-2": {}}
-		f.vms = make(map[fleet.RouterID]store.VMs)
+		f.vms = make(map[fleet.RouterID]store.VMLister)
 		for id, list := range lists {
 			f.vms[id] = list
 		}
--- a/scheduler/vms.go
+++ b/scheduler/vms.go
@@ -59,19 +59,19 @@
 // applyVMList updates the members and the leaving upstreams from the platform's VM list.
 func (s *Scheduler) applyVMList(vms []store.VM) {
 	now := s.timer.Now()
-	var routers []membership.Listed
+	var routers []membership.ListedRouter
 	leaving := make(map[fleet.UpstreamID]bool)
 	for _, vm := range vms {
 		switch vm.Role {
 		case store.RouterVM:
-			routers = append(routers, membership.Listed{ID: fleet.RouterID(vm.Name), Address: vm.Address, Leaving: vm.Leaving})
+			routers = append(routers, membership.ListedRouter{ID: fleet.RouterID(vm.Name), Address: vm.Address, Leaving: vm.Leaving})
 		case store.UpstreamVM:
 			if vm.Leaving {
 				leaving[fleet.UpstreamID(vm.Name)] = true
 			}
 		}
 	}
-	s.members.List(now, routers)
+	s.members.SetList(now, routers)
 	if !maps.Equal(leaving, s.leavingInList) {
 		s.leavingInList = leaving
 		s.assignmentStale = true
@@ -88,6 +88,6 @@
 // updatePeerTargets sets the routers that the transport connects to.
 func (s *Scheduler) updatePeerTargets() {
 	if s.peers != nil {
-		s.peers.Target(s.members.Targets())
+		s.peers.SetTargets(s.members.Addresses())
 	}
 }
--- a/scheduler/wire_test.go
+++ b/scheduler/wire_test.go
@@ -170,5 +170,5 @@
 	t.Helper()
 	state, err := r.State(t.Context())
 	require.NoError(t, err)
-	return !slices.ContainsFunc(state.Upstreams, func(u scheduler.UpstreamState) bool { return u.InFlight+u.Here > 0 })
+	return !slices.ContainsFunc(state.Upstreams, func(u scheduler.UpstreamState) bool { return u.InFlight+u.LocalInFlight > 0 })
 }
--- a/settings/contradiction.go
+++ b/settings/contradiction.go
@@ -25,7 +25,7 @@
 	if defaultMs == 0 || maxMs == 0 || defaultMs <= maxMs {
 		return
 	}
-	d.Add("callers.default-deadline-ms", document.Contradiction, fmt.Sprint(defaultMs),
+	d.AddFault("callers.default-deadline-ms", document.Contradiction, fmt.Sprint(defaultMs),
 		fmt.Sprintf("at most callers.max-deadline-ms, which is %d", maxMs))
 }
 
@@ -35,7 +35,7 @@
 	if perAccount == 0 || total == 0 || perAccount <= total {
 		return
 	}
-	d.Add("queue.max-waiting", document.Contradiction, fmt.Sprint(perAccount),
+	d.AddFault("queue.max-waiting", document.Contradiction, fmt.Sprint(perAccount),
 		fmt.Sprintf("at most queue.max-waiting-total, which is %d", total))
 }
 
@@ -64,13 +64,13 @@
 		checkPort(d, l)
 		for _, other := range earlier {
 			if l.collides(other) {
-				d.Add(l.path, document.Contradiction, strconv.Quote(field.address), "an address other than that of "+other.path)
+				d.AddFault(l.path, document.Contradiction, strconv.Quote(field.address), "an address other than that of "+other.path)
 			}
 		}
 		earlier = append(earlier, l)
 	}
 	if host, _, err := net.SplitHostPort(s.GetPeerAddress()); err == nil && isWildcard(host) {
-		d.Add("peer-address", document.NotAllowed, strconv.Quote(s.GetPeerAddress()), "a host that other routers reach, not all interfaces")
+		d.AddFault("peer-address", document.NotAllowed, strconv.Quote(s.GetPeerAddress()), "a host that other routers reach, not all interfaces")
 	}
 }
 
@@ -79,7 +79,7 @@
 
 func checkPort(d *settingsDocument, l listener) {
 	if n, err := strconv.Atoi(l.port); err != nil || n > maxPort {
-		d.Add(l.path, document.OutOfBounds, "port "+l.port, fmt.Sprintf("a port from 0 to %d", maxPort))
+		d.AddFault(l.path, document.OutOfBounds, "port "+l.port, fmt.Sprintf("a port from 0 to %d", maxPort))
 	}
 }
 
@@ -104,11 +104,11 @@
 	for i, operator := range d.Message.GetOperatorKeys() {
 		path := fmt.Sprintf("operator-keys[%d]", i)
 		if first, ok := names[operator.GetName()]; ok && operator.GetName() != "" {
-			d.Add(path+".name", document.Contradiction, strconv.Quote(operator.GetName()),
+			d.AddFault(path+".name", document.Contradiction, strconv.Quote(operator.GetName()),
 				fmt.Sprintf("a name other than that of operator-keys[%d]", first))
 		}
 		if first, ok := keys[operator.GetKeySha256()]; ok && operator.GetKeySha256() != "" {
-			d.Add(path+".key-sha256", document.Contradiction, "the same key",
+			d.AddFault(path+".key-sha256", document.Contradiction, "the same key",
 				fmt.Sprintf("a key other than that of operator-keys[%d]", first))
 		}
 		names[operator.GetName()] = i
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -25,9 +25,9 @@
 	defaultSharing         = "fair"
 )
 
-// Read returns the settings in data, or *document.FaultsError with all faults.
+// Parse returns the settings in data, or *document.FaultsError with all faults.
 // The file name is only shown in faults.
-func Read(file string, data []byte) (*schema.RouterSettings, error) {
+func Parse(file string, data []byte) (*schema.RouterSettings, error) {
 	d := document.Parse[*schema.RouterSettings](file, data)
 	checkContradictions(d)
 	if err := d.Err(); err != nil {
@@ -52,13 +52,13 @@
 	return durationOrDefault(s.GetPlatform().GetTimeoutMs(), defaultPlatformTimeout)
 }
 
-// MaxBody returns the maximum size of a request body in bytes.
-func MaxBody(s *schema.RouterSettings) int64 {
+// MaxBodyBytes returns the maximum size of a request body in bytes.
+func MaxBodyBytes(s *schema.RouterSettings) int64 {
 	return int64(orDefault(s.GetCallers().GetMaxBodyBytes(), defaultMaxBody))
 }
 
-// MaxHeader returns the maximum size of a request header in bytes.
-func MaxHeader(s *schema.RouterSettings) int {
+// MaxHeaderBytes returns the maximum size of a request header in bytes.
+func MaxHeaderBytes(s *schema.RouterSettings) int {
 	return int(orDefault(s.GetCallers().GetMaxHeaderBytes(), defaultMaxHeader))
 }
 
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	data, err := os.ReadFile("../examples/router.jsonc")
 	require.NoError(t, err)
-	s, err := settings.Read("router.jsonc", data)
+	s, err := settings.Parse("router.jsonc", data)
 	require.NoError(t, err)
 	require.Equal(t, "router-1", s.GetId())
 }
@@ -28,14 +28,14 @@
 	t.Parallel()
 	data, err := os.ReadFile("../examples/router.jsonc")
 	require.NoError(t, err)
-	shown, err := settings.Read("router.jsonc", data)
+	shown, err := settings.Parse("router.jsonc", data)
 	require.NoError(t, err)
 	empty := &schema.RouterSettings{}
 	require.Equal(t, settings.StopGrace(shown), settings.StopGrace(empty))
 	require.Equal(t, settings.StopNotice(shown), settings.StopNotice(empty))
 	require.Equal(t, settings.PlatformTimeout(shown), settings.PlatformTimeout(empty))
-	require.Equal(t, settings.MaxBody(shown), settings.MaxBody(empty))
-	require.Equal(t, settings.MaxHeader(shown), settings.MaxHeader(empty))
+	require.Equal(t, settings.MaxBodyBytes(shown), settings.MaxBodyBytes(empty))
+	require.Equal(t, settings.MaxHeaderBytes(shown), settings.MaxHeaderBytes(empty))
 	require.Equal(t, settings.BodyTimeout(shown), settings.BodyTimeout(empty))
 	require.Equal(t, settings.DefaultDeadline(shown), settings.DefaultDeadline(empty))
 	require.Equal(t, settings.MaxDeadline(shown), settings.MaxDeadline(empty))
@@ -56,7 +56,7 @@
 func TestContradictionsAreReportedTogether(t *testing.T) {
 	t.Parallel()
 	hash := strings.Repeat("0", 64)
-	_, err := settings.Read("r.jsonc", []byte(`{
+	_, err := settings.Parse("r.jsonc", []byte(`{
   "id": "r", "data-center": "d",
   "caller-address": ":70", "peer-address": "0.0.0.0:70", "admin-address": "h:65536",
   "platform": {"url": "http://p"},
--- a/share/deficit.go
+++ b/share/deficit.go
@@ -24,12 +24,12 @@
 
 type robinAccount[K comparable] struct {
 	key     K
-	waiting Waiting
+	waiting Backlog
 	balance fleet.Tokens
 }
 
-// Wait replaces what is known about key's waiting requests.
-func (d *DeficitRoundRobin[K]) Wait(key K, waiting Waiting) {
+// SetBacklog replaces what is known about key's waiting requests.
+func (d *DeficitRoundRobin[K]) SetBacklog(key K, waiting Backlog) {
 	a := d.accounts[key]
 	if a == nil {
 		if d.accounts == nil {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Correct subtracts service from key's balance; a negative amount adds to it.
-func (d *DeficitRoundRobin[K]) Correct(key K, amount fleet.Tokens) {
+// AddService subtracts service from key's balance; a negative amount adds to it.
+func (d *DeficitRoundRobin[K]) AddService(key K, amount fleet.Tokens) {
 	if a := d.accounts[key]; a != nil {
 		a.balance -= amount
 	}
@@ -120,10 +120,10 @@
 
 // End returns the estimate to key's balance; Correct has subtracted the service that the
 // request received.
-func (d *DeficitRoundRobin[K]) End(key K, estimate fleet.Tokens) { d.Correct(key, -estimate) }
+func (d *DeficitRoundRobin[K]) End(key K, estimate fleet.Tokens) { d.AddService(key, -estimate) }
 
 // Forget removes key.
 func (d *DeficitRoundRobin[K]) Forget(key K) {
-	d.Wait(key, Waiting{})
+	d.SetBacklog(key, Backlog{})
 	delete(d.accounts, key)
 }
--- a/share/exchange_test.go
+++ b/share/exchange_test.go
@@ -26,7 +26,7 @@
 
 func (p *dispatcherPool) wait(key string) {
 	for _, d := range p.dispatchers {
-		d.Wait(key, share.Waiting{Weight: 1, Requests: 9, Asked: len(p.dispatchers)})
+		d.SetBacklog(key, share.Backlog{Weight: 1, Requests: 9, Dispatchers: len(p.dispatchers)})
 	}
 }
 
@@ -53,7 +53,7 @@
 	p.wait("busy")
 	p.wait("other")
 	for range 10 {
-		p.dispatchers[0].Correct("busy", 100)
+		p.dispatchers[0].AddService("busy", 100)
 	}
 	next, _ := p.dispatchers[1].Next(nil)
 	require.Equal(t, "busy", next, "the second dispatcher hasn't observed the service yet")
@@ -72,20 +72,20 @@
 	startsBehind := func(asked int) int {
 		p := newPool(6)
 		for i, d := range p.dispatchers {
-			d.Wait("behind", share.Waiting{Weight: 1, Requests: 99, Asked: asked})
-			d.Correct("ahead", 6000)
+			d.SetBacklog("behind", share.Backlog{Weight: 1, Requests: 99, Dispatchers: asked})
+			d.AddService("ahead", 6000)
 			for _, report := range d.Reports(0) {
 				p.keeper.Report(i, report)
 			}
-			d.Wait("ahead", share.Waiting{Weight: 1, Requests: 99, Asked: asked})
-			d.Observe("ahead", share.Total{Sum: 6000, Covered: 6000})
+			d.SetBacklog("ahead", share.Backlog{Weight: 1, Requests: 99, Dispatchers: asked})
+			d.Observe("ahead", share.Total{Sum: 6000, OwnReported: 6000})
 		}
 		starts := 0
 		for _, d := range p.dispatchers {
 			for range 20 {
 				key, _ := d.Next(nil)
 				d.Start(key, 300)
-				d.Correct(key, 150)
+				d.AddService(key, 150)
 				if key == "behind" {
 					starts++
 				}
@@ -103,8 +103,8 @@
 	t.Parallel()
 	var keeper share.Keeper[string, int]
 	report := share.Report[string]{Key: "a", Cumulative: 700, Floor: 900}
-	require.Equal(t, share.Total{Sum: 900, Covered: 700}, keeper.Report(1, report))
-	require.Equal(t, share.Total{Sum: 900, Covered: 700}, keeper.Report(1, report))
+	require.Equal(t, share.Total{Sum: 900, OwnReported: 700}, keeper.Report(1, report))
+	require.Equal(t, share.Total{Sum: 900, OwnReported: 700}, keeper.Report(1, report))
 }
 
 // The keeper's router is killed, and another keeper starts without state. If the totals
@@ -115,17 +115,17 @@
 	p := newPool(3)
 	p.wait("a")
 	for i, d := range p.dispatchers {
-		d.Correct("a", fleet.Tokens(1000*(i+1)))
+		d.AddService("a", fleet.Tokens(1000*(i+1)))
 	}
 	p.exchange(0)
 	require.Equal(t, fleet.Tokens(6000), p.dispatchers[0].Service("a"))
 
 	p.keeper = share.Keeper[string, int]{}
 	for _, d := range p.dispatchers {
-		d.Reassigned("a")
+		d.MarkReassigned("a")
 	}
 	p.exchange(1 << 40)
-	p.dispatchers[1].Correct("a", 50)
+	p.dispatchers[1].AddService("a", 50)
 	p.exchange(0)
 	for _, d := range p.dispatchers {
 		require.Equal(t, fleet.Tokens(6050), d.Service("a"))
@@ -138,12 +138,12 @@
 	t.Parallel()
 	p := newPool(2)
 	p.wait("a")
-	p.dispatchers[0].Correct("a", 4000)
+	p.dispatchers[0].AddService("a", 4000)
 	p.exchange(0)
-	p.keeper.Gone(0)
+	p.keeper.RemoveDispatcher(0)
 	p.dispatchers[0] = &share.Fair[string]{}
 	p.wait("a")
-	p.dispatchers[0].Correct("a", 10)
+	p.dispatchers[0].AddService("a", 10)
 	p.exchange(0)
 	require.Equal(t, fleet.Tokens(4010), p.dispatchers[1].Service("a"))
 	require.Equal(t, fleet.Tokens(4010), p.dispatchers[0].Service("a"))
@@ -155,12 +155,12 @@
 	t.Parallel()
 	p := newPool(2)
 	p.wait("steady")
-	p.dispatchers[0].Correct("steady", 5000)
+	p.dispatchers[0].AddService("steady", 5000)
 	p.exchange(0)
 	p.wait("returned")
 	p.dispatchers[0].Observe("returned", share.Total{})
 	require.Equal(t, fleet.Tokens(5000), p.dispatchers[0].Service("returned"))
-	p.dispatchers[0].Correct("returned", 100)
+	p.dispatchers[0].AddService("returned", 100)
 	p.exchange(0)
 	require.Equal(t, fleet.Tokens(5100), p.dispatchers[1].Service("returned"))
 }
@@ -168,13 +168,13 @@
 func TestReportsObserveTheThreshold(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
-	fair.Wait("a", share.Waiting{Weight: 1, Requests: 1})
-	fair.Correct("a", 300)
+	fair.SetBacklog("a", share.Backlog{Weight: 1, Requests: 1})
+	fair.AddService("a", 300)
 	require.Empty(t, fair.Reports(300))
-	fair.Correct("a", 1)
+	fair.AddService("a", 1)
 	require.Len(t, fair.Reports(300), 1)
 	require.Empty(t, fair.Reports(0))
-	fair.Correct("a", -1)
+	fair.AddService("a", -1)
 	require.Len(t, fair.Reports(0), 1)
 }
 
@@ -193,7 +193,7 @@
 			}
 			amount := fleet.Tokens(rapid.IntRange(-100, 500).Draw(t, "amount"))
 			sum += amount
-			rapid.SampledFrom(p.dispatchers).Draw(t, "dispatcher").Correct("a", amount)
+			rapid.SampledFrom(p.dispatchers).Draw(t, "dispatcher").AddService("a", amount)
 		}
 		p.exchange(0)
 		p.exchange(0)
@@ -217,6 +217,6 @@
 	p.exchange(0)
 	next, _ := p.dispatchers[1].Next(nil)
 	require.Equal(t, "other", next)
-	p.keeper.Gone(0)
+	p.keeper.RemoveDispatcher(0)
 	require.Zero(t, p.keeper.Total(1, "busy").Outstanding)
 }
--- a/share/fair.go
+++ b/share/fair.go
@@ -26,7 +26,7 @@
 // Its service across the fleet is otherService + ownService.
 type account[K comparable] struct {
 	key     K
-	waiting Waiting
+	waiting Backlog
 	// ownService is the service of this dispatcher's requests. otherService is the known
 	// service of the other dispatchers' requests, including lifts.
 	ownService   fleet.Tokens
@@ -74,9 +74,9 @@
 
 func (a *account[K]) positionPtr() *int { return &a.position }
 
-// Wait replaces what is known about key's waiting requests, and lifts an account that
+// SetBacklog replaces what is known about key's waiting requests, and lifts an account that
 // returns from idle.
-func (f *Fair[K]) Wait(key K, waiting Waiting) {
+func (f *Fair[K]) SetBacklog(key K, waiting Backlog) {
 	a := f.account(key)
 	isReturning := a.waiting.Requests == 0 && waiting.Requests > 0
 	a.waiting = waiting
@@ -135,8 +135,8 @@
 	f.addLoad(a, estimate/2)
 }
 
-// Correct adds to the service of key; a negative amount subtracts.
-func (f *Fair[K]) Correct(key K, amount fleet.Tokens) {
+// AddService adds to the service of key; a negative amount subtracts.
+func (f *Fair[K]) AddService(key K, amount fleet.Tokens) {
 	a := f.account(key)
 	a.ownService += amount
 	f.addLoad(a, amount)
@@ -153,7 +153,7 @@
 // addLoad accounts for a change of an account's load by amount. It assumes the same
 // change at each of the other dispatchers that were asked.
 func (f *Fair[K]) addLoad(a *account[K], amount fleet.Tokens) {
-	others := fleet.Tokens(max(a.waiting.Asked, 1) - 1)
+	others := fleet.Tokens(max(a.waiting.Dispatchers, 1) - 1)
 	a.assumedElsewhere = max(a.assumedElsewhere+others*amount, 0)
 	f.markChanged(a)
 	f.requeue(a)
--- a/share/first_come.go
+++ b/share/first_come.go
@@ -14,23 +14,23 @@
 // arrival is an account's oldest waiting request.
 type arrival[K comparable] struct {
 	key     K
-	waiting Waiting
+	waiting Backlog
 	// number breaks ties between accounts that began to wait at the same instant.
 	number   uint64
 	position int
 }
 
 func (a *arrival[K]) less(other *arrival[K]) bool {
-	if !a.waiting.Since.Equal(other.waiting.Since) {
-		return a.waiting.Since.Before(other.waiting.Since)
+	if !a.waiting.OldestSince.Equal(other.waiting.OldestSince) {
+		return a.waiting.OldestSince.Before(other.waiting.OldestSince)
 	}
 	return a.number < other.number
 }
 
 func (a *arrival[K]) positionPtr() *int { return &a.position }
 
-// Wait replaces what is known about key's waiting requests.
-func (f *FirstCome[K]) Wait(key K, waiting Waiting) {
+// SetBacklog replaces what is known about key's waiting requests.
+func (f *FirstCome[K]) SetBacklog(key K, waiting Backlog) {
 	a := f.accounts[key]
 	if waiting.Requests == 0 {
 		f.Forget(key)
@@ -62,8 +62,8 @@
 // Start does nothing: FirstCome ignores service.
 func (f *FirstCome[K]) Start(K, fleet.Tokens) {}
 
-// Correct does nothing: FirstCome ignores service.
-func (f *FirstCome[K]) Correct(K, fleet.Tokens) {}
+// AddService does nothing: FirstCome ignores service.
+func (f *FirstCome[K]) AddService(K, fleet.Tokens) {}
 
 // End does nothing: FirstCome ignores service.
 func (f *FirstCome[K]) End(K, fleet.Tokens) {}
--- a/share/keeper.go
+++ b/share/keeper.go
@@ -49,13 +49,13 @@
 
 func (a *keptAccount[D]) total(to D) Total {
 	own := a.dispatchers[to]
-	return Total{Sum: a.sum + a.adjustment, Covered: own.cumulative, Outstanding: a.outstanding - own.outstanding}
+	return Total{Sum: a.sum + a.adjustment, OwnReported: own.cumulative, Outstanding: a.outstanding - own.outstanding}
 }
 
-// Gone records that a dispatcher stopped or restarted, so that its cumulative amounts
+// RemoveDispatcher records that a dispatcher stopped or restarted, so that its cumulative amounts
 // restart from zero. Its past service stays in the totals, as each account would
 // otherwise get credit for service that it did receive.
-func (k *Keeper[K, D]) Gone(dispatcher D) {
+func (k *Keeper[K, D]) RemoveDispatcher(dispatcher D) {
 	for _, a := range k.accounts {
 		last, ok := a.dispatchers[dispatcher]
 		if !ok {
--- a/share/level.go
+++ b/share/level.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Level returns the max-min fair limit for dividing an amount among claims: claims up to
+// MaxMinLimit returns the max-min fair limit for dividing an amount among claims: claims up to
 // the limit are met in full, and the others get the limit each. It is +Inf if the amount
 // covers all claims with some left over. Level sorts claims in place.
-func Level(claims []float64, amount float64) float64 {
+func MaxMinLimit(claims []float64, amount float64) float64 {
 	slices.Sort(claims)
 	for i, claim := range claims {
 		even := amount / float64(len(claims)-i)
--- a/share/level_machine_test.go
+++ b/share/level_machine_test.go
@@ -20,7 +20,7 @@
 		for _, claim := range claims {
 			asked += claim
 		}
-		level := share.Level(claims, amount)
+		level := share.MaxMinLimit(claims, amount)
 		given := 0.0
 		for _, claim := range claims {
 			given += min(claim, level)
--- a/share/level_test.go
+++ b/share/level_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			require.InDelta(t, c.want, share.Level(c.claims, c.amount), 1e-9)
+			require.InDelta(t, c.want, share.MaxMinLimit(c.claims, c.amount), 1e-9)
 		})
 	}
 }
--- a/share/share.go
+++ b/share/share.go
@@ -56,33 +56,33 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// Waiting describes the requests of one account that wait.
-type Waiting struct {
+// Backlog describes the requests of one account that wait.
+type Backlog struct {
 	// Weight is the account's share relative to other accounts, at least 1.
 	Weight uint32
 	// Requests is how many wait. With zero the account isn't chosen.
 	Requests int
 	// Estimate is the expected cost of the next request.
 	Estimate fleet.Tokens
-	// Asked is the number of dispatchers at which the same requests wait, at least 1.
-	Asked int
-	// Since is when the oldest request began to wait.
-	Since time.Time
+	// Dispatchers is the number of dispatchers at which the same requests wait, at least 1.
+	Dispatchers int
+	// OldestSince is when the oldest request began to wait.
+	OldestSince time.Time
 }
 
-// Order selects the account to serve next. K identifies an account. An Order must not be
+// Policy selects the account to serve next. K identifies an account. An Order must not be
 // used by several goroutines at once.
-type Order[K comparable] interface {
-	// Wait replaces what is known about key's waiting requests.
-	Wait(key K, waiting Waiting)
+type Policy[K comparable] interface {
+	// SetBacklog replaces what is known about key's waiting requests.
+	SetBacklog(key K, waiting Backlog)
 	// Next returns the waiting key to be served next among those for which eligible is
 	// true, and whether there is one. It has no side effects.
 	Next(eligible func(key K) bool) (K, bool)
 	// Start adds the estimate of a request that is sent now to key's outstanding cost. It
 	// doesn't change key's waiting requests; a call of Wait follows.
 	Start(key K, estimate fleet.Tokens)
-	// Correct adds to the service of key; a negative amount subtracts.
-	Correct(key K, amount fleet.Tokens)
+	// AddService adds to the service of key; a negative amount subtracts.
+	AddService(key K, amount fleet.Tokens)
 	// End removes the estimate of a request that has ended from key's outstanding cost.
 	// The request's service has been counted by Correct.
 	End(key K, estimate fleet.Tokens)
@@ -98,11 +98,11 @@
 	// Observe sets the fleet's total for key. The total includes this dispatcher's
 	// reports up to its Covered amount.
 	Observe(key K, total Total)
-	// Reassigned records that key has a new keeper, or that its keeper restarted. The
+	// MarkReassigned records that key has a new keeper, or that its keeper restarted. The
 	// next Reports return key with its known service as the floor and a cumulative amount
 	// that restarts from zero, so that service known to the former keeper is neither lost
 	// nor counted twice.
-	Reassigned(key K)
+	MarkReassigned(key K)
 }
 
 // Report is the service that a dispatcher has given an account since the dispatcher
@@ -121,8 +121,8 @@
 // Total is what the fleet served an account.
 type Total struct {
 	Sum fleet.Tokens
-	// Covered is this dispatcher's own cumulative amount within Sum.
-	Covered fleet.Tokens
+	// OwnReported is this dispatcher's own cumulative amount within Sum.
+	OwnReported fleet.Tokens
 	// Outstanding is the sum of the estimates of the account's requests that
 	// other dispatchers have in flight.
 	Outstanding fleet.Tokens
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -24,7 +24,7 @@
 // simulation runs one dispatcher with a fixed number of slots in steps. Each step counts
 // the requests that have ended and starts new ones in the free slots.
 type simulation struct {
-	order   share.Order[string]
+	order   share.Policy[string]
 	random  *rand.Rand
 	running []request
 	service map[string]fleet.Tokens
@@ -48,7 +48,7 @@
 	since  time.Time
 }
 
-func newSimulation(order share.Order[string], slots int) *simulation {
+func newSimulation(order share.Policy[string], slots int) *simulation {
 	return &simulation{
 		order:   order,
 		random:  rand.New(rand.NewPCG(1, 2)),
@@ -66,8 +66,8 @@
 
 func (b *simulation) wait(account string) {
 	d := b.loads[account]
-	b.order.Wait(account, share.Waiting{
-		Weight: d.weight, Requests: d.waiting, Estimate: 320, Asked: 1, Since: d.since,
+	b.order.SetBacklog(account, share.Backlog{
+		Weight: d.weight, Requests: d.waiting, Estimate: 320, Dispatchers: 1, OldestSince: d.since,
 	})
 }
 
@@ -79,7 +79,7 @@
 			continue
 		}
 		if r.account != "" {
-			b.order.Correct(r.account, r.cost)
+			b.order.AddService(r.account, r.cost)
 			b.order.End(r.account, r.estimate)
 			b.service[r.account] += r.cost
 		}
@@ -107,8 +107,8 @@
 	return func() fleet.Tokens { return cost }
 }
 
-func orders() map[string]share.Order[string] {
-	return map[string]share.Order[string]{
+func orders() map[string]share.Policy[string] {
+	return map[string]share.Policy[string]{
 		"fair":           &share.Fair[string]{},
 		"first-come":     &share.FirstCome[string]{},
 		"deficit-robin":  &share.DeficitRoundRobin[string]{},
@@ -122,7 +122,7 @@
 // doesn't.
 func TestFloodDoesNotTakeTheShareOfOthers(t *testing.T) {
 	t.Parallel()
-	gap := func(order share.Order[string]) fleet.Tokens {
+	gap := func(order share.Policy[string]) fleet.Tokens {
 		b := newSimulation(order, 16)
 		b.add("flood", accountLoad{weight: 1, refill: 1000, waiting: 1000, cost: constantCost(320)})
 		for i := range 15 {
@@ -195,10 +195,10 @@
 func TestForgottenAccountReturnsWithoutCredit(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
-	fair.Wait("stays", share.Waiting{Weight: 1, Requests: 9})
-	fair.Correct("stays", 50_000)
+	fair.SetBacklog("stays", share.Backlog{Weight: 1, Requests: 9})
+	fair.AddService("stays", 50_000)
 	fair.Forget("comes")
-	fair.Wait("comes", share.Waiting{Weight: 1, Requests: 9})
+	fair.SetBacklog("comes", share.Backlog{Weight: 1, Requests: 9})
 	require.Equal(t, fair.Service("stays"), fair.Service("comes"))
 	fair.Forget("comes")
 	require.Equal(t, 1, fair.Len())
@@ -207,9 +207,9 @@
 func TestAccountThatReturnsGoesFirstAmongEquals(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
-	fair.Wait("flood", share.Waiting{Weight: 1, Requests: 99})
+	fair.SetBacklog("flood", share.Backlog{Weight: 1, Requests: 99})
 	fair.Start("flood", 320)
-	fair.Wait("single", share.Waiting{Weight: 1, Requests: 1})
+	fair.SetBacklog("single", share.Backlog{Weight: 1, Requests: 1})
 	next, ok := fair.Next(nil)
 	require.True(t, ok)
 	require.Equal(t, "single", next)
@@ -218,8 +218,8 @@
 func TestNextSkipsIneligibleAccounts(t *testing.T) {
 	t.Parallel()
 	for name, order := range orders() {
-		order.Wait("a", share.Waiting{Weight: 1, Requests: 1, Since: epoch})
-		order.Wait("b", share.Waiting{Weight: 1, Requests: 1, Since: epoch.Add(1)})
+		order.SetBacklog("a", share.Backlog{Weight: 1, Requests: 1, OldestSince: epoch})
+		order.SetBacklog("b", share.Backlog{Weight: 1, Requests: 1, OldestSince: epoch.Add(1)})
 		next, ok := order.Next(func(key string) bool { return key == "b" })
 		require.True(t, ok, name)
 		require.Equal(t, "b", next, name)
@@ -241,13 +241,13 @@
 				switch rapid.IntRange(0, 3).Draw(t, "step") {
 				case 0:
 					waiting[key] = rapid.IntRange(0, 3).Draw(t, "waiting")
-					keyed.Wait(fmt.Sprint(key), share.Waiting{Weight: uint32(key), Requests: waiting[key], Asked: key, Since: epoch})
+					keyed.SetBacklog(fmt.Sprint(key), share.Backlog{Weight: uint32(key), Requests: waiting[key], Dispatchers: key, OldestSince: epoch})
 				case 1:
 					keyed.Start(fmt.Sprint(key), fleet.Tokens(rapid.IntRange(0, 900).Draw(t, "estimate")))
 				case 2:
 					keyed.End(fmt.Sprint(key), fleet.Tokens(rapid.IntRange(0, 900).Draw(t, "estimate")))
 				default:
-					keyed.Correct(fmt.Sprint(key), fleet.Tokens(rapid.IntRange(-400, 900).Draw(t, "amount")))
+					keyed.AddService(fmt.Sprint(key), fleet.Tokens(rapid.IntRange(-400, 900).Draw(t, "amount")))
 				}
 				expected := 0
 				for _, n := range waiting {
@@ -297,13 +297,13 @@
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
 			var fair share.Fair[int]
 			for i := range accounts {
-				fair.Wait(i, share.Waiting{Weight: 1, Requests: 1 << 30})
+				fair.SetBacklog(i, share.Backlog{Weight: 1, Requests: 1 << 30})
 			}
 			b.ResetTimer()
 			for range b.N {
 				key, _ := fair.Next(nil)
 				fair.Start(key, 320)
-				fair.Correct(key, 20)
+				fair.AddService(key, 20)
 			}
 		})
 	}
@@ -315,15 +315,15 @@
 func TestReturningAccountIsNotLiftedByOutstandingCost(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
-	fair.Wait("flood", share.Waiting{Weight: 1, Requests: 900})
+	fair.SetBacklog("flood", share.Backlog{Weight: 1, Requests: 900})
 	for range 100 {
 		fair.Start("flood", 400)
 	}
-	fair.Wait("small", share.Waiting{Weight: 1, Requests: 9})
+	fair.SetBacklog("small", share.Backlog{Weight: 1, Requests: 9})
 	// The flood's requests end one by one with short answers. None of the freed
 	// slots may go to the flood while it holds more than the small account.
 	for range 9 {
-		fair.Correct("flood", 100)
+		fair.AddService("flood", 100)
 		fair.End("flood", 400)
 		next, _ := fair.Next(nil)
 		require.Equal(t, "small", next)
@@ -362,13 +362,13 @@
 func TestOutstandingCostIsNotALead(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
-	fair.Wait("long", share.Waiting{Weight: 1, Requests: 9})
-	fair.Wait("short", share.Waiting{Weight: 1, Requests: 9})
+	fair.SetBacklog("long", share.Backlog{Weight: 1, Requests: 9})
+	fair.SetBacklog("short", share.Backlog{Weight: 1, Requests: 9})
 	fair.Start("long", 8000)
-	fair.Correct("short", 4000+2*8000)
+	fair.AddService("short", 4000+2*8000)
 	fair.Reports(0)
 	require.Zero(t, fair.Service("long"))
-	fair.Correct("short", 500)
+	fair.AddService("short", 500)
 	fair.Reports(0)
 	require.Equal(t, fleet.Tokens(500), fair.Service("long"))
 }
@@ -379,12 +379,12 @@
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
 			var fair share.Fair[int]
 			for i := range accounts {
-				fair.Wait(i, share.Waiting{Weight: 1, Requests: 1 << 30})
+				fair.SetBacklog(i, share.Backlog{Weight: 1, Requests: 1 << 30})
 			}
 			b.ResetTimer()
 			for range b.N {
 				for i := 0; i < accounts; i += 10 {
-					fair.Correct(i, 1)
+					fair.AddService(i, 1)
 				}
 				fair.Reports(0)
 			}
--- a/socket/arrived_linux.go
+++ b/socket/arrived_linux.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// Arrived reports whether the next read on a connection would return at once, with data, the end of
+// Readable reports whether the next read on a connection would return at once, with data, the end of
 // the connection or a reset. Unlike Pending it may be called during a read.
-func Arrived(raw syscall.RawConn) bool {
+func Readable(raw syscall.RawConn) bool {
 	arrived := false
 	err := raw.Control(func(fd uintptr) {
 		_, err := peek(fd)
--- a/socket/ended_linux.go
+++ b/socket/ended_linux.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// Ended reports whether the peer has closed a connection and everything that it sent was read, or
+// PeerClosed reports whether the peer has closed a connection and everything that it sent was read, or
 // has reset it. It doesn't read or block, and may be called during a read.
-func Ended(raw syscall.RawConn) bool {
+func PeerClosed(raw syscall.RawConn) bool {
 	ended := false
 	err := raw.Control(func(fd uintptr) {
 		n, err := peek(fd)
--- a/socket/pending_linux.go
+++ b/socket/pending_linux.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// Pending reports whether anything has arrived on an idle connection: data, its end or a reset. It
+// IdleReadable reports whether anything has arrived on an idle connection: data, its end or a reset. It
 // doesn't read or block.
-func Pending(raw syscall.RawConn) bool {
+func IdleReadable(raw syscall.RawConn) bool {
 	pending := true
 	err := raw.Read(func(fd uintptr) bool {
 		_, err := peek(fd)
--- a/socket/silence_linux.go
+++ b/socket/silence_linux.go
@@ -9,11 +9,11 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7).
 const tcpUserTimeout = 0x12
 
-// BoundSilence makes the system close a connection whose sent data stays unacknowledged for this
+// SetUserTimeout makes the system close a connection whose sent data stays unacknowledged for this
 // long. Without it TCP resends a request that is lost in a network partition for a quarter of an
 // hour, while its caller waits until the deadline; keep-alive probes aren't sent while data is
 // unacknowledged.
-func BoundSilence(raw syscall.RawConn, silence time.Duration) error {
+func SetUserTimeout(raw syscall.RawConn, silence time.Duration) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silence.Milliseconds()))
--- a/socket/waiting_linux.go
+++ b/socket/waiting_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Waiting reports whether a listener has a connection to accept.
-func Waiting(raw syscall.RawConn) bool {
+// AcceptPending reports whether a listener has a connection to accept.
+func AcceptPending(raw syscall.RawConn) bool {
 	waiting := false
 	err := raw.Control(func(fd uintptr) {
 		entries := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
--- a/standin/application/application.go
+++ b/standin/application/application.go
@@ -82,7 +82,7 @@
 		options.Slots = defaultSlots
 	}
 	a := &Application{options: options, slots: make(chan struct{}, options.Slots), runs: map[string]int{}}
-	a.load.By = options.ReportLag
+	a.load.Delay = options.ReportLag
 	a.update(func() {})
 	a.routes = a.newRoutes()
 	return a
@@ -106,8 +106,8 @@
 	return runs
 }
 
-// Taken returns the number of queued and running calls.
-func (a *Application) Taken() int {
+// InFlight returns the number of queued and running calls.
+func (a *Application) InFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queued + a.running
@@ -141,12 +141,12 @@
 	defer a.mu.Unlock()
 	now := a.options.Clock.Now()
 	load, at := a.load.Get(now)
-	load.AtUnixMs = lag.TakenAt(now, at, a.options.ReportLag).UnixMilli()
+	load.AtUnixMs = lag.AsOf(now, at, a.options.ReportLag).UnixMilli()
 	return c.JSON(http.StatusOK, load)
 }
 
 func (a *Application) handleFaults(c echo.Context) error {
-	var request fault.Orders
+	var request fault.SetRequest
 	if err := c.Bind(&request); err != nil {
 		return err
 	}
--- a/standin/application/application_test.go
+++ b/standin/application/application_test.go
@@ -80,7 +80,7 @@
 			_, _, err := post(t, httpServer.URL, key)
 			ended <- err
 		}()
-		require.Eventually(t, func() bool { return a.Taken() == i+1 && len(a.Runs()) == 1 }, waitTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { return a.InFlight() == i+1 && len(a.Runs()) == 1 }, waitTimeout, time.Millisecond)
 	}
 
 	_, refused, err := post(t, httpServer.URL, "k3")
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -39,7 +39,7 @@
 		return
 	}
 	e.stepScheduled = true
-	step := e.options.StepBase + time.Duration(len(e.batch))*e.options.StepSlope
+	step := e.options.StepBase + time.Duration(len(e.batch))*e.options.StepPerRequest
 	e.options.Clock.After(step, e.step)
 }
 
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -67,7 +67,7 @@
 
 func (c *cache) addEvent(now time.Time, kind string, block uint64) {
 	c.seq++
-	if c.options.EventGap > 0 && c.seq%uint64(c.options.EventGap) == 0 {
+	if c.options.DropEveryNthEvent > 0 && c.seq%uint64(c.options.DropEveryNthEvent) == 0 {
 		return
 	}
 	c.events = append(c.events, CacheEvent{Seq: c.seq, Kind: kind, Prefix: fmt.Sprintf("%016x", block), at: now})
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -25,8 +25,8 @@
 	TimeScale float64
 	// StepBase and StepSlope determine the duration of a batch step: StepBase +
 	// StepSlope × requests in the batch. Zero means 20 ms and 0.5 ms.
-	StepBase  time.Duration
-	StepSlope time.Duration
+	StepBase       time.Duration
+	StepPerRequest time.Duration
 	// MaxBatch is the maximum number of requests that run at once; zero means 32.
 	// Requests beyond it are queued inside the engine.
 	MaxBatch int
@@ -39,8 +39,8 @@
 	ReportLag time.Duration
 	// EventLag is the delay after which a cache event becomes visible; zero means 2 s.
 	EventLag time.Duration
-	// EventGap drops every EventGap-th cache event; zero drops none.
-	EventGap int
+	// DropEveryNthEvent drops every EventGap-th cache event; zero drops none.
+	DropEveryNthEvent int
 	// Retention is how long a stream without a reader is kept; zero means 10 s.
 	Retention time.Duration
 	// CheckFencing makes the engine refuse orders with an old fencing number.
@@ -70,7 +70,7 @@
 	o.PrefillChunk = valueOr(o.PrefillChunk, defaultPrefillChunk)
 	o.CacheBlocks = valueOr(o.CacheBlocks, defaultCacheBlocks)
 	o.StepBase = o.scaled(o.StepBase, defaultStepBase)
-	o.StepSlope = o.scaled(o.StepSlope, defaultStepSlope)
+	o.StepPerRequest = o.scaled(o.StepPerRequest, defaultStepSlope)
 	o.ReportLag = o.scaled(o.ReportLag, defaultReportLag)
 	o.EventLag = o.scaled(o.EventLag, defaultEventLag)
 	o.Retention = o.scaled(o.Retention, defaultRetention)
@@ -126,7 +126,7 @@
 func New(options Options) *Engine {
 	e := &Engine{options: options.withDefaults(), streams: map[string]*stream{}, runCounts: map[string]int{}}
 	e.cache = newCache(e.options)
-	e.load.By = e.options.ReportLag
+	e.load.Delay = e.options.ReportLag
 	e.updateLoad()
 	e.routes = e.newRoutes()
 	return e
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -96,7 +96,7 @@
 	e, url := serve(t, fastOptions)
 	_, whole, err := call(t, http.MethodPost, url+"/v1/chat/completions", chatBody("q", 20, true))
 	require.NoError(t, err)
-	e.Faults.Set(fault.Fault{Kind: fault.BreakAfterEvents, Operation: engine.OperationChat, Events: 4, Times: 1})
+	e.Faults.Set(fault.Fault{Kind: fault.BreakAfterEvents, Operation: engine.OperationChat, AfterEvents: 4, Times: 1})
 
 	_, head, err := call(t, http.MethodPost, url+"/v1/chat/completions", chatBody("q", 20, true), "nutmeglock-stream-id", "s1")
 	require.Error(t, err)
@@ -212,7 +212,7 @@
 func TestLoadReportAndCacheEventsAreLate(t *testing.T) {
 	t.Parallel()
 	clock := timer.NewFake(time.Unix(1, 0))
-	e, url := serve(t, engine.Options{Clock: clock, EventGap: 3})
+	e, url := serve(t, engine.Options{Clock: clock, DropEveryNthEvent: 3})
 	go func() {
 		_, _, _ = call(t, http.MethodPost, url+"/v1/chat/completions", chatBody(strings.Repeat("x", 300), 500, true),
 			"nutmeglock-request-id", "r1")
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -98,7 +98,7 @@
 	case fault.ReplyLost:
 		c.Set(breakAfterKey, 0)
 	case fault.BreakAfterEvents:
-		c.Set(breakAfterKey, f.Events)
+		c.Set(breakAfterKey, f.AfterEvents)
 	default:
 	}
 	return next(c)
@@ -223,7 +223,7 @@
 	defer e.mu.Unlock()
 	now := e.options.Clock.Now()
 	load, at := e.load.Get(now)
-	load.AtUnixMs = lag.TakenAt(now, at, e.options.ReportLag).UnixMilli()
+	load.AtUnixMs = lag.AsOf(now, at, e.options.ReportLag).UnixMilli()
 	return c.JSON(http.StatusOK, load)
 }
 
@@ -261,7 +261,7 @@
 }
 
 func (e *Engine) handleFaults(c echo.Context) error {
-	var request fault.Orders
+	var request fault.SetRequest
 	if err := c.Bind(&request); err != nil {
 		return err
 	}
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -46,13 +46,13 @@
 	Times int `json:"times,omitempty"`
 	// DelayMs is the delay of Slow and Late, and the age of a Stale read, in milliseconds.
 	DelayMs int `json:"delay-ms,omitempty"`
-	// Commits is the number of commits that a Stale read is behind.
-	Commits int `json:"commits,omitempty"`
-	// Commit is the number, from one, of the commit whose state a Stale read
+	// CommitsBehind is the number of commits that a Stale read is behind.
+	CommitsBehind int `json:"commits,omitempty"`
+	// AtCommit is the number, from one, of the commit whose state a Stale read
 	// returns. It takes precedence over Commits and DelayMs.
-	Commit int `json:"commit,omitempty"`
-	// Events is the number of events after which BreakAfterEvents aborts the connection.
-	Events int `json:"events,omitempty"`
+	AtCommit int `json:"commit,omitempty"`
+	// AfterEvents is the number of events after which BreakAfterEvents aborts the connection.
+	AfterEvents int `json:"events,omitempty"`
 }
 
 // Delay returns DelayMs as a duration.
@@ -150,8 +150,8 @@
 	}
 }
 
-// Orders is the JSON body of PUT /faults at each stand-in. It replaces the
+// SetRequest is the JSON body of PUT /faults at each stand-in. It replaces the
 // active faults.
-type Orders struct {
+type SetRequest struct {
 	Faults []Fault `json:"faults"`
 }
--- a/standin/lag/lag.go
+++ b/standin/lag/lag.go
@@ -7,8 +7,8 @@
 // Value is a value with delayed visibility. Its zero value is unset and has no
 // delay. It is not safe for concurrent use.
 type Value[T any] struct {
-	// By is the delay after which readers see a value that was set.
-	By      time.Duration
+	// Delay is the delay after which readers see a value that was set.
+	Delay   time.Duration
 	entries []entry[T]
 }
 
@@ -34,9 +34,9 @@
 	return v.entries[0].value, v.entries[0].setAt
 }
 
-// TakenAt returns the latest time at which a value that readers see at now is
+// AsOf returns the latest time at which a value that readers see at now is
 // known to have been current: now minus delay, or setAt if that is later.
-func TakenAt(now, setAt time.Time, delay time.Duration) time.Time {
+func AsOf(now, setAt time.Time, delay time.Duration) time.Time {
 	if taken := now.Add(-delay); taken.After(setAt) {
 		return taken
 	}
@@ -47,7 +47,7 @@
 func (v *Value[T]) prune(now time.Time) {
 	visible := 0
 	for i, e := range v.entries {
-		if !e.setAt.Add(v.By).After(now) {
+		if !e.setAt.Add(v.Delay).After(now) {
 			visible = i
 		}
 	}
--- a/standin/lag/lag_test.go
+++ b/standin/lag/lag_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		by := time.Duration(rapid.IntRange(0, 5).Draw(t, "lag")) * time.Second
-		value := lag.Value[int]{By: by}
+		value := lag.Value[int]{Delay: by}
 		now := time.Unix(1, 0)
 		var times []time.Time
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -30,9 +30,9 @@
 
 // The causes of the errors that injected faults and the rate limits produce.
 var (
-	ErrDown    = errors.New("the platform is down")
-	ErrLost    = errors.New("the reply was lost")
-	ErrLimited = errors.New("the platform's rate limit is reached")
+	ErrDown        = errors.New("the platform is down")
+	ErrReplyLost   = errors.New("the reply was lost")
+	ErrRateLimited = errors.New("the platform's rate limit is reached")
 )
 
 // Platform implements store.Table, store.Objects and store.VMs.
@@ -62,16 +62,16 @@
 	return &Platform{clock: clock, objects: map[string][]byte{}, operationCounts: map[string]int{}}
 }
 
-// SetLag sets the delay after which readers see a VM list set with SetVMs.
-func (p *Platform) SetLag(delay time.Duration) {
+// SetVMListLag sets the delay after which readers see a VM list set with SetVMs.
+func (p *Platform) SetVMListLag(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.vms.By = delay
+	p.vms.Delay = delay
 }
 
-// SetLimits limits reads and writes per second. Zero means unlimited. A
+// SetRateLimits limits reads and writes per second. Zero means unlimited. A
 // transaction counts as one write, regardless of its number of rows.
-func (p *Platform) SetLimits(reads, writes float64) {
+func (p *Platform) SetRateLimits(reads, writes float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readLimit = tokenBucket{rate: reads}
@@ -101,8 +101,8 @@
 	return p.table.lastCommit
 }
 
-// Counts returns the number of calls of each operation, regardless of their result.
-func (p *Platform) Counts() map[string]int {
+// OperationCounts returns the number of calls of each operation, regardless of their result.
+func (p *Platform) OperationCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.operationCounts)
@@ -114,8 +114,8 @@
 	p.operationCounts[operation]++
 }
 
-// Waiting returns the number of writes that a slow or late fault is delaying.
-func (p *Platform) Waiting() int {
+// PendingWrites returns the number of writes that a slow or late fault is delaying.
+func (p *Platform) PendingWrites() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pendingWrites
@@ -277,7 +277,7 @@
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	if !p.readLimit.take(now) {
-		return &store.UnavailableError{Operation: operation, Cause: ErrLimited}
+		return &store.UnavailableError{Operation: operation, Cause: ErrRateLimited}
 	}
 	if faulty && f.Kind == fault.Stale {
 		return fn(p.table.staleCommit(f, now))
@@ -297,7 +297,7 @@
 	if f.Kind == fault.Slow {
 		return nil
 	}
-	return &store.UnavailableError{Operation: operation, Cause: ErrLost}
+	return &store.UnavailableError{Operation: operation, Cause: ErrReplyLost}
 }
 
 // write runs apply under the lock, subject to the active fault for the operation.
@@ -311,13 +311,13 @@
 	case fault.Down:
 		return &store.UnavailableError{Operation: operation, Cause: ErrDown}
 	case fault.RequestLost:
-		return &store.IndefiniteError{Operation: operation, Cause: ErrLost}
+		return &store.UnknownOutcomeError{Operation: operation, Cause: ErrReplyLost}
 	case fault.ReplyLost:
 		_ = p.applyWrite(operation, apply)
-		return &store.IndefiniteError{Operation: operation, Cause: ErrLost}
+		return &store.UnknownOutcomeError{Operation: operation, Cause: ErrReplyLost}
 	case fault.Late:
 		p.applyAfterDelay(operation, f, apply)
-		return &store.IndefiniteError{Operation: operation, Cause: ErrLost}
+		return &store.UnknownOutcomeError{Operation: operation, Cause: ErrReplyLost}
 	case fault.Slow:
 		return p.slowWrite(ctx, operation, f, apply)
 	default:
@@ -332,7 +332,7 @@
 	case err := <-p.applyAfterDelay(operation, f, apply):
 		return err
 	case <-ctx.Done():
-		return &store.IndefiniteError{Operation: operation, Cause: ctx.Err()}
+		return &store.UnknownOutcomeError{Operation: operation, Cause: ctx.Err()}
 	}
 }
 
@@ -358,7 +358,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.writeLimit.take(p.clock.Now()) {
-		return &store.UnavailableError{Operation: operation, Cause: ErrLimited}
+		return &store.UnavailableError{Operation: operation, Cause: ErrRateLimited}
 	}
 	return apply()
 }
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -103,7 +103,7 @@
 
 			err := p.Commit(t.Context(), store.Txn{Writes: []store.Write{set("a/1", "1")}})
 
-			var indefinite *store.IndefiniteError
+			var indefinite *store.UnknownOutcomeError
 			var unavailable *store.UnavailableError
 			require.Equal(t, test.indefinite, errors.As(err, &indefinite))
 			require.Equal(t, !test.indefinite, errors.As(err, &unavailable))
@@ -125,10 +125,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	result := make(chan error, 1)
 	go func() { result <- p.Commit(ctx, store.Txn{Writes: []store.Write{set("a", "1")}}) }()
-	require.Eventually(t, func() bool { return len(p.Faults.All()) == 1 && p.Waiting() == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return len(p.Faults.All()) == 1 && p.PendingWrites() == 1 }, time.Minute, time.Millisecond)
 	cancel()
 
-	var indefinite *store.IndefiniteError
+	var indefinite *store.UnknownOutcomeError
 	require.ErrorAs(t, <-result, &indefinite)
 	require.Empty(t, rowValue(t, p, "a"))
 	clock.Advance(100 * time.Millisecond)
@@ -148,10 +148,10 @@
 		p.Faults.Set(f)
 		return rowValue(t, p, "a")
 	}
-	require.Equal(t, "2", read(fault.Fault{Commits: 1}))
-	require.Empty(t, read(fault.Fault{Commits: 7}))
-	require.Equal(t, "1", read(fault.Fault{Commit: 1}))
-	require.Equal(t, "3", read(fault.Fault{Commit: 9}))
+	require.Equal(t, "2", read(fault.Fault{CommitsBehind: 1}))
+	require.Empty(t, read(fault.Fault{CommitsBehind: 7}))
+	require.Equal(t, "1", read(fault.Fault{AtCommit: 1}))
+	require.Equal(t, "3", read(fault.Fault{AtCommit: 9}))
 	require.Equal(t, "3", read(fault.Fault{DelayMs: 1000}))
 	require.Equal(t, "1", read(fault.Fault{DelayMs: 2500}))
 	require.Equal(t, "3", rowValue(t, p, "a"))
@@ -161,7 +161,7 @@
 	t.Parallel()
 	clock := timer.NewFake(time.Unix(1, 0))
 	p := memory.New(clock)
-	p.SetLag(5 * time.Second)
+	p.SetVMListLag(5 * time.Second)
 	names := func() []string {
 		vms, err := p.List(t.Context())
 		require.NoError(t, err)
@@ -185,7 +185,7 @@
 	t.Parallel()
 	clock := timer.NewFake(time.Unix(1, 0))
 	p := memory.New(clock)
-	p.SetLimits(0, 2)
+	p.SetRateLimits(0, 2)
 	commit := func() error {
 		return p.Commit(t.Context(), store.Txn{Writes: []store.Write{set("a", "1")}})
 	}
@@ -193,9 +193,9 @@
 	require.NoError(t, commit())
 	var unavailable *store.UnavailableError
 	require.ErrorAs(t, commit(), &unavailable)
-	require.ErrorIs(t, unavailable, memory.ErrLimited)
+	require.ErrorIs(t, unavailable, memory.ErrRateLimited)
 	require.Equal(t, uint64(2), p.Commits())
-	require.Equal(t, map[string]int{memory.OperationCommit: 3}, p.Counts())
+	require.Equal(t, map[string]int{memory.OperationCommit: 3}, p.OperationCounts())
 	clock.Advance(500 * time.Millisecond)
 	require.NoError(t, commit())
 }
--- a/store/memory/stale_test.go
+++ b/store/memory/stale_test.go
@@ -28,7 +28,7 @@
 		}
 		commitsBehind := rapid.IntRange(0, len(snapshots)).Draw(r, "behind")
 		if commitsBehind > 0 {
-			p.Faults.Set(fault.Fault{Kind: fault.Stale, Commits: commitsBehind})
+			p.Faults.Set(fault.Fault{Kind: fault.Stale, CommitsBehind: commitsBehind})
 		}
 		expected := snapshots[max(0, len(snapshots)-1-commitsBehind)]
 
--- a/store/memory/table.go
+++ b/store/memory/table.go
@@ -154,11 +154,11 @@
 // staleCommit returns the commit whose state a stale read returns: the one that
 // the fault names, a number of commits back, or the latest as old as its delay.
 func (t *table) staleCommit(f fault.Fault, now time.Time) uint64 {
-	if f.Commit > 0 {
-		return min(t.lastCommit, uint64(f.Commit))
+	if f.AtCommit > 0 {
+		return min(t.lastCommit, uint64(f.AtCommit))
 	}
-	if f.Commits > 0 {
-		return t.lastCommit - min(t.lastCommit, uint64(f.Commits))
+	if f.CommitsBehind > 0 {
+		return t.lastCommit - min(t.lastCommit, uint64(f.CommitsBehind))
 	}
 	seen := uint64(0)
 	for _, c := range t.commitTimes {
--- a/store/store.go
+++ b/store/store.go
@@ -57,8 +57,8 @@
 	Commit(ctx context.Context, txn Txn) error
 }
 
-// Objects is the platform's object store.
-type Objects interface {
+// ObjectStore is the platform's object store.
+type ObjectStore interface {
 	// Put stores or replaces an object atomically. It fails with
 	// *UnavailableError or *IndefiniteError.
 	Put(ctx context.Context, name string, data []byte) error
@@ -86,8 +86,8 @@
 	Leaving    bool
 }
 
-// VMs is the platform's list of live and leaving VMs, which lags behind.
-type VMs interface {
+// VMLister is the platform's list of live and leaving VMs, which lags behind.
+type VMLister interface {
 	// List returns the VMs known to the platform. It fails with *UnavailableError.
 	List(ctx context.Context) ([]VM, error)
 }
@@ -118,20 +118,20 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// IndefiniteError is returned when the reply to a write was lost: the write may
+// UnknownOutcomeError is returned when the reply to a write was lost: the write may
 // have been applied, may never be applied, or may still be applied later.
-type IndefiniteError struct {
+type UnknownOutcomeError struct {
 	Operation string
 	Cause     error
 }
 
 // Error names the operation and the cause.
-func (e *IndefiniteError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("outcome of %s is unknown: %v", e.Operation, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *IndefiniteError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // NotFoundError is returned when an object does not exist.
 type NotFoundError struct{ Name string }
--- a/stream/event.go
+++ b/stream/event.go
@@ -35,8 +35,8 @@
 	Data []byte
 }
 
-// Last reports whether the event is the end marker of a chat completion.
-func (e Event) Last() bool { return bytes.Equal(e.Data, []byte("[DONE]")) }
+// IsLast reports whether the event is the end marker of a chat completion.
+func (e Event) IsLast() bool { return bytes.Equal(e.Data, []byte("[DONE]")) }
 
 // Reader parses a stream of server-sent events.
 type Reader struct {
@@ -47,8 +47,8 @@
 // NewReader returns a Reader of the body of an answer.
 func NewReader(body io.Reader) *Reader { return &Reader{in: bufio.NewReader(body)} }
 
-// ErrPartial is the error of a stream that ends within an event.
-var ErrPartial = eris.New("stream ended within an event")
+// ErrPartialEvent is the error of a stream that ends within an event.
+var ErrPartialEvent = eris.New("stream ended within an event")
 
 // TooLargeError is the error of an event larger than MaxEvent.
 type TooLargeError struct{ Size int }
@@ -73,8 +73,8 @@
 	}
 }
 
-// More reports whether another complete event is buffered, so that output needn't be flushed yet.
-func (r *Reader) More() bool {
+// HasBuffered reports whether another complete event is buffered, so that output needn't be flushed yet.
+func (r *Reader) HasBuffered() bool {
 	waiting, err := r.in.Peek(r.in.Buffered())
 	return err == nil && (bytes.Contains(waiting, []byte("\n\n")) || bytes.Contains(waiting, []byte("\n\r\n")))
 }
@@ -91,7 +91,7 @@
 			return nil
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF) && len(r.event) > 0:
-			return ErrPartial
+			return ErrPartialEvent
 		default:
 			return err
 		}
@@ -108,7 +108,7 @@
 		case "id":
 			id, err := strconv.ParseUint(string(value), 10, 64)
 			if err != nil || id == 0 {
-				return Event{}, &IDError{Found: string(value)}
+				return Event{}, &InvalidIDError{Found: string(value)}
 			}
 			event.ID = EventID(id)
 		case "data":
@@ -127,11 +127,11 @@
 	return append(joined, value...)
 }
 
-// IDError is the error of an event whose id is not a positive integer.
-type IDError struct{ Found string }
+// InvalidIDError is the error of an event whose id is not a positive integer.
+type InvalidIDError struct{ Found string }
 
 // Error quotes the id.
-func (e *IDError) Error() string {
+func (e *InvalidIDError) Error() string {
 	return fmt.Sprintf("event id %q is not a positive integer", e.Found)
 }
 
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -35,9 +35,9 @@
 	After EventID
 	// Source opens further connections; nil if the stream can't be resumed.
 	Source Source
-	// Again decides whether to reconnect after an error. It waits for as long as the retry should
+	// MayReconnect decides whether to reconnect after an error. It waits for as long as the retry should
 	// be delayed.
-	Again func(ctx context.Context, cause error) bool
+	MayReconnect func(ctx context.Context, cause error) bool
 
 	finished bool
 }
@@ -48,11 +48,11 @@
 // Error names the stream.
 func (e *GoneError) Error() string { return "the engine has no stream " + e.Stream }
 
-// SpliceError is the error of a connection that carries another stream than the requested one.
-type SpliceError struct{ Expected, Found string }
+// WrongStreamError is the error of a connection that carries another stream than the requested one.
+type WrongStreamError struct{ Expected, Found string }
 
 // Error names both streams.
-func (e *SpliceError) Error() string {
+func (e *WrongStreamError) Error() string {
 	return "requested stream " + e.Expected + ", received " + e.Found
 }
 
@@ -94,7 +94,7 @@
 }
 
 func (r *Relay) reconnect(ctx context.Context, cause error) (*Connection, error) {
-	for r.Source != nil && ctx.Err() == nil && r.Again(ctx, cause) {
+	for r.Source != nil && ctx.Err() == nil && r.MayReconnect(ctx, cause) {
 		connection, err := r.Source.Resume(ctx, r.After)
 		if err == nil {
 			return connection, nil
@@ -112,7 +112,7 @@
 func (r *Relay) relayConnection(connection *Connection, sink Sink) error {
 	defer connection.Body.Close()
 	if connection.Stream != r.Stream {
-		return &SpliceError{Expected: r.Stream, Found: connection.Stream}
+		return &WrongStreamError{Expected: r.Stream, Found: connection.Stream}
 	}
 	reader := NewReader(connection.Body)
 	for {
@@ -123,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.sendEvent(event, reader.More(), sink); err != nil {
+		if err := r.sendEvent(event, reader.HasBuffered(), sink); err != nil {
 			return err
 		}
 		if r.finished {
@@ -146,7 +146,7 @@
 		return sinkError(err)
 	}
 	r.After = event.ID
-	r.finished = event.Last()
+	r.finished = event.IsLast()
 	return nil
 }
 
@@ -161,8 +161,8 @@
 	var (
 		sink     *SinkError
 		order    *OrderError
-		splice   *SpliceError
-		id       *IDError
+		splice   *WrongStreamError
+		id       *InvalidIDError
 		tooLarge *TooLargeError
 		gone     *GoneError
 	)
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -74,7 +74,7 @@
 }
 
 func newRelay(e *fakeEngine) *stream.Relay {
-	return &stream.Relay{Stream: "s", Source: e, Again: func(context.Context, error) bool { return true }}
+	return &stream.Relay{Stream: "s", Source: e, MayReconnect: func(context.Context, error) bool { return true }}
 }
 
 // Wherever the connection breaks, and however often, the caller gets each event once, in order and
@@ -100,8 +100,8 @@
 		spoil func(e *fakeEngine)
 		want  any
 	}{
-		"other stream": {func(e *fakeEngine) { e.name = "other" }, new(*stream.SpliceError)},
-		"unnamed":      {func(e *fakeEngine) { e.name = "" }, new(*stream.SpliceError)},
+		"other stream": {func(e *fakeEngine) { e.name = "other" }, new(*stream.WrongStreamError)},
+		"unnamed":      {func(e *fakeEngine) { e.name = "" }, new(*stream.WrongStreamError)},
 		"hole":         {func(e *fakeEngine) { e.skip = 1 }, new(*stream.OrderError)},
 		"repeat":       {func(e *fakeEngine) { e.skip = -1 }, new(*stream.OrderError)},
 		"gone":         {func(e *fakeEngine) { e.gone = true }, new(*stream.GoneError)},
@@ -136,10 +136,10 @@
 	for {
 		event, err := reader.Next()
 		if err != nil {
-			require.ErrorIs(t, err, stream.ErrPartial)
+			require.ErrorIs(t, err, stream.ErrPartialEvent)
 			break
 		}
-		got = append(got, fmt.Sprintf("%d %q %v %v", event.ID, event.Data, event.Last(), reader.More()))
+		got = append(got, fmt.Sprintf("%d %q %v %v", event.ID, event.Data, event.IsLast(), reader.HasBuffered()))
 	}
 	require.Equal(t, []string{`0 "" false true`, `1 "a\nb" false true`, `2 "[DONE]" true false`}, got)
 }
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -25,12 +25,12 @@
 type Header struct {
 	Format  string `json:"format"`
 	Version int    `json:"version"`
-	// About describes the origin of the trace.
-	About string `json:"about,omitempty"`
+	// Origin describes the origin of the trace.
+	Origin string `json:"about,omitempty"`
 	// Synthetic is true if the trace was generated, not recorded.
 	Synthetic bool `json:"synthetic,omitempty"`
-	// Begun is the time to which the times of records are relative.
-	Begun time.Time `json:"begun"`
+	// StartTime is the time to which the times of records are relative.
+	StartTime time.Time `json:"begun"`
 	// Fleet is the size of the fleet, for replay.
 	Fleet Fleet `json:"fleet"`
 }
@@ -39,11 +39,11 @@
 type Fleet struct {
 	Name    string `json:"name,omitempty"`
 	Routers int    `json:"routers"`
-	// Models and Plain are the numbers of upstreams that served each kind of service.
-	Models int `json:"models"`
-	Plain  int `json:"plain"`
-	// DelayMicroseconds is the one-way delay between data centres.
-	DelayMicroseconds int `json:"delay-us"`
+	// ModelUpstreams and Plain are the numbers of upstreams that served each kind of service.
+	ModelUpstreams int `json:"models"`
+	PlainUpstreams int `json:"plain"`
+	// OneWayDelayMicroseconds is the one-way delay between data centres.
+	OneWayDelayMicroseconds int `json:"delay-us"`
 }
 
 // Answered is the outcome of a request that was answered completely. Any other
@@ -52,31 +52,31 @@
 
 // Record describes one request.
 type Record struct {
-	// At is the arrival of the request, in milliseconds since Header.Begun.
-	At      int64           `json:"at-ms"`
-	Account fleet.AccountID `json:"account"`
-	Service fleet.ServiceID `json:"service"`
-	Kind    fleet.Kind      `json:"kind"`
-	// Router is the index, from 0, of the router that received the request.
-	Router int `json:"router"`
-	// Input and Output are the tokens of a request to a model. Prefix identifies
+	// ArrivalMs is the arrival of the request, in milliseconds since Header.Begun.
+	ArrivalMs int64             `json:"at-ms"`
+	Account   fleet.AccountID   `json:"account"`
+	Service   fleet.ServiceID   `json:"service"`
+	Kind      fleet.ServiceKind `json:"kind"`
+	// RouterIndex is the index, from 0, of the router that received the request.
+	RouterIndex int `json:"router"`
+	// InputTokens and Output are the tokens of a request to a model. Prefix identifies
 	// the prefix of its prompt, which has PrefixTokens tokens.
-	Input        int    `json:"input-tokens,omitempty"`
-	Output       int    `json:"output-tokens,omitempty"`
-	Prefix       uint64 `json:"prefix,omitempty"`
+	InputTokens  int    `json:"input-tokens,omitempty"`
+	OutputTokens int    `json:"output-tokens,omitempty"`
+	PrefixID     uint64 `json:"prefix,omitempty"`
 	PrefixTokens int    `json:"prefix-tokens,omitempty"`
-	// Run is the time in milliseconds that a plain call ran at its upstream.
-	Run           int64 `json:"run-ms,omitempty"`
+	// RunMs is the time in milliseconds that a plain call ran at its upstream.
+	RunMs         int64 `json:"run-ms,omitempty"`
 	NonIdempotent bool  `json:"non-idempotent,omitempty"`
-	// Deadline is the time in milliseconds that the caller was willing to wait.
-	Deadline int64 `json:"deadline-ms"`
+	// TimeoutMs is the time in milliseconds that the caller was willing to wait.
+	TimeoutMs int64 `json:"deadline-ms"`
 	// Outcome is Answered or the reason for the refusal. It is empty in a
 	// synthetic trace, which was never run.
 	Outcome string `json:"outcome,omitempty"`
-	// Queue, FirstToken and Total are times in milliseconds since the arrival.
-	Queue      int64 `json:"queue-ms,omitempty"`
-	FirstToken int64 `json:"first-token-ms,omitempty"`
-	Total      int64 `json:"total-ms,omitempty"`
+	// QueueMs, FirstToken and Total are times in milliseconds since the arrival.
+	QueueMs      int64 `json:"queue-ms,omitempty"`
+	FirstTokenMs int64 `json:"first-token-ms,omitempty"`
+	TotalMs      int64 `json:"total-ms,omitempty"`
 }
 
 // FieldError reports an invalid field of a header or record.
@@ -97,9 +97,9 @@
 		return &FieldError{"service", "is missing"}
 	case r.Kind != fleet.Model && r.Kind != fleet.Plain:
 		return &FieldError{"kind", fmt.Sprintf("is %q; it has to be model or plain", r.Kind)}
-	case r.Kind == fleet.Model && r.Output < 1 && r.Outcome == Answered:
+	case r.Kind == fleet.Model && r.OutputTokens < 1 && r.Outcome == Answered:
 		return &FieldError{"output-tokens", "is missing from an answered request"}
-	case r.Deadline < 1:
+	case r.TimeoutMs < 1:
 		return &FieldError{"deadline-ms", "has to be at least 1"}
 	case !isValidOutcome(r.Outcome):
 		return &FieldError{"outcome", fmt.Sprintf("is %q, which is neither answered nor the reason of a refusal", r.Outcome)}
@@ -112,15 +112,15 @@
 		field string
 		value int64
 	}{
-		{"at-ms", r.At},
-		{"router", int64(r.Router)},
-		{"input-tokens", int64(r.Input)},
-		{"output-tokens", int64(r.Output)},
+		{"at-ms", r.ArrivalMs},
+		{"router", int64(r.RouterIndex)},
+		{"input-tokens", int64(r.InputTokens)},
+		{"output-tokens", int64(r.OutputTokens)},
 		{"prefix-tokens", int64(r.PrefixTokens)},
-		{"run-ms", r.Run},
-		{"queue-ms", r.Queue},
-		{"first-token-ms", r.FirstToken},
-		{"total-ms", r.Total},
+		{"run-ms", r.RunMs},
+		{"queue-ms", r.QueueMs},
+		{"first-token-ms", r.FirstTokenMs},
+		{"total-ms", r.TotalMs},
 	}
 	for _, n := range numbers {
 		if n.value < 0 {
@@ -151,7 +151,7 @@
 		return &FieldError{"version", fmt.Sprintf("is %d; this program reads %d", h.Version, Version)}
 	case h.Fleet.Routers < 1:
 		return &FieldError{"fleet.routers", "has to be at least 1"}
-	case h.Fleet.Models < 0 || h.Fleet.Plain < 0 || h.Fleet.DelayMicroseconds < 0:
+	case h.Fleet.ModelUpstreams < 0 || h.Fleet.PlainUpstreams < 0 || h.Fleet.OneWayDelayMicroseconds < 0:
 		return &FieldError{"fleet", "holds a negative number"}
 	}
 	return nil
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -20,8 +20,8 @@
 
 func record(at int64) trace.Record {
 	return trace.Record{
-		At: at, Account: "a", Service: "findings", Kind: fleet.Model, Input: 10, Output: 20,
-		Deadline: 1000, Outcome: trace.Answered,
+		ArrivalMs: at, Account: "a", Service: "findings", Kind: fleet.Model, InputTokens: 10, OutputTokens: 20,
+		TimeoutMs: 1000, Outcome: trace.Answered,
 	}
 }
 
@@ -29,7 +29,7 @@
 	t.Parallel()
 	var buffer bytes.Buffer
 	want := []trace.Record{record(1), record(2)}
-	require.NoError(t, trace.Write(&buffer, trace.Header{Begun: time.Unix(5, 0).UTC(), Fleet: trace.Fleet{Routers: 6}}, want))
+	require.NoError(t, trace.Write(&buffer, trace.Header{StartTime: time.Unix(5, 0).UTC(), Fleet: trace.Fleet{Routers: 6}}, want))
 	head, got, err := trace.ReadAll(&buffer)
 	require.NoError(t, err)
 	require.Equal(t, 6, head.Fleet.Routers)
--- a/turn/account.go
+++ b/turn/account.go
@@ -15,13 +15,13 @@
 // account is the state of one account at one service.
 type account struct {
 	key        Key
-	servedHere rate.Recent
+	servedHere rate.DecayingSum
 	// refused counts the tokens of its requests that this pool refused.
-	refused rate.Recent
+	refused rate.DecayingSum
 	// shed counts the tokens of its requests that a router refused before calling Ask.
-	shed rate.Recent
+	shed rate.DecayingSum
 	// remote is the account's usage at all other routers.
-	remote Standing
+	remote Usage
 	queue  []*Ticket
 	// waitingTokens is the number of prompt tokens in queue.
 	waitingTokens int
@@ -32,18 +32,18 @@
 }
 
 // totalUsage returns the account's usage at all routers.
-func (a *account) totalUsage(now time.Time) Standing { return a.localUsage(now).add(a.remote) }
+func (a *account) totalUsage(now time.Time) Usage { return a.localUsage(now).add(a.remote) }
 
 // localUsage returns the account's usage at this router.
-func (a *account) localUsage(now time.Time) Standing {
-	return Standing{
-		Served: a.servedHere.At(now, serviceWindow), Waiting: a.waitingTokens,
-		Denied: a.refused.At(now, serviceWindow), Shed: a.shed.At(now, serviceWindow),
+func (a *account) localUsage(now time.Time) Usage {
+	return Usage{
+		Served: a.servedHere.At(now, serviceWindow), WaitingTokens: a.waitingTokens,
+		Refused: a.refused.At(now, serviceWindow), Shed: a.shed.At(now, serviceWindow),
 	}
 }
 
 // recordRefused records that this pool refused a request of the account.
-func (a *account) recordRefused(now time.Time, d *Demand) {
+func (a *account) recordRefused(now time.Time, d *Request) {
 	a.refused.Add(now, serviceWindow, d.cost())
 }
 
@@ -111,7 +111,7 @@
 // patience returns how long a demand may wait. Accounts served less wait longer before they
 // are refused, so that they get a turn; the room that accounts served more would wait for
 // goes to others meanwhile.
-func patience(shares fairShares, usage Standing, d *Demand) time.Duration {
+func patience(shares fairShares, usage Usage, d *Request) time.Duration {
 	factor := backlogFactor(usage.Served, shares.fairShare(usage.hasUnmetDemand()), shares.pressure)
 	patience := time.Duration(min(max(factor, minPatienceFactor), maxPatienceFactor) * float64(d.Patience))
 	return max(patience, min(d.Patience, minPatience))
--- a/turn/codec.go
+++ b/turn/codec.go
@@ -8,10 +8,10 @@
 
 // EncodeInstance returns an instance as routers send it to each other.
 func EncodeInstance(i Instance) *schema.UpstreamLife {
-	return &schema.UpstreamLife{Id: string(i.ID), Life: int64(i.Life)}
+	return &schema.UpstreamLife{Id: string(i.ID), Life: int64(i.StartTime)}
 }
 
 // DecodeInstance is the inverse of EncodeInstance.
 func DecodeInstance(in *schema.UpstreamLife) Instance {
-	return Instance{ID: fleet.UpstreamID(in.GetId()), Life: registry.Life(in.GetLife())}
+	return Instance{ID: fleet.UpstreamID(in.GetId()), StartTime: registry.StartTime(in.GetLife())}
 }
--- a/turn/engine.go
+++ b/turn/engine.go
@@ -45,26 +45,26 @@
 
 // fleetPendingPrefill returns the prompt tokens that all routers sent and that are not yet
 // read.
-func (e *engine) fleetPendingPrefill() int { return e.pendingPrefill + e.remote.Unread }
+func (e *engine) fleetPendingPrefill() int { return e.pendingPrefill + e.remote.PendingPrefill }
 
 // fleetInFlight returns the requests that all routers have in flight.
 func (e *engine) fleetInFlight() int { return e.inFlight + e.remote.InFlight }
 
 // cachedTokens returns how many tokens of a prompt are probably cached.
-func (e *engine) cachedTokens(now time.Time, d *Demand) int {
-	for i := len(d.Beginnings) - 1; i >= 0; i-- {
-		at, known := e.cachedAt[d.Beginnings[i].Hash]
+func (e *engine) cachedTokens(now time.Time, d *Request) int {
+	for i := len(d.Prefixes) - 1; i >= 0; i-- {
+		at, known := e.cachedAt[d.Prefixes[i].Hash]
 		if known && now.Sub(at) < cacheTTL {
-			return d.Beginnings[i].Tokens
+			return d.Prefixes[i].Tokens
 		}
 	}
 	return 0
 }
 
 // recordPrompt records that the upstream will have a prompt in its cache.
-func (e *engine) recordPrompt(now time.Time, d *Demand) {
-	for i, b := range d.Beginnings {
-		isShared := i < len(d.Beginnings)-1 || i == 0
+func (e *engine) recordPrompt(now time.Time, d *Request) {
+	for i, b := range d.Prefixes {
+		isShared := i < len(d.Prefixes)-1 || i == 0
 		if isShared && len(e.unreportedPrefixes) < maxReportedPrefixes && now.Sub(e.cachedAt[b.Hash]) > prefixReportInterval {
 			e.unreportedPrefixes = append(e.unreportedPrefixes, b.Hash)
 		}
--- a/turn/group.go
+++ b/turn/group.go
@@ -25,9 +25,9 @@
 	p.reassign(now)
 }
 
-// Group returns the index of the group that a demand belongs to, and false when the
+// GroupOf returns the index of the group that a demand belongs to, and false when the
 // service's demands may go to any upstream.
-func (p *Pool) Group(d *Demand) (int, bool) {
+func (p *Pool) GroupOf(d *Request) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.placement().Choices() == 0 {
@@ -40,8 +40,8 @@
 	return order[0].group, true
 }
 
-// Groups returns the number of engine groups, or zero when requests may go to any upstream.
-func (p *Pool) Groups() int {
+// GroupCount returns the number of engine groups, or zero when requests may go to any upstream.
+func (p *Pool) GroupCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.grouped || p.placement().Choices() == 0 {
@@ -50,8 +50,8 @@
 	return p.groupCount
 }
 
-// Has reports whether the pool contains this instance of an upstream.
-func (p *Pool) Has(instance Instance) bool {
+// HasInstance reports whether the pool contains this instance of an upstream.
+func (p *Pool) HasInstance(instance Instance) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.engines {
--- a/turn/hold.go
+++ b/turn/hold.go
@@ -22,14 +22,14 @@
 	peakMemory = 30 * time.Second
 )
 
-// Shed records the tokens of an account's requests that an overloaded router refused before
+// RecordShed records the tokens of an account's requests that an overloaded router refused before
 // it asked for their turns.
 //
 // It covers an account whose requests all arrive at one small router. Whatever that router
 // passes on is served, so the account would seem to have no unmet demand, and the rest
 // would go to other accounts: its callers are refused while another account gets several
 // times as much.
-func (p *Pool) Shed(now time.Time, id fleet.AccountID, tokens float64) {
+func (p *Pool) RecordShed(now time.Time, id fleet.AccountID, tokens float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.placement().Choices() == 0 {
@@ -54,7 +54,7 @@
 	for _, d := range demands {
 		claims = append(claims, d.offered())
 	}
-	return share.Level(claims, amount)
+	return share.MaxMinLimit(claims, amount)
 }
 
 // serviceCap returns the service at which an account stops being served, infinite while no
@@ -81,15 +81,15 @@
 
 // wasSent reports whether the request was sent before. Refusing it now would lose the part
 // of the answer that its caller has, or the time it has waited.
-func (d *Demand) wasSent() bool { return len(d.Tried) > 0 }
+func (d *Request) wasSent() bool { return len(d.Tried) > 0 }
 
 // refuseCapped refuses a demand of an account that has reached its service cap. A refusal
 // while the engine is idle raises the peak by the request's cost, averaged over peakMemory.
 // Without this, a fleet that starts next to a router that sheds everything would stay at
 // next to no service.
-func (p *Pool) refuseCapped(now time.Time, d *Demand, best *engine) error {
+func (p *Pool) refuseCapped(now time.Time, d *Request, best *engine) error {
 	if best.fleetPendingPrefill() == 0 {
 		p.peakServed.Add(now, peakMemory, d.cost()*float64(serviceWindow)/float64(peakMemory))
 	}
-	return &RefusedError{Held: true, RetryAfter: minRetryAfter}
+	return &RefusedError{Capped: true, RetryAfter: minRetryAfter}
 }
--- a/turn/hold_test.go
+++ b/turn/hold_test.go
@@ -21,7 +21,7 @@
 	for i := range 1000 {
 		now = now.Add(step)
 		if i >= 500 {
-			p.Shed(now, "held-back", shedPerSecond*step.Seconds())
+			p.RecordShed(now, "held-back", shedPerSecond*step.Seconds())
 			dueTokens += servedPerSecond * step.Seconds()
 		}
 		own := prompt("held-back", uint64(i%40), uint64(i)|1<<40, 10_000)
@@ -36,16 +36,16 @@
 }
 
 // runToEnd asks for a turn and ends it at once. It reports whether the turn was granted.
-func runToEnd(p *turn.Pool, now time.Time, d turn.Demand) bool {
-	ticket, err := p.Ask(now, d)
+func runToEnd(p *turn.Pool, now time.Time, d turn.Request) bool {
+	ticket, err := p.Submit(now, d)
 	if err != nil {
 		return false
 	}
 	if !isGranted(ticket) {
-		_ = ticket.GiveUp(now) // the refusal doesn't matter here
+		_ = ticket.Cancel(now) // the refusal doesn't matter here
 		return false
 	}
-	ticket.First(now)
+	ticket.RecordFirstEvent(now)
 	ticket.End(now, turn.Served)
 	return true
 }
@@ -85,19 +85,19 @@
 	t.Parallel()
 	p := newPool(60)
 	now := start
-	p.Shed(now, "held-back", 4_000_000)
+	p.RecordShed(now, "held-back", 4_000_000)
 	var refused *turn.RefusedError
 	for i := range uint64(20) {
-		if _, err := p.Ask(now, prompt("asking", i, i|1<<40, 10_000)); err != nil {
+		if _, err := p.Submit(now, prompt("asking", i, i|1<<40, 10_000)); err != nil {
 			require.ErrorAs(t, err, &refused)
 			break
 		}
 	}
 	require.NotNil(t, refused)
-	require.True(t, refused.Held)
+	require.True(t, refused.Capped)
 	again := prompt("asking", 30, 1<<41, 10_000)
-	again.Tried = []turn.Instance{{ID: "e0", Life: 1}}
-	ticket, err := p.Ask(now, again)
+	again.Tried = []turn.Instance{{ID: "e0", StartTime: 1}}
+	ticket, err := p.Submit(now, again)
 	require.NoError(t, err)
 	require.True(t, isGranted(ticket))
 }
--- a/turn/load.go
+++ b/turn/load.go
@@ -15,23 +15,23 @@
 
 // Load is the load that one router puts on one upstream.
 type Load struct {
-	// Unread is the prompt tokens that were sent and not yet read.
-	Unread int
+	// PendingPrefill is the prompt tokens that were sent and not yet read.
+	PendingPrefill int
 	// InFlight is the number of requests in flight.
 	InFlight int
-	// Waiting is the tokens queued at the router that prefer this upstream.
-	Waiting int
-	// Read lists the hashes of shared prefixes that the router sent to the upstream since
+	// WaitingTokens is the tokens queued at the router that prefer this upstream.
+	WaitingTokens int
+	// NewPrefixes lists the hashes of shared prefixes that the router sent to the upstream since
 	// its last report.
-	Read []uint64
+	NewPrefixes []uint64
 }
 
 func (l Load) isEmpty() bool {
-	return l.Unread == 0 && l.InFlight == 0 && l.Waiting == 0 && len(l.Read) == 0
+	return l.PendingPrefill == 0 && l.InFlight == 0 && l.WaitingTokens == 0 && len(l.NewPrefixes) == 0
 }
 
 func (l Load) add(other Load) Load {
-	return Load{Unread: l.Unread + other.Unread, InFlight: l.InFlight + other.InFlight, Waiting: l.Waiting + other.Waiting}
+	return Load{PendingPrefill: l.PendingPrefill + other.PendingPrefill, InFlight: l.InFlight + other.InFlight, WaitingTokens: l.WaitingTokens + other.WaitingTokens}
 }
 
 // Key is a hash that stands for the ID of an upstream or an account in reports.
@@ -40,33 +40,33 @@
 // KeyOf returns the key of an ID.
 func KeyOf[K ~string](id K) Key { return Key(xxhash.Sum64String(string(id))) }
 
-// Standing is one account's usage at one router.
-type Standing struct {
+// Usage is one account's usage at one router.
+type Usage struct {
 	// Served is the account's recent service, in tokens.
 	Served float64
-	// Waiting is the tokens of its queued requests.
-	Waiting int
-	// Denied is the tokens of its recently refused requests.
-	Denied float64
+	// WaitingTokens is the tokens of its queued requests.
+	WaitingTokens int
+	// Refused is the tokens of its recently refused requests.
+	Refused float64
 	// Shed is the tokens of requests that the overloaded router recently refused before it
 	// asked for their turns.
 	Shed float64
 }
 
 // hasUnmetDemand reports whether some of the account's requests wait or were refused.
-func (s Standing) hasUnmetDemand() bool { return s.Waiting > 0 || s.Denied >= 1 }
+func (s Usage) hasUnmetDemand() bool { return s.WaitingTokens > 0 || s.Refused >= 1 }
 
-func (s Standing) add(other Standing) Standing {
-	return Standing{
-		Served: s.Served + other.Served, Waiting: s.Waiting + other.Waiting,
-		Denied: s.Denied + other.Denied, Shed: s.Shed + other.Shed,
+func (s Usage) add(other Usage) Usage {
+	return Usage{
+		Served: s.Served + other.Served, WaitingTokens: s.WaitingTokens + other.WaitingTokens,
+		Refused: s.Refused + other.Refused, Shed: s.Shed + other.Shed,
 	}
 }
 
 // Report is one router's state of a service, sent to the other routers.
 type Report struct {
 	Upstreams map[Key]Load
-	Accounts  map[Key]Standing
+	Accounts  map[Key]Usage
 }
 
 // receivedReport is a Report and the time of its arrival.
@@ -81,10 +81,10 @@
 	defer p.mu.Unlock()
 	r := Report{
 		Upstreams: make(map[Key]Load, len(p.engines)),
-		Accounts:  make(map[Key]Standing, len(p.accounts)),
+		Accounts:  make(map[Key]Usage, len(p.accounts)),
 	}
 	for _, e := range p.engines {
-		load := Load{Unread: e.pendingPrefill, InFlight: e.inFlight, Waiting: e.waitingTokens, Read: e.unreportedPrefixes}
+		load := Load{PendingPrefill: e.pendingPrefill, InFlight: e.inFlight, WaitingTokens: e.waitingTokens, NewPrefixes: e.unreportedPrefixes}
 		e.unreportedPrefixes = nil
 		if !load.isEmpty() {
 			r.Upstreams[e.key] = load
@@ -99,9 +99,9 @@
 	return r
 }
 
-// Observe applies another router's report and starts the waiting requests that now have
+// ApplyReport applies another router's report and starts the waiting requests that now have
 // room.
-func (p *Pool) Observe(now time.Time, from fleet.RouterID, r Report) {
+func (p *Pool) ApplyReport(now time.Time, from fleet.RouterID, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reports == nil {
@@ -109,7 +109,7 @@
 	}
 	p.reports[from] = receivedReport{report: r, receivedAt: now}
 	for _, e := range p.engines {
-		e.recordCached(now, r.Upstreams[e.key].Read)
+		e.recordCached(now, r.Upstreams[e.key].NewPrefixes)
 	}
 	p.sumReports(now)
 	p.startWaiting(now)
@@ -130,7 +130,7 @@
 	for _, e := range p.engines {
 		e.remote = Load{}
 	}
-	p.remoteUsage = make(map[Key]Standing)
+	p.remoteUsage = make(map[Key]Usage)
 	for from, received := range p.reports {
 		if now.Sub(received.receivedAt) >= reportTTL {
 			delete(p.reports, from)
@@ -141,7 +141,7 @@
 		}
 		for _, e := range p.engines {
 			e.remote = e.remote.add(received.report.Upstreams[e.key])
-			if e.remote.Unread > 0 {
+			if e.remote.PendingPrefill > 0 {
 				e.lastBusy = now
 			}
 		}
--- a/turn/machine_test.go
+++ b/turn/machine_test.go
@@ -19,7 +19,7 @@
 	pool         turn.Pool
 	now          time.Time
 	upstreams    []registry.Upstream
-	incarnations [6]registry.Life
+	incarnations [6]registry.StartTime
 	tickets      []*trackedTicket
 	lastPrompt   uint64
 }
@@ -27,7 +27,7 @@
 // trackedTicket is a ticket and its demand.
 type trackedTicket struct {
 	*turn.Ticket
-	demand turn.Demand
+	demand turn.Request
 	// ended is true once the ticket was given up, refused or ended.
 	ended bool
 }
@@ -54,11 +54,11 @@
 			continue
 		}
 		m.upstreams = append(m.upstreams, registry.Upstream{
-			ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), Life: m.incarnations[i],
+			ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), StartTime: m.incarnations[i],
 			Slots: rapid.IntRange(0, 3).Draw(t, "slots"), DataCenter: rapid.SampledFrom([]fleet.DataCenterID{"", "a", "b"}).Draw(t, "data centre"),
 		})
 	}
-	m.pool.Set(m.now, m.upstreams, rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "target"))
+	m.pool.SetUpstreams(m.now, m.upstreams, rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "target"))
 }
 
 func (m *poolMachine) setGrouped(t *rapid.T) {
@@ -73,10 +73,10 @@
 	d.Patience = rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "patience")
 	for i := range m.incarnations {
 		if rapid.IntRange(0, 5).Draw(t, "tried") == 0 {
-			d.Tried = append(d.Tried, turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Life: m.incarnations[i]})
+			d.Tried = append(d.Tried, turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), StartTime: m.incarnations[i]})
 		}
 	}
-	ticket, err := m.pool.Ask(m.now, d)
+	ticket, err := m.pool.Submit(m.now, d)
 	if err != nil {
 		var refused *turn.RefusedError
 		require.ErrorAs(t, err, &refused)
@@ -99,10 +99,10 @@
 	m.advance(t)
 	ticket := m.drawTicket(t)
 	if isGranted(ticket.Ticket) {
-		require.Nil(t, ticket.GiveUp(m.now))
+		require.Nil(t, ticket.Cancel(m.now))
 		return
 	}
-	refused := ticket.GiveUp(m.now)
+	refused := ticket.Cancel(m.now)
 	require.NotNil(t, refused)
 	require.Positive(t, refused.RetryAfter)
 	ticket.ended = true
@@ -110,7 +110,7 @@
 
 func (m *poolMachine) first(t *rapid.T) {
 	m.advance(t)
-	m.drawTicket(t).First(m.now)
+	m.drawTicket(t).RecordFirstEvent(m.now)
 }
 
 func (m *poolMachine) end(t *rapid.T) {
@@ -126,23 +126,23 @@
 	m.advance(t)
 	amount := rapid.SampledFrom([]int{0, 1, 5_000, 1 << 32, -5})
 	tokens := rapid.SampledFrom([]float64{0, 1, 1e6, 1e300, -1e300})
-	report := turn.Report{Upstreams: make(map[turn.Key]turn.Load), Accounts: make(map[turn.Key]turn.Standing)}
+	report := turn.Report{Upstreams: make(map[turn.Key]turn.Load), Accounts: make(map[turn.Key]turn.Usage)}
 	for _, id := range []fleet.UpstreamID{"e0", "e3", "unknown"} {
 		report.Upstreams[turn.KeyOf(id)] = turn.Load{
-			Unread: amount.Draw(t, "unread"), InFlight: amount.Draw(t, "in flight"), Waiting: amount.Draw(t, "waiting"),
-			Read: []uint64{rapid.Uint64().Draw(t, "read")},
+			PendingPrefill: amount.Draw(t, "unread"), InFlight: amount.Draw(t, "in flight"), WaitingTokens: amount.Draw(t, "waiting"),
+			NewPrefixes: []uint64{rapid.Uint64().Draw(t, "read")},
 		}
 	}
 	for _, id := range []fleet.AccountID{"a", "unknown"} {
-		report.Accounts[turn.KeyOf(id)] = turn.Standing{
-			Served: tokens.Draw(t, "served"), Waiting: amount.Draw(t, "waiting"), Denied: tokens.Draw(t, "denied"), Shed: tokens.Draw(t, "shed"),
+		report.Accounts[turn.KeyOf(id)] = turn.Usage{
+			Served: tokens.Draw(t, "served"), WaitingTokens: amount.Draw(t, "waiting"), Refused: tokens.Draw(t, "denied"), Shed: tokens.Draw(t, "shed"),
 		}
 	}
-	m.pool.Observe(m.now, rapid.SampledFrom([]fleet.RouterID{"r1", "r2"}).Draw(t, "router"), report)
+	m.pool.ApplyReport(m.now, rapid.SampledFrom([]fleet.RouterID{"r1", "r2"}).Draw(t, "router"), report)
 }
 
 func (m *poolMachine) shed(t *rapid.T) {
-	m.pool.Shed(m.now, "a", rapid.SampledFrom([]float64{0, 1e4, 1e300}).Draw(t, "tokens"))
+	m.pool.RecordShed(m.now, "a", rapid.SampledFrom([]float64{0, 1e4, 1e300}).Draw(t, "tokens"))
 }
 
 // check compares the pool's report with the tickets, and requires that each waiting ticket
@@ -166,10 +166,10 @@
 	report := m.pool.Report(m.now)
 	byUpstream, byAccount := 0, 0
 	for _, load := range report.Upstreams {
-		byUpstream += load.Waiting
+		byUpstream += load.WaitingTokens
 	}
 	for _, usage := range report.Accounts {
-		byAccount += usage.Waiting
+		byAccount += usage.WaitingTokens
 	}
 	require.Equal(t, waiting, byUpstream)
 	require.Equal(t, waiting, byAccount)
--- a/turn/model_test.go
+++ b/turn/model_test.go
@@ -150,7 +150,7 @@
 	homes := m.config.homes
 	for home := range homes {
 		p := &turn.Pool{}
-		p.Set(m.now, upstreams[home*len(upstreams)/homes:(home+1)*len(upstreams)/homes], m.config.target)
+		p.SetUpstreams(m.now, upstreams[home*len(upstreams)/homes:(home+1)*len(upstreams)/homes], m.config.target)
 		m.pools = append(m.pools, p)
 	}
 	if homes > 0 {
@@ -158,7 +158,7 @@
 	}
 	for i := range m.config.routers {
 		p := &turn.Pool{}
-		p.Set(m.now, upstreams, m.config.target)
+		p.SetUpstreams(m.now, upstreams, m.config.target)
 		m.pools = append(m.pools, p)
 		m.schedule(time.Duration(m.random.Int64N(int64(m.config.reportInterval))), func() { m.report(i) })
 	}
@@ -169,7 +169,7 @@
 	m.schedule(networkDelay, func() {
 		for to, p := range m.pools {
 			if to != from {
-				p.Observe(m.now, fleet.RouterID(fmt.Sprintf("r%d", from)), r)
+				p.ApplyReport(m.now, fleet.RouterID(fmt.Sprintf("r%d", from)), r)
 			}
 		}
 	})
@@ -186,9 +186,9 @@
 	prefix := uint64(m.random.IntN(m.config.prefixes)) + 1
 	prefixTokens := int(min(6_000*math.Exp(m.random.NormFloat64()*0.7), 30_000))
 	ownTokens := int(min(2_000*math.Exp(m.random.NormFloat64()), 30_000))
-	d := turn.Demand{
+	d := turn.Request{
 		Account: a.id, Input: prefixTokens + ownTokens, Output: 100, Target: m.config.target, Patience: m.config.target / 4,
-		Beginnings: []turn.Beginning{{Hash: prefix, Tokens: prefixTokens}, {Hash: 1<<40 + m.lastSeq, Tokens: prefixTokens + ownTokens}},
+		Prefixes: []turn.Prefix{{Hash: prefix, Tokens: prefixTokens}, {Hash: 1<<40 + m.lastSeq, Tokens: prefixTokens + ownTokens}},
 	}
 	size := float64(d.Input + 2*d.Output)
 	m.requested[a.id][m.second()] += size
@@ -206,14 +206,14 @@
 
 // shed refuses a request that the account's router has no processor time for, and records
 // it at the scheduling pools.
-func (m *simulation) shed(a simAccount, d turn.Demand) {
+func (m *simulation) shed(a simAccount, d turn.Request) {
 	m.refuse(d)
 	if m.config.homes == 0 {
-		m.pools[a.routers[0]].Shed(m.now, a.id, turn.Cost(d.Input, d.Output))
+		m.pools[a.routers[0]].RecordShed(m.now, a.id, turn.Cost(d.Input, d.Output))
 		return
 	}
 	for _, p := range m.pools {
-		p.Shed(m.now, a.id, turn.Cost(d.Input, d.Output)/float64(m.config.homes))
+		p.RecordShed(m.now, a.id, turn.Cost(d.Input, d.Output)/float64(m.config.homes))
 	}
 }
 
@@ -233,8 +233,8 @@
 
 func (m *simulation) second() int { return min(int(m.now.Sub(start)/time.Second), maxSeconds-1) }
 
-func (m *simulation) ask(router int, d turn.Demand, arrivedAt time.Time) {
-	t, err := m.pools[router].Ask(m.now, d)
+func (m *simulation) ask(router int, d turn.Request, arrivedAt time.Time) {
+	t, err := m.pools[router].Submit(m.now, d)
 	if err != nil {
 		m.refuse(d)
 		return
@@ -243,12 +243,12 @@
 }
 
 // pollTicket checks every few milliseconds whether the ticket was granted.
-func (m *simulation) pollTicket(router int, t *turn.Ticket, d turn.Demand, arrivedAt, giveUpAt time.Time) {
+func (m *simulation) pollTicket(router int, t *turn.Ticket, d turn.Request, arrivedAt, giveUpAt time.Time) {
 	switch {
 	case isGranted(t):
 		m.schedule(networkDelay, func() { m.runOnEngine(t, d, arrivedAt) })
 	case !m.now.Before(giveUpAt):
-		if t.GiveUp(m.now) == nil {
+		if t.Cancel(m.now) == nil {
 			m.schedule(networkDelay, func() { m.runOnEngine(t, d, arrivedAt) })
 			return
 		}
@@ -258,7 +258,7 @@
 	}
 }
 
-func (m *simulation) refuse(d turn.Demand) {
+func (m *simulation) refuse(d turn.Request) {
 	m.refused++
 	m.unserved[d.Account][m.second()] = true
 	for _, e := range m.engines {
@@ -270,10 +270,10 @@
 }
 
 // runOnEngine simulates the arrival of a request at its engine.
-func (m *simulation) runOnEngine(t *turn.Ticket, d turn.Demand, arrivedAt time.Time) {
+func (m *simulation) runOnEngine(t *turn.Ticket, d turn.Request, arrivedAt time.Time) {
 	e := m.engines[t.Upstream().ID]
 	work := d.Input
-	for _, b := range d.Beginnings {
+	for _, b := range d.Prefixes {
 		if at, ok := e.cache[b.Hash]; ok && m.now.Sub(at) < simCacheTTL {
 			work = min(work, d.Input-b.Tokens)
 		}
@@ -289,7 +289,7 @@
 	m.schedule(e.freeAt.Sub(m.now)+firstEventDelay, func() { m.firstEvent(t, d, arrivedAt) })
 }
 
-func (m *simulation) firstEvent(t *turn.Ticket, d turn.Demand, arrivedAt time.Time) {
+func (m *simulation) firstEvent(t *turn.Ticket, d turn.Request, arrivedAt time.Time) {
 	m.served[d.Account][m.second()] += float64(d.Input + 2*d.Output)
 	if m.now.Sub(arrivedAt) <= m.config.target {
 		m.inTime++
@@ -297,7 +297,7 @@
 		m.late++
 		m.unserved[d.Account][m.second()] = true
 	}
-	m.schedule(networkDelay, func() { t.First(m.now) })
+	m.schedule(networkDelay, func() { t.RecordFirstEvent(m.now) })
 	m.schedule(generationTime, func() { t.End(m.now, turn.Served) })
 }
 
--- a/turn/order.go
+++ b/turn/order.go
@@ -12,7 +12,7 @@
 // Orders are cached because prefixes recur: computing one takes 23 us for 90 engines, as
 // long as a router takes for two stream events, and both a request's router and its home
 // need it.
-func (p *Pool) preferenceOrder(d *Demand) []*engine {
+func (p *Pool) preferenceOrder(d *Request) []*engine {
 	prefix := d.sharedPrefix()
 	if order, known := p.orderCache[prefix]; known {
 		return order
@@ -25,7 +25,7 @@
 	return order
 }
 
-func (p *Pool) computeOrder(d *Demand) []*engine {
+func (p *Pool) computeOrder(d *Request) []*engine {
 	indices := p.placement().Order(p.upstreams, d)
 	if indices == nil {
 		return p.engines
--- a/turn/placement.go
+++ b/turn/placement.go
@@ -15,7 +15,7 @@
 	// Order returns the indices of the upstreams in the request's order of preference, or
 	// nil when it has none. The result must not depend on anything that changes while the
 	// request waits.
-	Order(upstreams []registry.Upstream, d *Demand) []int
+	Order(upstreams []registry.Upstream, d *Request) []int
 	// Choices returns how many usable upstreams at the front of the order a request may go
 	// to, zero for all.
 	Choices() int
@@ -24,9 +24,9 @@
 	IsOpen(v *View, e *engine) bool
 	// Score rates an upstream for a request; the lowest score is best. Rank is the
 	// upstream's index among the request's choices.
-	Score(v *View, e *engine, d *Demand, rank int) float64
+	Score(v *View, e *engine, d *Request, rank int) float64
 	// HasRoom reports whether a request may be sent to an open upstream now.
-	HasRoom(v *View, e *engine, d *Demand) bool
+	HasRoom(v *View, e *engine, d *Request) bool
 }
 
 // View is the state that a Placement sees besides the upstream itself.
@@ -69,7 +69,7 @@
 )
 
 // Order ranks the upstreams by rendezvous hashing of the request's shared prefix.
-func (CacheAffinity) Order(upstreams []registry.Upstream, d *Demand) []int {
+func (CacheAffinity) Order(upstreams []registry.Upstream, d *Request) []int {
 	key := rendezvous.KeyOfNumber("beginning", d.sharedPrefix())
 	order := make([]int, len(upstreams))
 	scores := make([]uint64, len(upstreams))
@@ -96,13 +96,13 @@
 
 // Score returns the tokens to be read before the request's first event, plus the penalty
 // for leaving the first owner.
-func (b CacheAffinity) Score(v *View, e *engine, d *Demand, rank int) float64 {
+func (b CacheAffinity) Score(v *View, e *engine, d *Request, rank int) float64 {
 	penalty := float64(rank) * switchPenalty * v.speed.value() * float64(v.Target.Milliseconds())
 	return float64(b.prefillWork(v, e, d)) + penalty
 }
 
 // prefillWork returns the tokens to be read before a request's first event.
-func (CacheAffinity) prefillWork(v *View, e *engine, d *Demand) int {
+func (CacheAffinity) prefillWork(v *View, e *engine, d *Request) int {
 	prefill, _ := v.prefillCost(e, d)
 	return e.fleetPendingPrefill() + prefill
 }
@@ -118,7 +118,7 @@
 
 // prefillCost returns the cost of a prompt at an upstream in tokens read, and whether part
 // of it is fetched from another upstream's cache.
-func (v *View) prefillCost(e *engine, d *Demand) (tokens int, fetches bool) {
+func (v *View) prefillCost(e *engine, d *Request) (tokens int, fetches bool) {
 	cached := e.cachedTokens(v.now, d)
 	missing := v.holderTokens - cached
 	if v.cacheHolder == nil || missing < minFetchTokens {
@@ -154,7 +154,7 @@
 
 // HasRoom reports whether an upstream can read its backlog and the request's prompt in
 // time. An idle upstream accepts any request; otherwise the largest would never start.
-func (b CacheAffinity) HasRoom(v *View, e *engine, d *Demand) bool {
+func (b CacheAffinity) HasRoom(v *View, e *engine, d *Request) bool {
 	return b.canTakeIdle(v, e) || v.speed.duration(b.prefillWork(v, e, d)) <= b.maxBacklog(v)
 }
 
@@ -179,14 +179,14 @@
 const inFlightPerSlot = 2
 
 // Order returns nil: requests have no preference.
-func (LeastLoaded) Order([]registry.Upstream, *Demand) []int { return nil }
+func (LeastLoaded) Order([]registry.Upstream, *Request) []int { return nil }
 
 // Choices returns zero: a request may go to any upstream.
 func (LeastLoaded) Choices() int { return 0 }
 
 // Score returns the part of the slots in use, less sameDataCenterBonus in this router's
 // data centre.
-func (LeastLoaded) Score(v *View, e *engine, _ *Demand, _ int) float64 {
+func (LeastLoaded) Score(v *View, e *engine, _ *Request, _ int) float64 {
 	load := float64(e.fleetInFlight()) / float64(max(e.upstream.Slots, 1))
 	if e.upstream.DataCenter == v.DataCenter {
 		return load - sameDataCenterBonus
@@ -205,4 +205,4 @@
 }
 
 // HasRoom reports true: requests are similar, so any fits.
-func (LeastLoaded) HasRoom(*View, *engine, *Demand) bool { return true }
+func (LeastLoaded) HasRoom(*View, *engine, *Request) bool { return true }
--- a/turn/pool.go
+++ b/turn/pool.go
@@ -48,7 +48,7 @@
 	oldestReport time.Time
 	// remoteUsage is the sum of each account's usage at the other routers. localKeys are
 	// the keys of accounts.
-	remoteUsage map[Key]Standing
+	remoteUsage map[Key]Usage
 	localKeys   map[Key]bool
 	// peakServed is the recent peak of the service within one serviceWindow, in tokens.
 	peakServed   rate.Peak
@@ -57,9 +57,9 @@
 	waitingCount int
 }
 
-// Set replaces the upstreams that accept requests, and the time to the first event that the
+// SetUpstreams replaces the upstreams that accept requests, and the time to the first event that the
 // strictest route aims at. The state of the upstreams that stay is kept.
-func (p *Pool) Set(now time.Time, upstreams []registry.Upstream, target time.Duration) {
+func (p *Pool) SetUpstreams(now time.Time, upstreams []registry.Upstream, target time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
@@ -83,15 +83,15 @@
 		p.engines = append(p.engines, e)
 	}
 	p.assignGroups()
-	p.detector.Keep(keep)
+	p.detector.Retain(keep)
 	p.sumReports(now)
 	p.reassign(now)
 	p.startWaiting(now)
 }
 
-// Ask queues a demand. It returns a Ticket, granted at once if there is room, or
+// Submit queues a demand. It returns a Ticket, granted at once if there is room, or
 // *RefusedError when the demand couldn't be granted in time.
-func (p *Pool) Ask(now time.Time, d Demand) (*Ticket, error) {
+func (p *Pool) Submit(now time.Time, d Request) (*Ticket, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expireReports(now)
@@ -139,14 +139,14 @@
 //
 // Requests of accounts with more service go later. Those that wait at other routers are
 // assumed to be spread evenly over the upstreams.
-func (p *Pool) expectedWait(now time.Time, e *engine, d *Demand) time.Duration {
+func (p *Pool) expectedWait(now time.Time, e *engine, d *Request) time.Duration {
 	served := p.account(d.Account).served(now)
 	ahead := e.fleetPendingPrefill()
 	for id, a := range p.accounts {
 		if id != d.Account && a.served(now) > served {
 			continue
 		}
-		ahead += a.remote.Waiting / len(p.engines)
+		ahead += a.remote.WaitingTokens / len(p.engines)
 		for _, t := range a.queue {
 			if t.preferred == e {
 				ahead += t.demand.Input
--- a/turn/pump.go
+++ b/turn/pump.go
@@ -58,7 +58,7 @@
 // only.
 func (p *Pool) cacheHolder(now time.Time, t *Ticket) (*engine, int) {
 	d := &t.demand
-	if len(d.Beginnings) == 0 {
+	if len(d.Prefixes) == 0 {
 		return nil, 0
 	}
 	var best *engine
@@ -158,7 +158,7 @@
 	e.inFlight++
 	e.lastBusy = now
 	e.recordPrompt(now, &t.demand)
-	p.detector.Try(now, e.instance)
+	p.detector.RecordSend(now, e.instance)
 	p.account(t.demand.Account).servedHere.Add(now, serviceWindow, t.demand.cost())
 	close(t.granted)
 }
--- a/turn/share.go
+++ b/turn/share.go
@@ -15,8 +15,8 @@
 // and what its routers shed before that.
 type accountDemand struct{ served, requested, shed float64 }
 
-func (s Standing) demand() accountDemand {
-	return accountDemand{served: s.Served, requested: s.Served + s.Denied + queueTurnover*float64(s.Waiting), shed: s.Shed}
+func (s Usage) demand() accountDemand {
+	return accountDemand{served: s.Served, requested: s.Served + s.Refused + queueTurnover*float64(s.WaitingTokens), shed: s.Shed}
 }
 
 // fairShares is the recent service and demand of all accounts of a service.
@@ -52,7 +52,7 @@
 func (p *Pool) fairShares(now time.Time) fairShares {
 	demands := make([]accountDemand, 0, len(p.accounts)+len(p.remoteUsage))
 	shares := fairShares{}
-	collect := func(usage Standing) {
+	collect := func(usage Usage) {
 		d := usage.demand()
 		demands = append(demands, d)
 		if usage.hasUnmetDemand() {
@@ -80,7 +80,7 @@
 	if requested > 0 {
 		shares.pressure = 1 - served/requested
 	}
-	shares.level = share.Level(claims, served)
+	shares.level = share.MaxMinLimit(claims, served)
 	p.peakServed.Raise(now, peakMemory, served)
 	if len(shares.throttled) > 0 {
 		shares.peakLevel = peakFairLevel(demands, p.peakServed.At(now, peakMemory))
--- a/turn/ticket.go
+++ b/turn/ticket.go
@@ -10,7 +10,7 @@
 // Ticket is a demand that waits for its turn or was granted it.
 type Ticket struct {
 	pool      *Pool
-	demand    Demand
+	demand    Request
 	arrivedAt time.Time
 	// patience is the longest time that it may wait.
 	patience time.Duration
@@ -52,17 +52,17 @@
 // Upstream returns where the request goes. It may be called once the ticket is granted.
 func (t *Ticket) Upstream() registry.Upstream { return t.upstream }
 
-// Work returns the tokens that the upstream had to read before the request's first event,
+// PendingPrefill returns the tokens that the upstream had to read before the request's first event,
 // as of the time of the grant.
-func (t *Ticket) Work() int { return t.prefillAhead }
+func (t *Ticket) PendingPrefill() int { return t.prefillAhead }
 
 // FetchFrom returns the address of the upstream whose cache has more of the prompt, empty
 // when there is none or fetching isn't worth it.
 func (t *Ticket) FetchFrom() string { return t.fetchFrom }
 
-// GiveUp ends the wait of a ticket. It returns nil when the ticket was granted meanwhile.
+// Cancel ends the wait of a ticket. It returns nil when the ticket was granted meanwhile.
 // It may be called repeatedly and after a refusal.
-func (t *Ticket) GiveUp(now time.Time) *RefusedError {
+func (t *Ticket) Cancel(now time.Time) *RefusedError {
 	p := t.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,9 +85,9 @@
 	}
 }
 
-// First records the request's first event, so its prompt has been read. It does nothing
+// RecordFirstEvent records the request's first event, so its prompt has been read. It does nothing
 // before the grant, since another router may send it by mistake.
-func (t *Ticket) First(now time.Time) {
+func (t *Ticket) RecordFirstEvent(now time.Time) {
 	p := t.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,8 +116,8 @@
 	Served Outcome = iota + 1
 	// Unsent requests were never sent and say nothing about the upstream.
 	Unsent
-	// Left requests were abandoned by their callers.
-	Left
+	// Abandoned requests were abandoned by their callers.
+	Abandoned
 	// Refused requests were rejected by the upstream without being run.
 	Refused
 	// Failed requests got no complete answer.
@@ -149,12 +149,12 @@
 	ejected := false
 	switch outcome {
 	case Served:
-		p.detector.Success(e.instance)
+		p.detector.RecordSuccess(e.instance)
 	case Refused, Failed:
-		ejected = p.detector.Failure(now, e.instance, outlier.Soft)
+		ejected = p.detector.RecordFailure(now, e.instance, outlier.Soft)
 	case Unreachable:
-		ejected = p.detector.Failure(now, e.instance, outlier.Hard)
-	case Unsent, Left:
+		ejected = p.detector.RecordFailure(now, e.instance, outlier.Hard)
+	case Unsent, Abandoned:
 	}
 	if ejected && p.OnOutlier != nil {
 		p.OnOutlier(e.upstream)
--- a/turn/turn.go
+++ b/turn/turn.go
@@ -24,27 +24,27 @@
 // Instance is one incarnation of an upstream. State of an earlier one, such as the contents
 // of its cache, doesn't apply to the next.
 type Instance struct {
-	ID   fleet.UpstreamID
-	Life registry.Life
+	ID        fleet.UpstreamID
+	StartTime registry.StartTime
 }
 
 // InstanceOf returns the instance that an entry describes.
-func InstanceOf(u registry.Upstream) Instance { return Instance{ID: u.ID, Life: u.Life} }
+func InstanceOf(u registry.Upstream) Instance { return Instance{ID: u.ID, StartTime: u.StartTime} }
 
-// Beginning is a prefix of a prompt that other prompts may share.
-type Beginning struct {
+// Prefix is a prefix of a prompt that other prompts may share.
+type Prefix struct {
 	// Hash identifies the whole text of the prefix.
 	Hash uint64
 	// Tokens is the length of the prefix.
 	Tokens int
 }
 
-// Demand describes a request to be scheduled.
-type Demand struct {
+// Request describes a request to be scheduled.
+type Request struct {
 	Account fleet.AccountID
-	// Beginnings are the prefixes of the prompt from short to long. The last is the whole
+	// Prefixes are the prefixes of the prompt from short to long. The last is the whole
 	// prompt.
-	Beginnings []Beginning
+	Prefixes []Prefix
 	// Input is the prompt tokens, and Output the expected tokens of the answer.
 	Input  int
 	Output int
@@ -60,18 +60,18 @@
 // token generated twice, as users weigh them.
 func Cost(input, output int) float64 { return float64(input + 2*output) }
 
-func (d *Demand) cost() float64 { return Cost(d.Input, d.Output) }
+func (d *Request) cost() float64 { return Cost(d.Input, d.Output) }
 
 // sharedPrefix returns the hash of the prefix that the request shares with others. The last
 // part of a prompt is the request's own.
-func (d *Demand) sharedPrefix() uint64 {
-	switch n := len(d.Beginnings); n {
+func (d *Request) sharedPrefix() uint64 {
+	switch n := len(d.Prefixes); n {
 	case 0:
 		return 0
 	case 1:
-		return d.Beginnings[0].Hash
+		return d.Prefixes[0].Hash
 	default:
-		return d.Beginnings[n-2].Hash
+		return d.Prefixes[n-2].Hash
 	}
 }
 
@@ -85,9 +85,9 @@
 	RetryAfter time.Duration
 	// NoUpstream is true when no upstream of the service accepts requests.
 	NoUpstream bool
-	// Held is true when the account has reached its service cap next to an account that is
+	// Capped is true when the account has reached its service cap next to an account that is
 	// throttled by its router.
-	Held bool
+	Capped bool
 }
 
 // Error implements error.
@@ -95,7 +95,7 @@
 	if e.NoUpstream {
 		return "no upstream takes requests"
 	}
-	if e.Held {
+	if e.Capped {
 		return "the account reached its service cap next to a throttled account"
 	}
 	return fmt.Sprintf("turn expected in %v after %v", e.Wait, e.Waited)
--- a/turn/turn_test.go
+++ b/turn/turn_test.go
@@ -19,22 +19,22 @@
 func newEngines(n int) []registry.Upstream {
 	upstreams := make([]registry.Upstream, n)
 	for i := range upstreams {
-		upstreams[i] = registry.Upstream{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 64, Life: 1}
+		upstreams[i] = registry.Upstream{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), Address: fmt.Sprintf("10.0.0.%d:80", i), Slots: 64, StartTime: 1}
 	}
 	return upstreams
 }
 
 func newPool(n int) *turn.Pool {
 	p := &turn.Pool{}
-	p.Set(start, newEngines(n), target)
+	p.SetUpstreams(start, newEngines(n), target)
 	return p
 }
 
 // prompt returns a demand whose prompt starts with a shared prefix of 10,000 tokens.
-func prompt(account fleet.AccountID, prefix uint64, promptHash uint64, tokens int) turn.Demand {
-	return turn.Demand{
+func prompt(account fleet.AccountID, prefix uint64, promptHash uint64, tokens int) turn.Request {
+	return turn.Request{
 		Account: account, Input: 10_000 + tokens, Output: 100, Target: target, Patience: target / 2,
-		Beginnings: []turn.Beginning{{Hash: prefix, Tokens: 10_000}, {Hash: promptHash, Tokens: 10_000 + tokens}},
+		Prefixes: []turn.Prefix{{Hash: prefix, Tokens: 10_000}, {Hash: promptHash, Tokens: 10_000 + tokens}},
 	}
 }
 
@@ -57,7 +57,7 @@
 	fetched := 0
 	for i := range uint64(30) {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		ticket, err := p.Ask(now, prompt("a", 1, 100+i, 1_000))
+		ticket, err := p.Submit(now, prompt("a", 1, 100+i, 1_000))
 		require.NoError(t, err)
 		require.True(t, isGranted(ticket))
 		used[ticket.Upstream().ID]++
@@ -65,7 +65,7 @@
 			fetched++
 			require.NotEqual(t, ticket.Upstream().Address, ticket.FetchFrom())
 		}
-		ticket.First(now.Add(90 * time.Millisecond))
+		ticket.RecordFirstEvent(now.Add(90 * time.Millisecond))
 		ticket.End(now.Add(95*time.Millisecond), turn.Served)
 	}
 	require.LessOrEqual(t, len(used), 2)
@@ -76,9 +76,9 @@
 func TestRoutersAgreeOnOwners(t *testing.T) {
 	t.Parallel()
 	for prefix := range uint64(50) {
-		one, err := newPool(9).Ask(start, prompt("a", prefix, 1, 0))
+		one, err := newPool(9).Submit(start, prompt("a", prefix, 1, 0))
 		require.NoError(t, err)
-		other, err := newPool(9).Ask(start, prompt("b", prefix, 2, 0))
+		other, err := newPool(9).Submit(start, prompt("b", prefix, 2, 0))
 		require.NoError(t, err)
 		require.Equal(t, one.Upstream().ID, other.Upstream().ID)
 	}
@@ -92,7 +92,7 @@
 	p := newPool(1)
 	running := 0
 	for i := range uint64(40) {
-		ticket, err := p.Ask(start, prompt("a", i, 1_000+i, 2_000))
+		ticket, err := p.Submit(start, prompt("a", i, 1_000+i, 2_000))
 		if err == nil && isGranted(ticket) {
 			running++
 		}
@@ -107,7 +107,7 @@
 	p := newPool(1)
 	refused := 0
 	for i := range uint64(60) {
-		_, err := p.Ask(start, prompt("a", i, 1_000+i, 2_000))
+		_, err := p.Submit(start, prompt("a", i, 1_000+i, 2_000))
 		var e *turn.RefusedError
 		if err == nil {
 			continue
@@ -127,14 +127,14 @@
 	p := newPool(1)
 	flood := make([]*turn.Ticket, 0, 10)
 	for i := range uint64(10) {
-		if ticket, err := p.Ask(start, prompt("flood", i, 1_000+i, 1_000)); err == nil {
+		if ticket, err := p.Submit(start, prompt("flood", i, 1_000+i, 1_000)); err == nil {
 			flood = append(flood, ticket)
 		}
 	}
-	small, err := p.Ask(start, prompt("small", 99, 999, 1_000))
+	small, err := p.Submit(start, prompt("small", 99, 999, 1_000))
 	require.NoError(t, err)
 	require.False(t, isGranted(small))
-	flood[0].First(start.Add(100 * time.Millisecond))
+	flood[0].RecordFirstEvent(start.Add(100 * time.Millisecond))
 	require.True(t, isGranted(small))
 	for _, ticket := range flood[1:] {
 		require.False(t, isGranted(ticket))
@@ -154,11 +154,11 @@
 		grantedAt := make(map[*turn.Ticket]time.Time)
 		for i := range 300 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-			p.Observe(now, "other", turn.Report{
-				Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 8_000, InFlight: 1}},
-				Accounts:  map[turn.Key]turn.Standing{turn.KeyOf(fleet.AccountID("waits")): {Served: 10, Waiting: waiting}},
+			p.ApplyReport(now, "other", turn.Report{
+				Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {PendingPrefill: 8_000, InFlight: 1}},
+				Accounts:  map[turn.Key]turn.Usage{turn.KeyOf(fleet.AccountID("waits")): {Served: 10, WaitingTokens: waiting}},
 			})
-			ticket, err := p.Ask(now, turn.Demand{Account: "flood", Input: 2_000, Patience: time.Hour, Target: target})
+			ticket, err := p.Submit(now, turn.Request{Account: "flood", Input: 2_000, Patience: time.Hour, Target: target})
 			require.NoError(t, err)
 			queue = append(queue, ticket)
 			for _, waiting := range queue {
@@ -167,7 +167,7 @@
 				}
 			}
 			if at, ok := grantedAt[queue[0]]; ok && now.Sub(at) >= reading {
-				queue[0].First(now)
+				queue[0].RecordFirstEvent(now)
 				queue[0].End(now, turn.Served)
 				queue = queue[1:]
 				served++
@@ -184,13 +184,13 @@
 func TestAccountServedLessWaitsLonger(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
-	p.Observe(start, "other", turn.Report{
-		Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 20_000, InFlight: 1}},
-		Accounts:  map[turn.Key]turn.Standing{turn.KeyOf(fleet.AccountID("rich")): {Served: 500_000, Denied: 500_000}},
+	p.ApplyReport(start, "other", turn.Report{
+		Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {PendingPrefill: 20_000, InFlight: 1}},
+		Accounts:  map[turn.Key]turn.Usage{turn.KeyOf(fleet.AccountID("rich")): {Served: 500_000, Refused: 500_000}},
 	})
-	servedLess, err := p.Ask(start, prompt("poor", 1, 2, 0))
+	servedLess, err := p.Submit(start, prompt("poor", 1, 2, 0))
 	require.NoError(t, err)
-	servedMore, err := p.Ask(start, prompt("rich", 3, 4, 0))
+	servedMore, err := p.Submit(start, prompt("rich", 3, 4, 0))
 	require.NoError(t, err)
 	require.Greater(t, servedLess.Patience(), target/2)
 	require.Less(t, servedMore.Patience(), target/2)
@@ -201,14 +201,14 @@
 func TestExpiredReportsAreIgnored(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
-	full := turn.Report{Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 1 << 20, InFlight: 64}}}
-	p.Observe(start, "gone", full)
-	ticket, err := p.Ask(start, prompt("a", 1, 2, 0))
+	full := turn.Report{Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {PendingPrefill: 1 << 20, InFlight: 64}}}
+	p.ApplyReport(start, "gone", full)
+	ticket, err := p.Submit(start, prompt("a", 1, 2, 0))
 	require.Error(t, err)
 	require.Nil(t, ticket)
 	later := start.Add(2 * time.Second)
-	p.Observe(later, "other", turn.Report{})
-	ticket, err = p.Ask(later, prompt("a", 1, 2, 0))
+	p.ApplyReport(later, "other", turn.Report{})
+	ticket, err = p.Submit(later, prompt("a", 1, 2, 0))
 	require.NoError(t, err)
 	require.True(t, isGranted(ticket))
 }
@@ -218,12 +218,12 @@
 func TestReportsExpireWhenAllOtherRoutersAreGone(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
-	p.Observe(start, "gone", turn.Report{
-		Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {Unread: 1 << 20, InFlight: 64}},
+	p.ApplyReport(start, "gone", turn.Report{
+		Upstreams: map[turn.Key]turn.Load{turn.KeyOf(fleet.UpstreamID("e0")): {PendingPrefill: 1 << 20, InFlight: 64}},
 	})
-	_, err := p.Ask(start, prompt("a", 1, 2, 0))
+	_, err := p.Submit(start, prompt("a", 1, 2, 0))
 	require.Error(t, err)
-	ticket, err := p.Ask(start.Add(2*time.Second), prompt("a", 1, 2, 0))
+	ticket, err := p.Submit(start.Add(2*time.Second), prompt("a", 1, 2, 0))
 	require.NoError(t, err)
 	require.True(t, isGranted(ticket))
 }
@@ -233,20 +233,20 @@
 func TestRestartedEngineHasAnEmptyCache(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
-	first, err := p.Ask(start, prompt("a", 1, 2, 500))
+	first, err := p.Submit(start, prompt("a", 1, 2, 500))
 	require.NoError(t, err)
-	require.Equal(t, 10_500, first.Work())
+	require.Equal(t, 10_500, first.PendingPrefill())
 	first.End(start, turn.Served)
-	second, err := p.Ask(start, prompt("a", 1, 3, 500))
+	second, err := p.Submit(start, prompt("a", 1, 3, 500))
 	require.NoError(t, err)
-	require.Equal(t, 500, second.Work())
+	require.Equal(t, 500, second.PendingPrefill())
 	second.End(start, turn.Served)
 	restarted := newEngines(1)
-	restarted[0].Life = 2
-	p.Set(start, restarted, target)
-	third, err := p.Ask(start, prompt("a", 1, 4, 500))
+	restarted[0].StartTime = 2
+	p.SetUpstreams(start, restarted, target)
+	third, err := p.Submit(start, prompt("a", 1, 4, 500))
 	require.NoError(t, err)
-	require.Equal(t, 10_500, third.Work())
+	require.Equal(t, 10_500, third.PendingPrefill())
 }
 
 // A request refused by one upstream asks for another turn. It must not be sent back there.
@@ -254,15 +254,15 @@
 	t.Parallel()
 	p := newPool(2)
 	d := prompt("a", 1, 2, 0)
-	first, err := p.Ask(start, d)
+	first, err := p.Submit(start, d)
 	require.NoError(t, err)
 	d.Tried = []turn.Instance{turn.InstanceOf(first.Upstream())}
 	first.End(start, turn.Refused)
-	second, err := p.Ask(start, d)
+	second, err := p.Submit(start, d)
 	require.NoError(t, err)
 	require.NotEqual(t, first.Upstream().ID, second.Upstream().ID)
 	d.Tried = append(d.Tried, turn.InstanceOf(second.Upstream()))
-	_, err = p.Ask(start, d)
+	_, err = p.Submit(start, d)
 	var refused *turn.RefusedError
 	require.ErrorAs(t, err, &refused)
 	require.True(t, refused.NoUpstream)
@@ -277,10 +277,10 @@
 	for i := range upstreams {
 		upstreams[i].Slots = 6
 	}
-	p.Set(start, upstreams, 0)
+	p.SetUpstreams(start, upstreams, 0)
 	counts := make(map[fleet.UpstreamID]int)
 	for range 50 {
-		ticket, err := p.Ask(start, turn.Demand{Account: "a", Input: 1, Patience: time.Second})
+		ticket, err := p.Submit(start, turn.Request{Account: "a", Input: 1, Patience: time.Second})
 		require.NoError(t, err)
 		if isGranted(ticket) {
 			counts[ticket.Upstream().ID]++
@@ -294,29 +294,29 @@
 func TestGiveUpLeavesTheQueue(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
-	first, err := p.Ask(start, prompt("a", 1, 2, 8_000))
+	first, err := p.Submit(start, prompt("a", 1, 2, 8_000))
 	require.NoError(t, err)
-	second, err := p.Ask(start, prompt("a", 3, 4, 8_000))
+	second, err := p.Submit(start, prompt("a", 3, 4, 8_000))
 	require.NoError(t, err)
-	third, err := p.Ask(start, prompt("a", 5, 6, 8_000))
+	third, err := p.Submit(start, prompt("a", 5, 6, 8_000))
 	require.NoError(t, err)
-	refused := second.GiveUp(start.Add(time.Second))
+	refused := second.Cancel(start.Add(time.Second))
 	require.NotNil(t, refused)
 	require.Equal(t, time.Second, refused.Waited)
 	first.End(start.Add(time.Second), turn.Served)
 	require.True(t, isGranted(third))
-	require.Nil(t, third.GiveUp(start.Add(time.Second)))
+	require.Nil(t, third.Cancel(start.Add(time.Second)))
 }
 
 func BenchmarkAsk(b *testing.B) {
 	p := newPool(12)
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		ticket, err := p.Ask(now, prompt("a", uint64(i%400), uint64(1_000+i), 500))
+		ticket, err := p.Submit(now, prompt("a", uint64(i%400), uint64(1_000+i), 500))
 		if err != nil {
 			b.Fatal(err)
 		}
-		ticket.First(now)
+		ticket.RecordFirstEvent(now)
 		ticket.End(now, turn.Served)
 	}
 }
@@ -327,12 +327,12 @@
 	for i := range uint64(200) {
 		d := prompt("a", i, 1_000+i, 20_000)
 		d.Patience = time.Hour
-		if _, err := p.Ask(start, d); err != nil {
+		if _, err := p.Submit(start, d); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for i := range b.N {
-		p.Observe(start.Add(time.Duration(i)), "other", turn.Report{})
+		p.ApplyReport(start.Add(time.Duration(i)), "other", turn.Report{})
 	}
 }
 
@@ -340,14 +340,14 @@
 func TestPoolSurvivesRemovalOfLastUpstream(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
-	granted, err := p.Ask(start, prompt("a", 1, 2, 40_000))
+	granted, err := p.Submit(start, prompt("a", 1, 2, 40_000))
 	require.NoError(t, err)
 	require.True(t, isGranted(granted))
-	waiting, err := p.Ask(start, prompt("b", 1, 3, 1_000))
+	waiting, err := p.Submit(start, prompt("b", 1, 3, 1_000))
 	require.NoError(t, err)
 	require.False(t, isGranted(waiting))
-	p.Set(start, nil, target)
-	refused := waiting.GiveUp(start)
+	p.SetUpstreams(start, nil, target)
+	refused := waiting.Cancel(start)
 	require.NotNil(t, refused)
 	require.True(t, refused.NoUpstream)
 	require.Positive(t, refused.RetryAfter)
@@ -358,8 +358,8 @@
 func TestWaitingRequestIsRefusedWithoutUpstream(t *testing.T) {
 	t.Parallel()
 	for name, empty := range map[string]func(p *turn.Pool, tried turn.Instance){
-		"all have left":          func(p *turn.Pool, _ turn.Instance) { p.Set(start, nil, target) },
-		"only a tried one stays": func(p *turn.Pool, _ turn.Instance) { p.Set(start, newEngines(1), target) },
+		"all have left":          func(p *turn.Pool, _ turn.Instance) { p.SetUpstreams(start, nil, target) },
+		"only a tried one stays": func(p *turn.Pool, _ turn.Instance) { p.SetUpstreams(start, newEngines(1), target) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -368,7 +368,7 @@
 			d := prompt("b", 1, 3, 1_000)
 			d.Tried = []turn.Instance{tried}
 			fillEngines(t, p)
-			waiting, err := p.Ask(start, d)
+			waiting, err := p.Submit(start, d)
 			require.NoError(t, err)
 			require.False(t, isGranted(waiting))
 			empty(p, tried)
@@ -376,7 +376,7 @@
 			refused := <-waiting.Refused()
 			require.True(t, refused.NoUpstream)
 			require.Positive(t, refused.RetryAfter)
-			require.Equal(t, refused, waiting.GiveUp(start), "the ticket has ended")
+			require.Equal(t, refused, waiting.Cancel(start), "the ticket has ended")
 		})
 	}
 }
@@ -392,7 +392,7 @@
 		} else {
 			d.Tried = []turn.Instance{turn.InstanceOf(newEngines(2)[1])}
 		}
-		ticket, err := p.Ask(start, d)
+		ticket, err := p.Submit(start, d)
 		require.NoError(t, err)
 		require.True(t, isGranted(ticket))
 	}
@@ -404,10 +404,10 @@
 	t.Parallel()
 	p := newPool(2)
 	fillEngines(t, p)
-	waiting, err := p.Ask(start, prompt("b", 1, 3, 1_000))
+	waiting, err := p.Submit(start, prompt("b", 1, 3, 1_000))
 	require.NoError(t, err)
 	require.False(t, isGranted(waiting))
-	p.Set(start, newEngines(3)[2:], target)
+	p.SetUpstreams(start, newEngines(3)[2:], target)
 	require.True(t, isGranted(waiting))
 	require.Equal(t, newEngines(3)[2].ID, waiting.Upstream().ID)
 }
@@ -417,17 +417,17 @@
 func TestGiveUpTwiceIsCountedOnce(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
-	first, err := p.Ask(start, prompt("a", 1, 2, 40_000))
+	first, err := p.Submit(start, prompt("a", 1, 2, 40_000))
 	require.NoError(t, err)
 	patient := prompt("b", 1, 3, 1_000)
 	patient.Patience = time.Minute
-	givenUp, err := p.Ask(start, patient)
+	givenUp, err := p.Submit(start, patient)
 	require.NoError(t, err)
-	kept, err := p.Ask(start, patient)
+	kept, err := p.Submit(start, patient)
 	require.NoError(t, err)
-	require.NotNil(t, givenUp.GiveUp(start))
-	require.NotNil(t, givenUp.GiveUp(start))
-	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(newEngines(1)[0].ID)].Waiting)
+	require.NotNil(t, givenUp.Cancel(start))
+	require.NotNil(t, givenUp.Cancel(start))
+	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(newEngines(1)[0].ID)].WaitingTokens)
 	first.End(start, turn.Served)
 	require.True(t, isGranted(kept), "what waits is still seen")
 }
@@ -438,12 +438,12 @@
 	t.Parallel()
 	p := newPool(1)
 	large := prompt("a", 1, 2, 40_000)
-	_, err := p.Ask(start, large)
+	_, err := p.Submit(start, large)
 	require.NoError(t, err)
-	waiting, err := p.Ask(start, prompt("b", 1, 3, 1_000))
+	waiting, err := p.Submit(start, prompt("b", 1, 3, 1_000))
 	require.NoError(t, err)
 	require.False(t, isGranted(waiting))
-	waiting.First(start)
+	waiting.RecordFirstEvent(start)
 	waiting.End(start, turn.Served)
-	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(newEngines(1)[0].ID)].Waiting)
+	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(newEngines(1)[0].ID)].WaitingTokens)
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -54,11 +54,11 @@
 // Client exchanges requests with upstreams. Its zero value is ready to use. It is safe for
 // concurrent use.
 type Client struct {
-	// Echoed returns the id of the request that an answer belongs to, empty when the answer has
+	// EchoedID returns the id of the request that an answer belongs to, empty when the answer has
 	// none. If nil, every answer is assumed to belong to its request.
-	Echoed func(http.Header) fleet.RequestID
-	// Opened is called with each new connection, unless it is nil.
-	Opened func()
+	EchoedID func(http.Header) fleet.RequestID
+	// OnOpen is called with each new connection, unless it is nil.
+	OnOpen func()
 
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -110,7 +110,7 @@
 	}
 	dialer := net.Dialer{
 		Timeout: connectTimeout,
-		Control: func(_, _ string, raw syscall.RawConn) error { return socket.BoundSilence(raw, maxUnacknowledged) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return socket.SetUserTimeout(raw, maxUnacknowledged) },
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
 		},
@@ -129,14 +129,14 @@
 		_ = opened.Close()
 		return nil, err
 	}
-	if c.Opened != nil {
-		c.Opened()
+	if c.OnOpen != nil {
+		c.OnOpen()
 	}
 	return &conn{Conn: opened, raw: raw, reader: bufio.NewReaderSize(opened, readBufferSize), isNew: true}, nil
 }
 
-// Check returns an error if no connection to an upstream can be opened. It sends no request.
-func (c *Client) Check(ctx context.Context, address string) error {
+// CheckReachable returns an error if no connection to an upstream can be opened. It sends no request.
+func (c *Client) CheckReachable(ctx context.Context, address string) error {
 	connection, err := c.connect(ctx, address)
 	if err != nil {
 		return &Error{Address: address, Cause: errorCause(ctx, err)}
@@ -155,7 +155,7 @@
 	for len(list) > 0 {
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
-		if now.Before(last.idleUntil) && !socket.Pending(last.raw) {
+		if now.Before(last.idleUntil) && !socket.IdleReadable(last.raw) {
 			c.idle[address] = list
 			return last
 		}
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -57,7 +57,7 @@
 			b.WriteString("\r\n")
 		}
 	}
-	if len(r.Body) > 0 || !attempt.UsuallyEmpty(r.Method) {
+	if len(r.Body) > 0 || !attempt.IsBodyless(r.Method) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
 		b.WriteString("\r\n")
@@ -131,10 +131,10 @@
 // answersRequest reports whether an answer belongs to a request. The id may be missing only on a
 // new connection, where no other answer can be left over.
 func (x *exchange) answersRequest(id fleet.RequestID, header http.Header) bool {
-	if x.client.Echoed == nil {
+	if x.client.EchoedID == nil {
 		return true
 	}
-	echoed := x.client.Echoed(header)
+	echoed := x.client.EchoedID(header)
 	return echoed == id || (echoed == "" && x.conn.isNew)
 }
 
--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -11,10 +11,10 @@
 // It is safe for concurrent use.
 type Probe struct{ conn atomic.Pointer[conn] }
 
-// Arrived reports whether data, the end or a reset of the connection is waiting to be read.
-func (p *Probe) Arrived() bool {
+// HasUnread reports whether data, the end or a reset of the connection is waiting to be read.
+func (p *Probe) HasUnread() bool {
 	connection := p.conn.Load()
-	return connection != nil && socket.Arrived(connection.raw)
+	return connection != nil && socket.Readable(connection.raw)
 }
 
 func (p *Probe) watch(connection *conn) {
--- a/upstream/probe_test.go
+++ b/upstream/probe_test.go
@@ -24,19 +24,19 @@
 	}))
 	defer server.Close()
 	var probe upstream.Probe
-	require.False(t, probe.Arrived(), "no connection is known yet")
+	require.False(t, probe.HasUnread(), "no connection is known yet")
 	client := &upstream.Client{}
 	defer client.Close()
 	answer, err := client.Do(t.Context(), server.Listener.Addr().String(), upstream.Request{
 		Method: http.MethodGet, URI: "/", Host: "h", Probe: &probe,
 	})
 	require.NoError(t, err)
-	require.False(t, probe.Arrived())
+	require.False(t, probe.HasUnread())
 	close(send)
-	require.Eventually(t, probe.Arrived, 5*time.Second, time.Millisecond)
+	require.Eventually(t, probe.HasUnread, 5*time.Second, time.Millisecond)
 	body, err := io.ReadAll(answer.Body)
 	require.NoError(t, err)
 	require.Equal(t, "late", string(body))
-	require.False(t, probe.Arrived())
+	require.False(t, probe.HasUnread())
 	require.NoError(t, answer.Body.Close())
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -66,7 +66,7 @@
 
 func newClient(t *testing.T) *upstream.Client {
 	t.Helper()
-	c := &upstream.Client{Echoed: func(h http.Header) fleet.RequestID { return fleet.RequestID(h.Get(idField)) }}
+	c := &upstream.Client{EchoedID: func(h http.Header) fleet.RequestID { return fleet.RequestID(h.Get(idField)) }}
 	t.Cleanup(c.Close)
 	return c
 }
--- a/waiting/waiting.go
+++ b/waiting/waiting.go
@@ -37,8 +37,8 @@
 // Value returns the queued value.
 func (i *Item[K, V]) Value() V { return i.value }
 
-// Since returns when the item was queued.
-func (i *Item[K, V]) Since() time.Time { return i.since }
+// QueuedAt returns when the item was queued.
+func (i *Item[K, V]) QueuedAt() time.Time { return i.since }
 
 // Deadline returns when the item expires; the zero time means never.
 func (i *Item[K, V]) Deadline() time.Time { return i.deadline }
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -67,9 +67,9 @@
 	return min(initialAllowance+r.answersBegun, limit)
 }
 
-// Began counts an answer whose first token or byte has arrived. Each raises the allowance
+// AnswerBegan counts an answer whose first token or byte has arrived. Each raises the allowance
 // by one, which doubles it with every round of requests.
-func (r *Ramp) Began() {
+func (r *Ramp) AnswerBegan() {
 	if r.failuresInRow >= failuresToClose {
 		r.restart()
 	}
@@ -78,8 +78,8 @@
 	r.closeCount = 0
 }
 
-// Ended records the result of a request.
-func (r *Ramp) Ended(now time.Time, result dispatch.Result) {
+// RequestEnded records the result of a request.
+func (r *Ramp) RequestEnded(now time.Time, result dispatch.Result) {
 	switch result {
 	case dispatch.Failed:
 		r.recordFailure(now)
@@ -105,8 +105,8 @@
 // for an upstream that is open.
 func (r *Ramp) OpensAt() time.Time { return r.opensAt }
 
-// Joined restarts the ramp of an upstream that left and came back.
-func (r *Ramp) Joined() { *r = Ramp{} }
+// Reset restarts the ramp of an upstream that left and came back.
+func (r *Ramp) Reset() { *r = Ramp{} }
 
 func (r *Ramp) restart() {
 	r.rampStart = time.Time{}
