--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -24,7 +24,7 @@
 	for inFlight < 64 {
 		inFlight = ramp.Allow(epoch, 64)
 		for range inFlight {
-			ramp.Began()
+			ramp.AnswerBegan()
 		}
 		rounds++
 	}
@@ -47,13 +47,13 @@
 	require.Equal(t, 64, ramp.Allow(epoch.Add(time.Minute), 64))
 	now := epoch.Add(2 * time.Minute)
 	for range 64 {
-		ramp.Ended(now, dispatch.Failed)
+		ramp.RequestEnded(now, dispatch.Failed)
 	}
 	require.Zero(t, ramp.Allow(now, 64), "closed")
 	require.Equal(t, now.Add(time.Second), ramp.OpensAt(), "failures of one burst close it once")
 	now = ramp.OpensAt()
 	require.Equal(t, 1, ramp.Allow(now, 64), "one request as a trial")
-	ramp.Began()
+	ramp.AnswerBegan()
 	require.Equal(t, 3, ramp.Allow(now, 64), "a new ramp")
 }
 
@@ -63,7 +63,7 @@
 	now := epoch
 	var waits []time.Duration
 	for range 3 + 5 {
-		ramp.Ended(now, dispatch.Failed)
+		ramp.RequestEnded(now, dispatch.Failed)
 		if ramp.OpensAt().After(now) {
 			waits = append(waits, ramp.OpensAt().Sub(now))
 			now = ramp.OpensAt()
@@ -76,9 +76,9 @@
 	t.Parallel()
 	var ramp warmup.Ramp
 	for range 10 {
-		ramp.Ended(epoch, dispatch.Failed)
-		ramp.Ended(epoch, dispatch.Failed)
-		ramp.Began()
+		ramp.RequestEnded(epoch, dispatch.Failed)
+		ramp.RequestEnded(epoch, dispatch.Failed)
+		ramp.AnswerBegan()
 	}
 	require.Equal(t, 12, ramp.Allow(epoch, 64))
 }
