--- a/turn/account.go
+++ b/turn/account.go
@@ -18,7 +18,7 @@
 	servedHere rate.DecayingSum
 	// refused counts the tokens of its requests that this pool refused.
 	refused rate.DecayingSum
-	// shed counts the tokens of its requests that a router refused before calling Ask.
+	// shed counts the tokens of its requests that a router refused before calling Submit.
 	shed rate.DecayingSum
 	// remote is the account's usage at all other routers.
 	remote Usage
@@ -43,8 +43,8 @@
 }
 
 // recordRefused records that this pool refused a request of the account.
-func (a *account) recordRefused(now time.Time, d *Request) {
-	a.refused.Add(now, serviceWindow, d.cost())
+func (a *account) recordRefused(now time.Time, r *Request) {
+	a.refused.Add(now, serviceWindow, r.cost())
 }
 
 func (p *Pool) account(id fleet.AccountID) *account {
@@ -78,8 +78,8 @@
 	backlogSlope     = 3
 	minBacklogFactor = 0.1
 	// fullPressure is the unserved part of the demand from which backlogAtShare applies in
-	// full. At lower pressure, for example when a large account briefly has unmet demand on
-	// a quiet day, less room has to be kept free.
+	// full. At lower pressure, for example when a large account briefly has unmet demand
+	// under low load, less room has to be kept free.
 	fullPressure = 0.25
 )
 
@@ -87,32 +87,32 @@
 // requests may start.
 //
 // It keeps service fair between accounts whose requests arrive at different routers. A
-// router learns of free room at an engine when one of its own prompts has been read, and
-// would give it to its own next request, so an account would keep the room that its router
-// found. Accounts above their fair share therefore stop earlier and leave the room to other
-// routers.
+// router knows first of the room that its own prompts free at an engine. Without the factor
+// it would always use that room for its own next request, and an account would keep the
+// room once it had it. Accounts above their fair share therefore stop earlier and leave the
+// room to other routers.
 func backlogFactor(served, fairShare, pressure float64) float64 {
 	ratio := (served + serviceTolerance) / (fairShare + serviceTolerance)
 	atShare := maxBacklogFactor - (maxBacklogFactor-backlogAtShare)*min(pressure/fullPressure, 1)
 	return min(max(atShare-backlogSlope*(ratio-1), minBacklogFactor), maxBacklogFactor)
 }
 
-// The patience of a demand is multiplied by up to maxPatienceFactor for an account that was
+// The patience of a request is multiplied by up to maxPatienceFactor for an account that was
 // served less than its fair share, and by as little as minPatienceFactor for one served
 // more.
 const (
 	maxPatienceFactor = 1.5
 	minPatienceFactor = 0.67
 	// minPatience is longer than idleGrace. Otherwise a request of an account above its
-	// share would be refused on a quiet day although an engine is idle.
+	// share would be refused under low load although an engine is idle.
 	minPatience = 110 * time.Millisecond
 )
 
-// patience returns how long a demand may wait. Accounts served less wait longer before they
-// are refused, so that they get a turn; the room that accounts served more would wait for
-// goes to others meanwhile.
-func patience(shares fairShares, usage Usage, d *Request) time.Duration {
+// patience returns how long a request may wait. Requests of accounts served less may wait
+// longer, so that they get a turn. Those of accounts served more are refused sooner, and
+// the room that becomes free goes to others.
+func patience(shares fairShares, usage Usage, r *Request) time.Duration {
 	factor := backlogFactor(usage.Served, shares.fairShare(usage.hasUnmetDemand()), shares.pressure)
-	patience := time.Duration(min(max(factor, minPatienceFactor), maxPatienceFactor) * float64(d.Patience))
-	return max(patience, min(d.Patience, minPatience))
+	patience := time.Duration(min(max(factor, minPatienceFactor), maxPatienceFactor) * float64(r.Patience))
+	return max(patience, min(r.Patience, minPatience))
 }
--- a/turn/codec.go
+++ b/turn/codec.go
@@ -6,7 +6,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// EncodeInstance returns an instance as routers send it to each other.
+// EncodeInstance returns the wire form of an instance.
 func EncodeInstance(i Instance) *schema.UpstreamLife {
 	return &schema.UpstreamLife{Id: string(i.ID), Life: int64(i.StartTime)}
 }
--- a/turn/engine.go
+++ b/turn/engine.go
@@ -51,24 +51,24 @@
 func (e *engine) fleetInFlight() int { return e.inFlight + e.remote.InFlight }
 
 // cachedTokens returns how many tokens of a prompt are probably cached.
-func (e *engine) cachedTokens(now time.Time, d *Request) int {
-	for i := len(d.Prefixes) - 1; i >= 0; i-- {
-		at, known := e.cachedAt[d.Prefixes[i].Hash]
+func (e *engine) cachedTokens(now time.Time, r *Request) int {
+	for i := len(r.Prefixes) - 1; i >= 0; i-- {
+		at, known := e.cachedAt[r.Prefixes[i].Hash]
 		if known && now.Sub(at) < cacheTTL {
-			return d.Prefixes[i].Tokens
+			return r.Prefixes[i].Tokens
 		}
 	}
 	return 0
 }
 
 // recordPrompt records that the upstream will have a prompt in its cache.
-func (e *engine) recordPrompt(now time.Time, d *Request) {
-	for i, b := range d.Prefixes {
-		isShared := i < len(d.Prefixes)-1 || i == 0
-		if isShared && len(e.unreportedPrefixes) < maxReportedPrefixes && now.Sub(e.cachedAt[b.Hash]) > prefixReportInterval {
-			e.unreportedPrefixes = append(e.unreportedPrefixes, b.Hash)
+func (e *engine) recordPrompt(now time.Time, r *Request) {
+	for i, p := range r.Prefixes {
+		isShared := i < len(r.Prefixes)-1 || i == 0
+		if isShared && len(e.unreportedPrefixes) < maxReportedPrefixes && now.Sub(e.cachedAt[p.Hash]) > prefixReportInterval {
+			e.unreportedPrefixes = append(e.unreportedPrefixes, p.Hash)
 		}
-		e.recordCached(now, []uint64{b.Hash})
+		e.recordCached(now, []uint64{p.Hash})
 	}
 }
 
--- a/turn/group.go
+++ b/turn/group.go
@@ -25,15 +25,15 @@
 	p.reassign(now)
 }
 
-// GroupOf returns the index of the group that a demand belongs to, and false when the
-// service's demands may go to any upstream.
-func (p *Pool) GroupOf(d *Request) (int, bool) {
+// GroupOf returns the index of the group that a request belongs to, and false when the
+// service's requests may go to any upstream.
+func (p *Pool) GroupOf(r *Request) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.placement().Choices() == 0 {
 		return 0, false
 	}
-	order := p.preferenceOrder(d)
+	order := p.preferenceOrder(r)
 	if len(order) == 0 {
 		return 0, false
 	}
--- a/turn/hold.go
+++ b/turn/hold.go
@@ -9,26 +9,25 @@
 )
 
 const (
-	// maxServiceRatio is how many times the service of an account throttled by its router
-	// another account may get. Users require that no waiting account gets less than half of
-	// what another one gets.
+	// maxServiceRatio limits the service of an account to this multiple of the service of
+	// an account that its router throttles. Users require that no waiting account gets less
+	// than half of what another one gets.
 	maxServiceRatio = 1.7
 	// guaranteedFraction is the part of its fair share that an account may always get, so
-	// that a router that serves next to nothing can't stop the fleet.
+	// that a router that serves almost nothing can't stop the fleet.
 	guaranteedFraction = 0.25
 	// peakMemory is the time constant over which the observed peak service decays. Shares
-	// of the current service would shrink with each request refused for another account's
-	// sake, which would cause further refusals.
+	// of the current service would shrink with each capped request, which would cause
+	// further refusals.
 	peakMemory = 30 * time.Second
 )
 
-// RecordShed records the tokens of an account's requests that an overloaded router refused before
-// it asked for their turns.
+// RecordShed records the tokens of an account's requests that an overloaded router refused
+// before it requested their turns.
 //
-// It covers an account whose requests all arrive at one small router. Whatever that router
-// passes on is served, so the account would seem to have no unmet demand, and the rest
-// would go to other accounts: its callers are refused while another account gets several
-// times as much.
+// Without it, an account whose requests all arrive at one small router would seem to have
+// no unmet demand, since whatever that router passes on is served. Its callers would be
+// refused while another account gets several times as much service.
 func (p *Pool) RecordShed(now time.Time, id fleet.AccountID, tokens float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,9 +46,9 @@
 	return d.shed >= 1 && d.served+d.shed > maxServiceRatio*d.served
 }
 
-// peakFairLevel returns the max-min fair level at which amount would be shared if no router
-// shed requests.
-func peakFairLevel(demands []accountDemand, amount float64) float64 {
+// peakFairLimit returns the max-min fair limit for sharing amount if no router shed
+// requests.
+func peakFairLimit(demands []accountDemand, amount float64) float64 {
 	claims := make([]float64, 0, len(demands))
 	for _, d := range demands {
 		claims = append(claims, d.offered())
@@ -60,7 +59,7 @@
 // serviceCap returns the service at which an account stops being served, infinite while no
 // throttled account offers more than the guaranteed service.
 func (s fairShares) serviceCap(demand accountDemand) float64 {
-	guaranteed := max(guaranteedFraction*min(s.peakLevel, demand.offered()), serviceTolerance)
+	guaranteed := max(guaranteedFraction*min(s.peakLimit, demand.offered()), serviceTolerance)
 	limit := math.Inf(1)
 	for _, other := range s.throttled {
 		if other.offered() > guaranteed {
@@ -81,15 +80,15 @@
 
 // wasSent reports whether the request was sent before. Refusing it now would lose the part
 // of the answer that its caller has, or the time it has waited.
-func (d *Request) wasSent() bool { return len(d.Tried) > 0 }
+func (r *Request) wasSent() bool { return len(r.Tried) > 0 }
 
-// refuseCapped refuses a demand of an account that has reached its service cap. A refusal
+// refuseCapped refuses a request of an account that has reached its service cap. A refusal
 // while the engine is idle raises the peak by the request's cost, averaged over peakMemory.
-// Without this, a fleet that starts next to a router that sheds everything would stay at
-// next to no service.
-func (p *Pool) refuseCapped(now time.Time, d *Request, best *engine) error {
+// Without this, a fleet in which a router sheds everything from the start would keep
+// serving almost nothing.
+func (p *Pool) refuseCapped(now time.Time, r *Request, best *engine) error {
 	if best.fleetPendingPrefill() == 0 {
-		p.peakServed.Add(now, peakMemory, d.cost()*float64(serviceWindow)/float64(peakMemory))
+		p.peakServed.Add(now, peakMemory, r.cost()*float64(serviceWindow)/float64(peakMemory))
 	}
 	return &RefusedError{Capped: true, RetryAfter: minRetryAfter}
 }
--- a/turn/hold_test.go
+++ b/turn/hold_test.go
@@ -21,10 +21,10 @@
 	for i := range 1000 {
 		now = now.Add(step)
 		if i >= 500 {
-			p.RecordShed(now, "held-back", shedPerSecond*step.Seconds())
+			p.RecordShed(now, "throttled", shedPerSecond*step.Seconds())
 			dueTokens += servedPerSecond * step.Seconds()
 		}
-		own := prompt("held-back", uint64(i%40), uint64(i)|1<<40, 10_000)
+		own := prompt("throttled", uint64(i%40), uint64(i)|1<<40, 10_000)
 		for size := turn.Cost(own.Input, own.Output); dueTokens >= size; dueTokens -= size {
 			runToEnd(p, now, own)
 		}
@@ -36,8 +36,8 @@
 }
 
 // runToEnd asks for a turn and ends it at once. It reports whether the turn was granted.
-func runToEnd(p *turn.Pool, now time.Time, d turn.Request) bool {
-	ticket, err := p.Submit(now, d)
+func runToEnd(p *turn.Pool, now time.Time, r turn.Request) bool {
+	ticket, err := p.Submit(now, r)
 	if err != nil {
 		return false
 	}
@@ -56,9 +56,9 @@
 	t.Parallel()
 	const all = 200
 	for _, c := range []struct {
-		name         string
-		got, refused float64
-		least, most  int
+		name                           string
+		servedPerSecond, shedPerSecond float64
+		least, most                    int
 	}{
 		{"its router refuses nothing", 600_000, 0, all, all},
 		{"its router refuses a small part", 600_000, 200_000, all, all},
@@ -71,21 +71,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			served := servedNextToThrottled(c.got, c.refused)
+			served := servedNextToThrottled(c.servedPerSecond, c.shedPerSecond)
 			require.GreaterOrEqual(t, served, c.least)
 			require.LessOrEqual(t, served, c.most)
 		})
 	}
 }
 
-// Guards against a lost answer: a stream breaks off at its engine after its account has
-// reached its service cap. Its caller has a part of the answer, so the request must
+// Guards against a lost answer when a stream breaks at its engine after its account has
+// reached its service cap. The caller has a part of the answer, so the request must
 // continue elsewhere at once.
 func TestBrokenStreamContinuesAboveServiceCap(t *testing.T) {
 	t.Parallel()
 	p := newPool(60)
 	now := start
-	p.RecordShed(now, "held-back", 4_000_000)
+	p.RecordShed(now, "throttled", 4_000_000)
 	var refused *turn.RefusedError
 	for i := range uint64(20) {
 		if _, err := p.Submit(now, prompt("asking", i, i|1<<40, 10_000)); err != nil {
--- a/turn/large_test.go
+++ b/turn/large_test.go
@@ -31,9 +31,9 @@
 	return config
 }
 
-// With many routers and engines, each router's knowledge of the others is half a second
-// old. Several send to the same engine at once, and first events are late while other
-// engines idle. When one home router schedules each group of engines, few are late and each
+// With many routers and engines, the reports of other routers are half a second old. Several
+// routers would send to the same engine at once, and first events would be late while other
+// engines idle. With one home router for each group of engines, few are late and each
 // account gets its share.
 func TestHomesServeALargeFleet(t *testing.T) {
 	t.Parallel()
@@ -73,12 +73,12 @@
 // require that no waiting account gets less than half of what another one gets.
 const minFairShare = 0.5
 
-// Guards against a fault in which an account got 13 million tokens in six seconds of the 58
-// million that it asked for, and another one 29 million. The balancer had sent all of its
-// requests to one small router, which refused most of them for want of processor time. The
-// homes didn't learn of these refusals: the account seemed to have no unmet demand, and the
-// others got the rest. Routers now tell the homes what they shed, and the homes limit the
-// other accounts.
+// Guards against an account that got 13 million of the 58 million tokens that it requested
+// in six seconds, while another one got 29 million. The balancer had sent all of its
+// requests to one small router, which refused most of them for lack of processor time. If
+// homes don't count these refusals, the account seems to have no unmet demand, and the
+// others get the rest. Routers therefore report to the homes what they shed, and the homes
+// limit the other accounts.
 func TestAccountAtAFloodedRouterGetsHalfOfWhatOthersGet(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
--- a/turn/load.go
+++ b/turn/load.go
@@ -21,8 +21,8 @@
 	InFlight int
 	// WaitingTokens is the tokens queued at the router that prefer this upstream.
 	WaitingTokens int
-	// NewPrefixes lists the hashes of shared prefixes that the router sent to the upstream since
-	// its last report.
+	// NewPrefixes lists the hashes of shared prefixes that the router sent to the upstream
+	// since its last report.
 	NewPrefixes []uint64
 }
 
@@ -49,17 +49,17 @@
 	// Refused is the tokens of its recently refused requests.
 	Refused float64
 	// Shed is the tokens of requests that the overloaded router recently refused before it
-	// asked for their turns.
+	// requested their turns.
 	Shed float64
 }
 
 // hasUnmetDemand reports whether some of the account's requests wait or were refused.
-func (s Usage) hasUnmetDemand() bool { return s.WaitingTokens > 0 || s.Refused >= 1 }
+func (u Usage) hasUnmetDemand() bool { return u.WaitingTokens > 0 || u.Refused >= 1 }
 
-func (s Usage) add(other Usage) Usage {
+func (u Usage) add(other Usage) Usage {
 	return Usage{
-		Served: s.Served + other.Served, WaitingTokens: s.WaitingTokens + other.WaitingTokens,
-		Refused: s.Refused + other.Refused, Shed: s.Shed + other.Shed,
+		Served: u.Served + other.Served, WaitingTokens: u.WaitingTokens + other.WaitingTokens,
+		Refused: u.Refused + other.Refused, Shed: u.Shed + other.Shed,
 	}
 }
 
@@ -115,7 +115,7 @@
 	p.startWaiting(now)
 }
 
-// expireReports drops reports older than reportTTL. It runs for each demand: when all other
+// expireReports drops reports older than reportTTL. It runs for each request: when all other
 // routers are gone, no new report replaces theirs, and the load in them would block the
 // engines for ever.
 func (p *Pool) expireReports(now time.Time) {
--- a/turn/machine_test.go
+++ b/turn/machine_test.go
@@ -14,7 +14,7 @@
 )
 
 // poolMachine is a state machine of a pool whose upstreams are removed, added and changed
-// (instance, data centre, slots) while tickets wait, are reassigned, given up and ended.
+// (instance, data centre, slots) while tickets wait, are reassigned, cancelled and ended.
 type poolMachine struct {
 	pool         turn.Pool
 	now          time.Time
@@ -24,11 +24,11 @@
 	lastPrompt   uint64
 }
 
-// trackedTicket is a ticket and its demand.
+// trackedTicket is a ticket and its request.
 type trackedTicket struct {
 	*turn.Ticket
-	demand turn.Request
-	// ended is true once the ticket was given up, refused or ended.
+	request turn.Request
+	// ended is true once the ticket was cancelled, refused or ended.
 	ended bool
 }
 
@@ -38,8 +38,8 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 }
 
-// set replaces the list by any subset of the upstreams, including none.
-func (m *poolMachine) set(t *rapid.T) {
+// setUpstreams replaces the list by any subset of the upstreams, including none.
+func (m *poolMachine) setUpstreams(t *rapid.T) {
 	m.advance(t)
 	present := rapid.IntRange(0, 1<<len(m.incarnations)-1).Draw(t, "present")
 	if rapid.IntRange(0, 3).Draw(t, "empty") == 0 {
@@ -65,25 +65,25 @@
 	m.pool.SetGrouped(m.now, rapid.Bool().Draw(t, "grouped"))
 }
 
-func (m *poolMachine) ask(t *rapid.T) {
+func (m *poolMachine) submit(t *rapid.T) {
 	m.advance(t)
 	m.lastPrompt++
-	d := prompt(rapid.SampledFrom([]fleet.AccountID{"a", "b", "c"}).Draw(t, "account"), rapid.Uint64Range(1, 4).Draw(t, "shared"), 100+m.lastPrompt,
+	r := prompt(rapid.SampledFrom([]fleet.AccountID{"a", "b", "c"}).Draw(t, "account"), rapid.Uint64Range(1, 4).Draw(t, "shared"), 100+m.lastPrompt,
 		rapid.SampledFrom([]int{-10_000, 1_000, 200_000}).Draw(t, "tokens"))
-	d.Patience = rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "patience")
+	r.Patience = rapid.SampledFrom([]time.Duration{0, target, time.Hour}).Draw(t, "patience")
 	for i := range m.incarnations {
 		if rapid.IntRange(0, 5).Draw(t, "tried") == 0 {
-			d.Tried = append(d.Tried, turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), StartTime: m.incarnations[i]})
+			r.Tried = append(r.Tried, turn.Instance{ID: fleet.UpstreamID(fmt.Sprintf("e%d", i)), StartTime: m.incarnations[i]})
 		}
 	}
-	ticket, err := m.pool.Submit(m.now, d)
+	ticket, err := m.pool.Submit(m.now, r)
 	if err != nil {
 		var refused *turn.RefusedError
 		require.ErrorAs(t, err, &refused)
 		require.Positive(t, refused.RetryAfter)
 		return
 	}
-	m.tickets = append(m.tickets, &trackedTicket{Ticket: ticket, demand: d})
+	m.tickets = append(m.tickets, &trackedTicket{Ticket: ticket, request: r})
 }
 
 // drawTicket returns one of the tickets, or skips the step if there are none.
@@ -94,8 +94,8 @@
 	return m.tickets[rapid.IntRange(0, len(m.tickets)-1).Draw(t, "ticket")]
 }
 
-// giveUp ends the wait of a ticket, including one that has already ended.
-func (m *poolMachine) giveUp(t *rapid.T) {
+// cancel cancels a ticket, including one that has already ended.
+func (m *poolMachine) cancel(t *rapid.T) {
 	m.advance(t)
 	ticket := m.drawTicket(t)
 	if isGranted(ticket.Ticket) {
@@ -108,7 +108,7 @@
 	ticket.ended = true
 }
 
-func (m *poolMachine) first(t *rapid.T) {
+func (m *poolMachine) recordFirstEvent(t *rapid.T) {
 	m.advance(t)
 	m.drawTicket(t).RecordFirstEvent(m.now)
 }
@@ -121,8 +121,8 @@
 	ticket.ended = ticket.ended || granted
 }
 
-// observe applies an arbitrary report of another router.
-func (m *poolMachine) observe(t *rapid.T) {
+// applyReport applies an arbitrary report of another router.
+func (m *poolMachine) applyReport(t *rapid.T) {
 	m.advance(t)
 	amount := rapid.SampledFrom([]int{0, 1, 5_000, 1 << 32, -5})
 	tokens := rapid.SampledFrom([]float64{0, 1, 1e6, 1e300, -1e300})
@@ -141,7 +141,7 @@
 	m.pool.ApplyReport(m.now, rapid.SampledFrom([]fleet.RouterID{"r1", "r2"}).Draw(t, "router"), report)
 }
 
-func (m *poolMachine) shed(t *rapid.T) {
+func (m *poolMachine) recordShed(t *rapid.T) {
 	m.pool.RecordShed(m.now, "a", rapid.SampledFrom([]float64{0, 1e4, 1e300}).Draw(t, "tokens"))
 }
 
@@ -160,8 +160,8 @@
 		if !ticket.isWaiting() {
 			continue
 		}
-		waiting += ticket.demand.Input
-		require.True(t, m.hasUpstream(ticket), "waits though no upstream is left that it hasn't tried")
+		waiting += ticket.request.Input
+		require.True(t, m.hasUpstream(ticket), "the ticket waits although no untried upstream is left")
 	}
 	report := m.pool.Report(m.now)
 	byUpstream, byAccount := 0, 0
@@ -178,7 +178,7 @@
 func (m *poolMachine) hasUpstream(ticket *trackedTicket) bool {
 	for _, u := range m.upstreams {
 		tried := false
-		for _, i := range ticket.demand.Tried {
+		for _, i := range ticket.request.Tried {
 			tried = tried || i == turn.InstanceOf(u)
 		}
 		if !tried {
@@ -198,9 +198,10 @@
 			rapid.Check(t, func(t *rapid.T) {
 				m := &poolMachine{now: start}
 				m.pool.Placement = placement
+				// Repeat sorts the steps by name, so other names change the sequences of a seed.
 				t.Repeat(map[string]func(*rapid.T){
-					"set": m.set, "group": m.setGrouped, "ask": m.ask, "ask more": m.ask, "give up": m.giveUp, "first": m.first,
-					"end": m.end, "observe": m.observe, "shed": m.shed, "": m.check,
+					"set": m.setUpstreams, "group": m.setGrouped, "ask": m.submit, "ask more": m.submit, "give up": m.cancel, "first": m.recordFirstEvent,
+					"end": m.end, "observe": m.applyReport, "shed": m.recordShed, "": m.check,
 				})
 			})
 		})
--- a/turn/model_test.go
+++ b/turn/model_test.go
@@ -13,7 +13,7 @@
 )
 
 // simulation runs routers, engines and callers in virtual time. Each router has its own
-// Pool and learns of the others only by reports, which arrive late.
+// Pool and knows the load of the others only from reports, which arrive late.
 //
 // Engines read prompts in order of arrival, cache them for a limited time, and generate at
 // a fixed pace. The slowdown of generation during prefill is left out.
@@ -186,34 +186,34 @@
 	prefix := uint64(m.random.IntN(m.config.prefixes)) + 1
 	prefixTokens := int(min(6_000*math.Exp(m.random.NormFloat64()*0.7), 30_000))
 	ownTokens := int(min(2_000*math.Exp(m.random.NormFloat64()), 30_000))
-	d := turn.Request{
+	r := turn.Request{
 		Account: a.id, Input: prefixTokens + ownTokens, Output: 100, Target: m.config.target, Patience: m.config.target / 4,
 		Prefixes: []turn.Prefix{{Hash: prefix, Tokens: prefixTokens}, {Hash: 1<<40 + m.lastSeq, Tokens: prefixTokens + ownTokens}},
 	}
-	size := float64(d.Input + 2*d.Output)
+	size := float64(r.Input + 2*r.Output)
 	m.requested[a.id][m.second()] += size
 	m.largestRequest[a.id] = max(m.largestRequest[a.id], size)
 	if !a.routerAccepts() {
-		m.shed(a, d)
+		m.shed(a, r)
 		return
 	}
 	pool := a.routers[m.random.IntN(len(a.routers))]
 	if m.config.homes > 0 {
 		pool = int(prefix) % m.config.homes
 	}
-	m.ask(pool, d, m.now)
+	m.submit(pool, r, m.now)
 }
 
 // shed refuses a request that the account's router has no processor time for, and records
 // it at the scheduling pools.
-func (m *simulation) shed(a simAccount, d turn.Request) {
-	m.refuse(d)
+func (m *simulation) shed(a simAccount, r turn.Request) {
+	m.refuse(r)
 	if m.config.homes == 0 {
-		m.pools[a.routers[0]].RecordShed(m.now, a.id, turn.Cost(d.Input, d.Output))
+		m.pools[a.routers[0]].RecordShed(m.now, a.id, turn.Cost(r.Input, r.Output))
 		return
 	}
 	for _, p := range m.pools {
-		p.RecordShed(m.now, a.id, turn.Cost(d.Input, d.Output)/float64(m.config.homes))
+		p.RecordShed(m.now, a.id, turn.Cost(r.Input, r.Output)/float64(m.config.homes))
 	}
 }
 
@@ -233,34 +233,34 @@
 
 func (m *simulation) second() int { return min(int(m.now.Sub(start)/time.Second), maxSeconds-1) }
 
-func (m *simulation) ask(router int, d turn.Request, arrivedAt time.Time) {
-	t, err := m.pools[router].Submit(m.now, d)
+func (m *simulation) submit(router int, r turn.Request, arrivedAt time.Time) {
+	t, err := m.pools[router].Submit(m.now, r)
 	if err != nil {
-		m.refuse(d)
+		m.refuse(r)
 		return
 	}
-	m.pollTicket(router, t, d, arrivedAt, m.now.Add(t.Patience()))
+	m.pollTicket(router, t, r, arrivedAt, m.now.Add(t.Patience()))
 }
 
 // pollTicket checks every few milliseconds whether the ticket was granted.
-func (m *simulation) pollTicket(router int, t *turn.Ticket, d turn.Request, arrivedAt, giveUpAt time.Time) {
+func (m *simulation) pollTicket(router int, t *turn.Ticket, r turn.Request, arrivedAt, cancelAt time.Time) {
 	switch {
 	case isGranted(t):
-		m.schedule(networkDelay, func() { m.runOnEngine(t, d, arrivedAt) })
-	case !m.now.Before(giveUpAt):
+		m.schedule(networkDelay, func() { m.runOnEngine(t, r, arrivedAt) })
+	case !m.now.Before(cancelAt):
 		if t.Cancel(m.now) == nil {
-			m.schedule(networkDelay, func() { m.runOnEngine(t, d, arrivedAt) })
+			m.schedule(networkDelay, func() { m.runOnEngine(t, r, arrivedAt) })
 			return
 		}
-		m.refuse(d)
+		m.refuse(r)
 	default:
-		m.schedule(2*time.Millisecond, func() { m.pollTicket(router, t, d, arrivedAt, giveUpAt) })
+		m.schedule(2*time.Millisecond, func() { m.pollTicket(router, t, r, arrivedAt, cancelAt) })
 	}
 }
 
-func (m *simulation) refuse(d turn.Request) {
+func (m *simulation) refuse(r turn.Request) {
 	m.refused++
-	m.unserved[d.Account][m.second()] = true
+	m.unserved[r.Account][m.second()] = true
 	for _, e := range m.engines {
 		if !e.freeAt.After(m.now) {
 			m.refusedWhileIdle++
@@ -270,14 +270,14 @@
 }
 
 // runOnEngine simulates the arrival of a request at its engine.
-func (m *simulation) runOnEngine(t *turn.Ticket, d turn.Request, arrivedAt time.Time) {
+func (m *simulation) runOnEngine(t *turn.Ticket, r turn.Request, arrivedAt time.Time) {
 	e := m.engines[t.Upstream().ID]
-	work := d.Input
-	for _, b := range d.Prefixes {
-		if at, ok := e.cache[b.Hash]; ok && m.now.Sub(at) < simCacheTTL {
-			work = min(work, d.Input-b.Tokens)
+	work := r.Input
+	for _, p := range r.Prefixes {
+		if at, ok := e.cache[p.Hash]; ok && m.now.Sub(at) < simCacheTTL {
+			work = min(work, r.Input-p.Tokens)
 		}
-		e.cache[b.Hash] = m.now
+		e.cache[p.Hash] = m.now
 	}
 	prefillStart := m.now
 	if e.freeAt.After(prefillStart) {
@@ -286,25 +286,26 @@
 	prefill := time.Duration(float64(work) / m.config.prefillSpeed * float64(time.Millisecond))
 	m.maxQueueDelay = max(m.maxQueueDelay, prefillStart.Sub(m.now))
 	e.freeAt = prefillStart.Add(prefill)
-	m.schedule(e.freeAt.Sub(m.now)+firstEventDelay, func() { m.firstEvent(t, d, arrivedAt) })
+	m.schedule(e.freeAt.Sub(m.now)+firstEventDelay, func() { m.firstEvent(t, r, arrivedAt) })
 }
 
-func (m *simulation) firstEvent(t *turn.Ticket, d turn.Request, arrivedAt time.Time) {
-	m.served[d.Account][m.second()] += float64(d.Input + 2*d.Output)
+func (m *simulation) firstEvent(t *turn.Ticket, r turn.Request, arrivedAt time.Time) {
+	m.served[r.Account][m.second()] += float64(r.Input + 2*r.Output)
 	if m.now.Sub(arrivedAt) <= m.config.target {
 		m.inTime++
 	} else {
 		m.late++
-		m.unserved[d.Account][m.second()] = true
+		m.unserved[r.Account][m.second()] = true
 	}
 	m.schedule(networkDelay, func() { t.RecordFirstEvent(m.now) })
 	m.schedule(generationTime, func() { t.End(m.now, turn.Served) })
 }
 
-// lowestShare returns the lowest part of its due that an account got in any six seconds in
-// each of which one of its requests was refused or late. Its due is, for each second, the
-// lesser of what it asked for and what the best served account got, minus three of its
-// largest requests in total.
+// lowestShare returns the lowest part of its due service that an account got in any six
+// seconds in each of which one of its requests was refused or late, with the account and
+// the first of these seconds. For each second, the due service is the lesser of what the
+// account requested and what the most served account got; three of its largest requests are
+// subtracted from the sum.
 func (m *simulation) lowestShare() (float64, fleet.AccountID, int) {
 	const window = 6
 	lowest, account, second := math.Inf(1), fleet.AccountID(""), 0
--- a/turn/order.go
+++ b/turn/order.go
@@ -6,18 +6,18 @@
 // 800 bytes.
 const maxCachedOrders = 2048
 
-// preferenceOrder returns the engines that may serve a demand, in order of preference: all
+// preferenceOrder returns the engines that may serve a request, in order of preference: all
 // of them, or those of its group. Callers must not modify the result.
 //
 // Orders are cached because prefixes recur: computing one takes 23 us for 90 engines, as
 // long as a router takes for two stream events, and both a request's router and its home
 // need it.
-func (p *Pool) preferenceOrder(d *Request) []*engine {
-	prefix := d.sharedPrefix()
+func (p *Pool) preferenceOrder(r *Request) []*engine {
+	prefix := r.sharedPrefix()
 	if order, known := p.orderCache[prefix]; known {
 		return order
 	}
-	order := p.computeOrder(d)
+	order := p.computeOrder(r)
 	if p.orderCache == nil || len(p.orderCache) >= maxCachedOrders {
 		p.orderCache = make(map[uint64][]*engine)
 	}
@@ -25,8 +25,8 @@
 	return order
 }
 
-func (p *Pool) computeOrder(d *Request) []*engine {
-	indices := p.placement().Order(p.upstreams, d)
+func (p *Pool) computeOrder(r *Request) []*engine {
+	indices := p.placement().Order(p.upstreams, r)
 	if indices == nil {
 		return p.engines
 	}
--- a/turn/placement.go
+++ b/turn/placement.go
@@ -29,16 +29,17 @@
 	HasRoom(v *View, e *engine, d *Request) bool
 }
 
-// View is the state that a Placement sees besides the upstream itself.
+// View is the state that a Placement uses besides that of the upstream.
 type View struct {
 	now   time.Time
 	speed *prefillSpeed
-	// cacheHolder is the upstream with the most cached tokens of the prompt, holderTokens.
+	// cacheHolder is the upstream with the most cached tokens of the prompt, and
+	// holderTokens is their number.
 	cacheHolder  *engine
 	holderTokens int
 	// DataCenter is this router's data centre.
 	DataCenter fleet.DataCenterID
-	// Target is the time to the first event of the strictest route.
+	// Target is the target time to the first event of the strictest route.
 	Target time.Duration
 	// BacklogFactor is the part of the usual prefill backlog that the request's account may
 	// use.
@@ -69,8 +70,8 @@
 )
 
 // Order ranks the upstreams by rendezvous hashing of the request's shared prefix.
-func (CacheAffinity) Order(upstreams []registry.Upstream, d *Request) []int {
-	key := rendezvous.KeyOfNumber("beginning", d.sharedPrefix())
+func (CacheAffinity) Order(upstreams []registry.Upstream, r *Request) []int {
+	key := rendezvous.KeyOfNumber("beginning", r.sharedPrefix())
 	order := make([]int, len(upstreams))
 	scores := make([]uint64, len(upstreams))
 	for i := range upstreams {
@@ -81,10 +82,10 @@
 	return order
 }
 
-// Choices returns the number of owners.
-func (b CacheAffinity) Choices() int {
-	if b.Owners > 0 {
-		return b.Owners
+// Choices returns the number of owners of a prefix.
+func (a CacheAffinity) Choices() int {
+	if a.Owners > 0 {
+		return a.Owners
 	}
 	return defaultOwners
 }
@@ -96,20 +97,20 @@
 
 // Score returns the tokens to be read before the request's first event, plus the penalty
 // for leaving the first owner.
-func (b CacheAffinity) Score(v *View, e *engine, d *Request, rank int) float64 {
+func (a CacheAffinity) Score(v *View, e *engine, r *Request, rank int) float64 {
 	penalty := float64(rank) * switchPenalty * v.speed.value() * float64(v.Target.Milliseconds())
-	return float64(b.prefillWork(v, e, d)) + penalty
+	return float64(a.prefillWork(v, e, r)) + penalty
 }
 
 // prefillWork returns the tokens to be read before a request's first event.
-func (CacheAffinity) prefillWork(v *View, e *engine, d *Request) int {
-	prefill, _ := v.prefillCost(e, d)
+func (CacheAffinity) prefillWork(v *View, e *engine, r *Request) int {
+	prefill, _ := v.prefillCost(e, r)
 	return e.fleetPendingPrefill() + prefill
 }
 
 // fetchCost is the cost of fetching a token from another upstream's cache, relative to
-// reading it: engines that can fetch get about 600 tokens per millisecond and read 50 to
-// 150.
+// reading it: engines that can fetch do so at about 600 tokens per millisecond, and read 50
+// to 150.
 const fetchCost = 0.15
 
 // minFetchTokens is the smallest number of tokens worth fetching; for fewer, the set-up
@@ -118,19 +119,19 @@
 
 // prefillCost returns the cost of a prompt at an upstream in tokens read, and whether part
 // of it is fetched from another upstream's cache.
-func (v *View) prefillCost(e *engine, d *Request) (tokens int, fetches bool) {
-	cached := e.cachedTokens(v.now, d)
+func (v *View) prefillCost(e *engine, r *Request) (tokens int, fetches bool) {
+	cached := e.cachedTokens(v.now, r)
 	missing := v.holderTokens - cached
 	if v.cacheHolder == nil || missing < minFetchTokens {
-		return d.Input - cached, false
+		return r.Input - cached, false
 	}
-	return d.Input - v.holderTokens + int(fetchCost*float64(missing)), true
+	return r.Input - v.holderTokens + int(fetchCost*float64(missing)), true
 }
 
 // evenBacklogFactor is the backlog factor of an account with about the same service as
 // others. An account with more service takes an idle upstream only after idleGrace, which
 // covers a report interval of the other routers and the network delay: those routers may
-// have requests of accounts with less service, and learn later than this router that the
+// have requests of accounts with less service, and know later than this router that the
 // upstream is idle. Without it each router would start a prompt as soon as an engine
 // becomes idle, and an account at five routers would get five times the service of one at a
 // single router.
@@ -140,11 +141,11 @@
 )
 
 // IsOpen reports whether an upstream has a free slot and a backlog within the limit.
-func (b CacheAffinity) IsOpen(v *View, e *engine) bool {
+func (a CacheAffinity) IsOpen(v *View, e *engine) bool {
 	if e.upstream.Slots > 0 && e.fleetInFlight() >= e.upstream.Slots {
 		return false
 	}
-	return b.canTakeIdle(v, e) || v.speed.duration(e.fleetPendingPrefill()) <= b.maxBacklog(v)
+	return a.canTakeIdle(v, e) || v.speed.duration(e.fleetPendingPrefill()) <= a.maxBacklog(v)
 }
 
 // canTakeIdle reports whether an upstream has nothing to read and the account may use it.
@@ -154,13 +155,13 @@
 
 // HasRoom reports whether an upstream can read its backlog and the request's prompt in
 // time. An idle upstream accepts any request; otherwise the largest would never start.
-func (b CacheAffinity) HasRoom(v *View, e *engine, d *Request) bool {
-	return b.canTakeIdle(v, e) || v.speed.duration(b.prefillWork(v, e, d)) <= b.maxBacklog(v)
+func (a CacheAffinity) HasRoom(v *View, e *engine, r *Request) bool {
+	return a.canTakeIdle(v, e) || v.speed.duration(a.prefillWork(v, e, r)) <= a.maxBacklog(v)
 }
 
 // maxBacklog returns the limit of an upstream's prefill backlog, as time.
-func (b CacheAffinity) maxBacklog(v *View) time.Duration {
-	fraction := b.BacklogFraction
+func (a CacheAffinity) maxBacklog(v *View) time.Duration {
+	fraction := a.BacklogFraction
 	if fraction <= 0 {
 		fraction = defaultBacklogFraction
 	}
--- a/turn/pool.go
+++ b/turn/pool.go
@@ -57,8 +57,8 @@
 	waitingCount int
 }
 
-// SetUpstreams replaces the upstreams that accept requests, and the time to the first event that the
-// strictest route aims at. The state of the upstreams that stay is kept.
+// SetUpstreams replaces the upstreams that accept requests, and the target time to the first
+// event of the strictest route. The state of the upstreams that stay is kept.
 func (p *Pool) SetUpstreams(now time.Time, upstreams []registry.Upstream, target time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,26 +89,26 @@
 	p.startWaiting(now)
 }
 
-// Submit queues a demand. It returns a Ticket, granted at once if there is room, or
-// *RefusedError when the demand couldn't be granted in time.
-func (p *Pool) Submit(now time.Time, d Request) (*Ticket, error) {
+// Submit queues a request. It returns a Ticket, granted at once if there is room, or
+// *RefusedError when the request couldn't start in time.
+func (p *Pool) Submit(now time.Time, r Request) (*Ticket, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expireReports(now)
-	t := &Ticket{pool: p, demand: d, arrivedAt: now, granted: make(chan struct{}), refused: make(chan *RefusedError, 1)}
+	t := &Ticket{pool: p, request: r, arrivedAt: now, granted: make(chan struct{}), refused: make(chan *RefusedError, 1)}
 	view := p.view(now, 1)
 	best := p.bestCandidate(view, t, p.candidates(now, t))
 	if best == nil {
 		return nil, &RefusedError{NoUpstream: true, RetryAfter: noUpstreamRetryAfter}
 	}
-	a, shares := p.account(d.Account), p.fairShares(now)
-	t.patience = patience(shares, a.totalUsage(now), &d)
-	if !d.wasSent() && shares.isCapped(now, a) {
-		a.recordRefused(now, &d)
-		return nil, p.refuseCapped(now, &d, best)
+	a, shares := p.account(r.Account), p.fairShares(now)
+	t.patience = patience(shares, a.totalUsage(now), &r)
+	if !r.wasSent() && shares.isCapped(now, a) {
+		a.recordRefused(now, &r)
+		return nil, p.refuseCapped(now, &r, best)
 	}
-	if wait := p.expectedWait(now, best, &d); wait > t.patience {
-		a.recordRefused(now, &d)
+	if wait := p.expectedWait(now, best, &r); wait > t.patience {
+		a.recordRefused(now, &r)
 		return nil, &RefusedError{Wait: wait, RetryAfter: max(wait, minRetryAfter)}
 	}
 	p.enqueue(t, best)
@@ -117,39 +117,39 @@
 }
 
 func (p *Pool) enqueue(t *Ticket, preferred *engine) {
-	a := p.account(t.demand.Account)
+	a := p.account(t.request.Account)
 	a.queue = append(a.queue, t)
-	a.waitingTokens += t.demand.Input
+	a.waitingTokens += t.request.Input
 	t.preferred = preferred
-	preferred.waitingTokens += t.demand.Input
+	preferred.waitingTokens += t.request.Input
 	p.waitingCount++
 }
 
 // dequeue removes a waiting ticket.
 func (p *Pool) dequeue(t *Ticket) {
-	a := p.account(t.demand.Account)
+	a := p.account(t.request.Account)
 	a.queue = slices.DeleteFunc(a.queue, func(other *Ticket) bool { return other == t })
-	a.waitingTokens -= t.demand.Input
-	t.preferred.waitingTokens -= t.demand.Input
+	a.waitingTokens -= t.request.Input
+	t.preferred.waitingTokens -= t.request.Input
 	p.waitingCount--
 }
 
-// expectedWait returns the time until an upstream of the pool could take a demand: the time
-// in which it reads its backlog and the prompts that go first, less the target.
+// expectedWait returns the time until an upstream could take a request: the time in which it
+// reads its backlog and the prompts that go first, less the target.
 //
 // Requests of accounts with more service go later. Those that wait at other routers are
 // assumed to be spread evenly over the upstreams.
-func (p *Pool) expectedWait(now time.Time, e *engine, d *Request) time.Duration {
-	served := p.account(d.Account).served(now)
+func (p *Pool) expectedWait(now time.Time, e *engine, r *Request) time.Duration {
+	served := p.account(r.Account).served(now)
 	ahead := e.fleetPendingPrefill()
 	for id, a := range p.accounts {
-		if id != d.Account && a.served(now) > served {
+		if id != r.Account && a.served(now) > served {
 			continue
 		}
 		ahead += a.remote.WaitingTokens / len(p.engines)
 		for _, t := range a.queue {
 			if t.preferred == e {
-				ahead += t.demand.Input
+				ahead += t.request.Input
 			}
 		}
 	}
--- a/turn/pump.go
+++ b/turn/pump.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// view returns what a Placement sees for an account with this backlog factor.
+// view returns the View for an account with this backlog factor.
 func (p *Pool) view(now time.Time, backlogFactor float64) *View {
 	return &View{now: now, speed: &p.speed, DataCenter: p.DataCenter, Target: p.target, BacklogFactor: backlogFactor}
 }
@@ -16,12 +16,12 @@
 func (p *Pool) candidates(now time.Time, t *Ticket) []*engine {
 	if t.generation != p.generation {
 		t.generation = p.generation
-		t.order = p.preferenceOrder(&t.demand)
+		t.order = p.preferenceOrder(&t.request)
 	}
 	choices := p.placement().Choices()
 	var usable, ejected []*engine
 	for _, e := range t.order {
-		if slices.Contains(t.demand.Tried, e.instance) {
+		if slices.Contains(t.request.Tried, e.instance) {
 			continue
 		}
 		if !p.detector.Usable(now, e.instance) {
@@ -45,7 +45,7 @@
 	var best *engine
 	var lowest float64
 	for rank, e := range candidates {
-		score := p.placement().Score(view, e, &t.demand, rank)
+		score := p.placement().Score(view, e, &t.request, rank)
 		if best == nil || score < lowest {
 			best, lowest = e, score
 		}
@@ -54,25 +54,25 @@
 }
 
 // cacheHolder returns the upstream in the ticket's order that probably has most of the
-// prompt in its cache, and how many tokens. With homes, the order holds the ticket's group
-// only.
+// prompt in its cache, and the number of those tokens. With homes, the order contains only
+// the ticket's group.
 func (p *Pool) cacheHolder(now time.Time, t *Ticket) (*engine, int) {
-	d := &t.demand
-	if len(d.Prefixes) == 0 {
+	r := &t.request
+	if len(r.Prefixes) == 0 {
 		return nil, 0
 	}
 	var best *engine
 	most := 0
 	for _, e := range t.order {
-		if cached := e.cachedTokens(now, d); cached > most && p.detector.Usable(now, e.instance) {
+		if cached := e.cachedTokens(now, r); cached > most && p.detector.Usable(now, e.instance) {
 			best, most = e, cached
 		}
 	}
 	return best, most
 }
 
-// startWaiting starts requests until none that waits has room: those of the account with
-// the least service first, and within an account in the order of arrival. It runs at each
+// startWaiting starts waiting requests until none has room: those of the account with the
+// least service first, and within an account in the order of arrival. It runs at each
 // event, so it stops early when no upstream is open.
 func (p *Pool) startWaiting(now time.Time) {
 	for p.waitingCount > 0 && p.anyOpen(now) && p.startNext(now) {
@@ -96,7 +96,7 @@
 		capped := shares.isCapped(now, a.account)
 		view := p.view(now, backlogFactor(a.served, shares.fairShare(true), shares.pressure))
 		for _, t := range a.queue {
-			if (!capped || t.demand.wasSent()) && p.tryStart(view, t) {
+			if (!capped || t.request.wasSent()) && p.tryStart(view, t) {
 				return true
 			}
 		}
@@ -112,7 +112,7 @@
 		return false
 	}
 	best := p.bestCandidate(view, t, candidates)
-	if p.placement().IsOpen(view, best) && p.placement().HasRoom(view, best, &t.demand) {
+	if p.placement().IsOpen(view, best) && p.placement().HasRoom(view, best, &t.request) {
 		p.start(view, t, best)
 		return true
 	}
@@ -149,7 +149,7 @@
 	t.upstream = e.upstream
 	t.startedAt = now
 	fetches := false
-	t.uncached, fetches = view.prefillCost(e, &t.demand)
+	t.uncached, fetches = view.prefillCost(e, &t.request)
 	if fetches {
 		t.fetchFrom = view.cacheHolder.upstream.Address
 	}
@@ -157,8 +157,8 @@
 	e.pendingPrefill += t.uncached
 	e.inFlight++
 	e.lastBusy = now
-	e.recordPrompt(now, &t.demand)
+	e.recordPrompt(now, &t.request)
 	p.detector.RecordSend(now, e.instance)
-	p.account(t.demand.Account).servedHere.Add(now, serviceWindow, t.demand.cost())
+	p.account(t.request.Account).servedHere.Add(now, serviceWindow, t.request.cost())
 	close(t.granted)
 }
--- a/turn/reassign.go
+++ b/turn/reassign.go
@@ -29,15 +29,15 @@
 		p.refuse(view.now, t)
 		return
 	}
-	t.preferred.waitingTokens -= t.demand.Input
+	t.preferred.waitingTokens -= t.request.Input
 	t.preferred = best
-	best.waitingTokens += t.demand.Input
+	best.waitingTokens += t.request.Input
 }
 
 // refuse ends the wait of a ticket that has no upstream left.
 func (p *Pool) refuse(now time.Time, t *Ticket) {
 	p.dequeue(t)
-	p.account(t.demand.Account).recordRefused(now, &t.demand)
+	p.account(t.request.Account).recordRefused(now, &t.request)
 	t.refusal = &RefusedError{NoUpstream: true, Waited: now.Sub(t.arrivedAt), RetryAfter: noUpstreamRetryAfter}
 	t.refused <- t.refusal
 }
--- a/turn/share.go
+++ b/turn/share.go
@@ -12,40 +12,40 @@
 const queueTurnover = 5
 
 // accountDemand is an account's recent service, the demand that reached its routers' pools,
-// and what its routers shed before that.
+// and the tokens that its routers shed before that.
 type accountDemand struct{ served, requested, shed float64 }
 
-func (s Usage) demand() accountDemand {
-	return accountDemand{served: s.Served, requested: s.Served + s.Refused + queueTurnover*float64(s.WaitingTokens), shed: s.Shed}
+func (u Usage) demand() accountDemand {
+	return accountDemand{served: u.Served, requested: u.Served + u.Refused + queueTurnover*float64(u.WaitingTokens), shed: u.Shed}
 }
 
 // fairShares is the recent service and demand of all accounts of a service.
 type fairShares struct {
-	// level is the max-min fair level, in tokens, at which the total service could have
-	// been shared: accounts that asked for less got it all, the others split the rest
+	// limit is the max-min fair limit, in tokens, for sharing the total service: accounts
+	// with less demand could have been served in full, and the others split the rest
 	// evenly.
-	level float64
+	limit float64
 	// unmetAccounts is the number of accounts with unmet demand.
 	unmetAccounts int
 	// pressure is the unserved part of the recent demand.
 	pressure float64
 	// throttled are the accounts throttled by their routers. While there are any, peakLevel
-	// is the fair level of the recent peak service.
+	// is the fair limit for the recent peak service.
 	throttled []accountDemand
-	peakLevel float64
+	peakLimit float64
 }
 
 // fairShare returns the service that an account is entitled to while others have unmet
 // demand, and infinity while no others have.
 //
-// The service of the least served account would be the wrong reference: while small accounts
-// have unmet demand for a moment, all large ones are above it and would be limited alike, and
-// one at all routers would get four times as much as one at a single router.
+// The service of the least served account would be the wrong reference. While small accounts
+// briefly have unmet demand, all large ones are above it and would be limited alike, and an
+// account at all routers would get four times as much as one at a single router.
 func (s fairShares) fairShare(hasUnmetDemand bool) float64 {
 	if s.unmetAccounts == 0 || (s.unmetAccounts == 1 && hasUnmetDemand) {
 		return math.Inf(1)
 	}
-	return s.level
+	return s.limit
 }
 
 // fairShares returns the shares of all accounts that this pool knows.
@@ -80,10 +80,10 @@
 	if requested > 0 {
 		shares.pressure = 1 - served/requested
 	}
-	shares.level = share.MaxMinLimit(claims, served)
+	shares.limit = share.MaxMinLimit(claims, served)
 	p.peakServed.Raise(now, peakMemory, served)
 	if len(shares.throttled) > 0 {
-		shares.peakLevel = peakFairLevel(demands, p.peakServed.At(now, peakMemory))
+		shares.peakLimit = peakFairLimit(demands, p.peakServed.At(now, peakMemory))
 	}
 	return shares
 }
--- a/turn/speed.go
+++ b/turn/speed.go
@@ -32,8 +32,8 @@
 	return s.estimate
 }
 
-// observe updates the estimate from the time to the first event of a request with work
-// tokens to read before it, its own included.
+// observe updates the estimate from the time to the first event of a request. Work is the
+// tokens that had to be read before that event, including the request's own.
 func (s *prefillSpeed) observe(work int, took time.Duration) {
 	if work < minObservedWork {
 		return
--- a/turn/ticket.go
+++ b/turn/ticket.go
@@ -7,14 +7,14 @@
 	"nutmeglock.example/nutmeglock/registry"
 )
 
-// Ticket is a demand that waits for its turn or was granted it.
+// Ticket is a request that waits for its turn or was granted it.
 type Ticket struct {
 	pool      *Pool
-	demand    Request
+	request   Request
 	arrivedAt time.Time
 	// patience is the longest time that it may wait.
 	patience time.Duration
-	// order lists the upstreams that may serve the demand in order of preference, as of
+	// order lists the upstreams that may serve the request in order of preference, as of
 	// generation of the pool's list.
 	order      []*engine
 	generation int
@@ -46,14 +46,14 @@
 func (t *Ticket) Granted() <-chan struct{} { return t.granted }
 
 // Refused returns a channel that receives an error if the last upstream that could serve
-// the waiting ticket is removed. GiveUp needn't be called then.
+// the waiting ticket is removed. Cancel needn't be called then.
 func (t *Ticket) Refused() <-chan *RefusedError { return t.refused }
 
 // Upstream returns where the request goes. It may be called once the ticket is granted.
 func (t *Ticket) Upstream() registry.Upstream { return t.upstream }
 
-// PendingPrefill returns the tokens that the upstream had to read before the request's first event,
-// as of the time of the grant.
+// PendingPrefill returns the tokens that the upstream had to read before the request's first
+// event, as of the time of the grant.
 func (t *Ticket) PendingPrefill() int { return t.prefillAhead }
 
 // FetchFrom returns the address of the upstream whose cache has more of the prompt, empty
@@ -70,8 +70,8 @@
 		return t.refusal
 	}
 	p.dequeue(t)
-	p.account(t.demand.Account).recordRefused(now, &t.demand)
-	wait := max(p.expectedWait(now, t.preferred, &t.demand), 0)
+	p.account(t.request.Account).recordRefused(now, &t.request)
+	wait := max(p.expectedWait(now, t.preferred, &t.request), 0)
 	t.refusal = &RefusedError{Wait: wait, Waited: now.Sub(t.arrivedAt), RetryAfter: max(wait, minRetryAfter)}
 	return t.refusal
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// RecordFirstEvent records the request's first event, so its prompt has been read. It does nothing
-// before the grant, since another router may send it by mistake.
+// RecordFirstEvent records the request's first event, which shows that its prompt has been
+// read. It does nothing before the grant, since another router may send it by mistake.
 func (t *Ticket) RecordFirstEvent(now time.Time) {
 	p := t.pool
 	p.mu.Lock()
@@ -138,7 +138,7 @@
 	t.ended = true
 	t.engine.inFlight--
 	if outcome == Unsent || outcome == Refused || outcome == Unreachable {
-		p.account(t.demand.Account).servedHere.Add(now, serviceWindow, -t.demand.cost())
+		p.account(t.request.Account).servedHere.Add(now, serviceWindow, -t.request.cost())
 	}
 	p.recordOutcome(now, t.engine, outcome)
 	p.startWaiting(now)
--- a/turn/turn.go
+++ b/turn/turn.go
@@ -60,33 +60,33 @@
 // token generated twice, as users weigh them.
 func Cost(input, output int) float64 { return float64(input + 2*output) }
 
-func (d *Request) cost() float64 { return Cost(d.Input, d.Output) }
+func (r *Request) cost() float64 { return Cost(r.Input, r.Output) }
 
 // sharedPrefix returns the hash of the prefix that the request shares with others. The last
 // part of a prompt is the request's own.
-func (d *Request) sharedPrefix() uint64 {
-	switch n := len(d.Prefixes); n {
+func (r *Request) sharedPrefix() uint64 {
+	switch n := len(r.Prefixes); n {
 	case 0:
 		return 0
 	case 1:
-		return d.Prefixes[0].Hash
+		return r.Prefixes[0].Hash
 	default:
-		return d.Prefixes[n-2].Hash
+		return r.Prefixes[n-2].Hash
 	}
 }
 
-// RefusedError is returned for a demand that can't get its turn in time.
+// RefusedError is returned for a request that can't get its turn in time.
 type RefusedError struct {
 	// Wait is the expected time until its turn.
 	Wait time.Duration
 	// Waited is how long it has waited.
 	Waited time.Duration
-	// RetryAfter is the delay after which it should be granted at once.
+	// RetryAfter is the delay after which a retry should be granted at once.
 	RetryAfter time.Duration
 	// NoUpstream is true when no upstream of the service accepts requests.
 	NoUpstream bool
-	// Capped is true when the account has reached its service cap next to an account that is
-	// throttled by its router.
+	// Capped is true when the account has reached its service cap, which applies while
+	// another account is throttled by its router.
 	Capped bool
 }
 
--- a/turn/turn_test.go
+++ b/turn/turn_test.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-// prompt returns a demand whose prompt starts with a shared prefix of 10,000 tokens.
+// prompt returns a request whose prompt starts with a shared prefix of 10,000 tokens.
 func prompt(account fleet.AccountID, prefix uint64, promptHash uint64, tokens int) turn.Request {
 	return turn.Request{
 		Account: account, Input: 10_000 + tokens, Output: 100, Target: target, Patience: target / 2,
@@ -146,7 +146,7 @@
 // would wait for ever.
 func TestRoomIsLeftForAccountsWaitingAtOtherRouters(t *testing.T) {
 	t.Parallel()
-	const reading = 250 * time.Millisecond
+	const readTime = 250 * time.Millisecond
 	countServed := func(waiting int) int {
 		p := newPool(1)
 		served := 0
@@ -166,7 +166,7 @@
 					grantedAt[waiting] = now
 				}
 			}
-			if at, ok := grantedAt[queue[0]]; ok && now.Sub(at) >= reading {
+			if at, ok := grantedAt[queue[0]]; ok && now.Sub(at) >= readTime {
 				queue[0].RecordFirstEvent(now)
 				queue[0].End(now, turn.Served)
 				queue = queue[1:]
@@ -178,9 +178,9 @@
 	require.Less(t, countServed(20_000), countServed(0)/2)
 }
 
-// Two accounts wait for a busy engine that can't serve both, and one had much service
-// recently. The one with less waits longer before it is refused; otherwise the other, with
-// more requests, would get nearly all the room.
+// Two accounts wait for a busy engine that can't serve both, and one of them received much
+// service recently. The one served less waits longer before it is refused; otherwise the
+// other, with more requests, would get nearly all the room.
 func TestAccountServedLessWaitsLonger(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
@@ -249,20 +249,21 @@
 	require.Equal(t, 10_500, third.PendingPrefill())
 }
 
-// A request refused by one upstream asks for another turn. It must not be sent back there.
+// A request refused by one upstream is submitted again. It must not be sent to the same
+// upstream.
 func TestTriedUpstreamsAreSkipped(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
-	d := prompt("a", 1, 2, 0)
-	first, err := p.Submit(start, d)
+	r := prompt("a", 1, 2, 0)
+	first, err := p.Submit(start, r)
 	require.NoError(t, err)
-	d.Tried = []turn.Instance{turn.InstanceOf(first.Upstream())}
+	r.Tried = []turn.Instance{turn.InstanceOf(first.Upstream())}
 	first.End(start, turn.Refused)
-	second, err := p.Submit(start, d)
+	second, err := p.Submit(start, r)
 	require.NoError(t, err)
 	require.NotEqual(t, first.Upstream().ID, second.Upstream().ID)
-	d.Tried = append(d.Tried, turn.InstanceOf(second.Upstream()))
-	_, err = p.Submit(start, d)
+	r.Tried = append(r.Tried, turn.InstanceOf(second.Upstream()))
+	_, err = p.Submit(start, r)
 	var refused *turn.RefusedError
 	require.ErrorAs(t, err, &refused)
 	require.True(t, refused.NoUpstream)
@@ -290,8 +291,8 @@
 }
 
 // A caller leaves while its request waits. Its place in the queue becomes free; when the
-// turn was granted at the same moment, GiveUp returns nil.
-func TestGiveUpLeavesTheQueue(t *testing.T) {
+// turn was granted at the same moment, Cancel returns nil.
+func TestCancelLeavesTheQueue(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
 	first, err := p.Submit(start, prompt("a", 1, 2, 8_000))
@@ -308,7 +309,7 @@
 	require.Nil(t, third.Cancel(start.Add(time.Second)))
 }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkSubmit(b *testing.B) {
 	p := newPool(12)
 	for i := range b.N {
 		now := start.Add(time.Duration(i) * time.Millisecond)
@@ -325,9 +326,9 @@
 func BenchmarkStartWaitingWithFullQueue(b *testing.B) {
 	p := newPool(12)
 	for i := range uint64(200) {
-		d := prompt("a", i, 1_000+i, 20_000)
-		d.Patience = time.Hour
-		if _, err := p.Submit(start, d); err != nil {
+		r := prompt("a", i, 1_000+i, 20_000)
+		r.Patience = time.Hour
+		if _, err := p.Submit(start, r); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -365,10 +366,10 @@
 			t.Parallel()
 			p := newPool(2)
 			tried := turn.InstanceOf(newEngines(1)[0])
-			d := prompt("b", 1, 3, 1_000)
-			d.Tried = []turn.Instance{tried}
+			r := prompt("b", 1, 3, 1_000)
+			r.Tried = []turn.Instance{tried}
 			fillEngines(t, p)
-			waiting, err := p.Submit(start, d)
+			waiting, err := p.Submit(start, r)
 			require.NoError(t, err)
 			require.False(t, isGranted(waiting))
 			empty(p, tried)
@@ -386,13 +387,13 @@
 func fillEngines(t *testing.T, p *turn.Pool) {
 	t.Helper()
 	for i := range uint64(2) {
-		d := prompt("a", 1, 10+i, 40_000)
+		r := prompt("a", 1, 10+i, 40_000)
 		if i > 0 {
-			d.Tried = []turn.Instance{turn.InstanceOf(newEngines(2)[0])}
+			r.Tried = []turn.Instance{turn.InstanceOf(newEngines(2)[0])}
 		} else {
-			d.Tried = []turn.Instance{turn.InstanceOf(newEngines(2)[1])}
+			r.Tried = []turn.Instance{turn.InstanceOf(newEngines(2)[1])}
 		}
-		ticket, err := p.Submit(start, d)
+		ticket, err := p.Submit(start, r)
 		require.NoError(t, err)
 		require.True(t, isGranted(ticket))
 	}
@@ -412,9 +413,9 @@
 	require.Equal(t, newEngines(3)[2].ID, waiting.Upstream().ID)
 }
 
-// Guards against a queue length that is decremented twice when a wait ends twice, as when a
-// home's patience ends while the asking router disconnects.
-func TestGiveUpTwiceIsCountedOnce(t *testing.T) {
+// Guards against a queue length that is decremented twice when a ticket is cancelled twice,
+// as when its patience ends at a home while the requesting router disconnects.
+func TestCancelTwiceIsCountedOnce(t *testing.T) {
 	t.Parallel()
 	p := newPool(1)
 	first, err := p.Submit(start, prompt("a", 1, 2, 40_000))
@@ -429,7 +430,7 @@
 	require.NotNil(t, givenUp.Cancel(start))
 	require.Equal(t, 11_000, p.Report(start).Upstreams[turn.KeyOf(newEngines(1)[0].ID)].WaitingTokens)
 	first.End(start, turn.Served)
-	require.True(t, isGranted(kept), "what waits is still seen")
+	require.True(t, isGranted(kept), "the remaining request is still counted as waiting")
 }
 
 // Guards against a crash when another router sends events of a turn that hasn't been
