--- a/home/ask.go
+++ b/home/ask.go
@@ -23,8 +23,8 @@
 // Error implements error.
 func (e *NoAnswerError) Error() string { return "home " + string(e.Home) + " does not answer" }
 
-// UpstreamGoneError reports that a home granted a turn at an upstream that has left,
-// which this router knows and the home doesn't know yet.
+// UpstreamGoneError reports that a home granted a turn at an upstream that this router
+// already knows to have left.
 type UpstreamGoneError struct{ Instance turn.Instance }
 
 // Error implements error.
@@ -43,11 +43,11 @@
 // ask requests a turn from a home and waits for it. A home that doesn't answer is skipped
 // until a message from it arrives: it may be frozen, disconnected or starved of processor
 // time, and asking it again would delay the first event of each request.
-func (h *Coordinator) ask(ctx context.Context, home fleet.RouterID, service fleet.ServiceID, pool *turn.Pool, d turn.Request) (Ticket, error) {
-	id, a, timeout := h.openAsk(home)
-	defer h.closeAsk(id)
+func (c *Coordinator) ask(ctx context.Context, home fleet.RouterID, service fleet.ServiceID, pool *turn.Pool, r turn.Request) (Ticket, error) {
+	id, a, timeout := c.openAsk(home)
+	defer c.closeAsk(id)
 	asked := time.Now()
-	h.Send(home, &schema.Batch{TurnAsks: []*schema.TurnAsk{encodeAsk(id, service, &d)}, TurnNotes: h.takeNotes(home)})
+	c.Send(home, &schema.Batch{TurnAsks: []*schema.TurnAsk{encodeAsk(id, service, &r)}, TurnNotes: c.takeNotes(home)})
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	queued := false
@@ -55,19 +55,19 @@
 		select {
 		case answer := <-a.answers:
 			if !queued {
-				h.observeRoundTrip(time.Since(asked))
+				c.observeRoundTrip(time.Since(asked))
 			}
 			switch {
 			case answer.GetGrant() != nil:
-				return h.acceptGrant(home, id, pool, answer.GetGrant())
+				return c.acceptGrant(home, id, pool, answer.GetGrant())
 			case answer.GetRefusal() != nil:
 				return nil, decodeRefusal(answer.GetRefusal())
 			}
 			queued = true
 			timer.Reset(schema.Duration(answer.GetPatienceMs()) + timeout)
 		case <-timer.C:
-			h.sendLeft(home, id)
-			h.markUnresponsive(home, id, asked)
+			c.sendCancel(home, id)
+			c.markUnresponsive(home, id, asked)
 			if queued {
 				return nil, &turn.RefusedError{Waited: time.Since(asked), RetryAfter: homeRetryAfter}
 			}
@@ -75,7 +75,7 @@
 		case <-a.disconnected:
 			return nil, &NoAnswerError{Home: home}
 		case <-ctx.Done():
-			h.sendLeft(home, id)
+			c.sendCancel(home, id)
 			return nil, ctx.Err()
 		}
 	}
@@ -83,53 +83,54 @@
 
 // openAsk registers a new ask. It returns its ID and the time within which the home has
 // to answer.
-func (h *Coordinator) openAsk(home fleet.RouterID) (uint64, *pendingAsk, time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.lastAskID++
+func (c *Coordinator) openAsk(home fleet.RouterID) (uint64, *pendingAsk, time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastAskID++
 	a := &pendingAsk{home: home, answers: make(chan *schema.TurnAnswer, 2), disconnected: make(chan struct{})}
-	if h.pendingAsks == nil {
-		h.pendingAsks = make(map[uint64]*pendingAsk)
+	if c.pendingAsks == nil {
+		c.pendingAsks = make(map[uint64]*pendingAsk)
 	}
-	h.pendingAsks[h.lastAskID] = a
-	return h.lastAskID, a, h.roundTrip.answerTimeout()
+	c.pendingAsks[c.lastAskID] = a
+	return c.lastAskID, a, c.roundTrip.answerTimeout()
 }
 
-func (h *Coordinator) observeRoundTrip(took time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.roundTrip.observe(took)
+func (c *Coordinator) observeRoundTrip(took time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.roundTrip.observe(took)
 }
 
-func (h *Coordinator) closeAsk(id uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.pendingAsks, id)
+func (c *Coordinator) closeAsk(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.pendingAsks, id)
 }
 
-func (h *Coordinator) sendLeft(home fleet.RouterID, id uint64) {
-	h.Send(home, &schema.Batch{TurnNotes: []*schema.TurnNote{{Id: id, Left: true}}})
+func (c *Coordinator) sendCancel(home fleet.RouterID, id uint64) {
+	c.Send(home, &schema.Batch{TurnNotes: []*schema.TurnNote{{Id: id, Left: true}}})
 }
 
 // markUnresponsive records that a home didn't answer an ask in time.
-func (h *Coordinator) markUnresponsive(home fleet.RouterID, id uint64, asked time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.roundTrip.recordTimeout(id, asked)
-	if h.unresponsive == nil {
-		h.unresponsive = make(map[fleet.RouterID]bool)
+func (c *Coordinator) markUnresponsive(home fleet.RouterID, id uint64, asked time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.roundTrip.recordTimeout(id, asked)
+	if c.unresponsive == nil {
+		c.unresponsive = make(map[fleet.RouterID]bool)
 	}
-	if !h.unresponsive[home] {
-		h.Log.Warn("home does not answer", "home", home, "after-ms", time.Since(asked).Milliseconds())
+	if !c.unresponsive[home] {
+		c.Log.Warn("home does not answer", "home", home, "after-ms", time.Since(asked).Milliseconds())
 	}
-	h.unresponsive[home] = true
-	h.homeByGroup = nil
+	c.unresponsive[home] = true
+	c.homeByGroup = nil
 }
 
-// acceptGrant returns the ticket for a turn that a home has granted. It releases the turn
-// if its upstream has left, which the home may not know yet.
-func (h *Coordinator) acceptGrant(home fleet.RouterID, id uint64, pool *turn.Pool, grant *schema.TurnGrant) (Ticket, error) {
-	t := &remoteTicket{homes: h, home: home, id: id, upstream: registry.Decode(grant.GetUpstream()).Upstream, fetchFrom: grant.GetFetchFrom(), work: int(grant.GetWork())}
+// acceptGrant returns the ticket for a turn that a home has granted. If the upstream has
+// left, which the home may not know yet, it releases the turn and returns
+// *UpstreamGoneError.
+func (c *Coordinator) acceptGrant(home fleet.RouterID, id uint64, pool *turn.Pool, grant *schema.TurnGrant) (Ticket, error) {
+	t := &remoteTicket{coordinator: c, home: home, id: id, upstream: registry.Decode(grant.GetUpstream()).Upstream, fetchFrom: grant.GetFetchFrom(), pendingPrefill: int(grant.GetWork())}
 	if !pool.HasInstance(turn.InstanceOf(t.upstream)) {
 		t.End(time.Now(), turn.Unsent)
 		return nil, &UpstreamGoneError{Instance: turn.InstanceOf(t.upstream)}
@@ -139,13 +140,13 @@
 
 // handleAnswer passes an answer to the request that waits for it. A granted turn that no
 // request waits for any more is released.
-func (h *Coordinator) handleAnswer(from fleet.RouterID, answer *schema.TurnAnswer) {
-	h.mu.Lock()
-	a := h.pendingAsks[answer.GetId()]
+func (c *Coordinator) handleAnswer(from fleet.RouterID, answer *schema.TurnAnswer) {
+	c.mu.Lock()
+	a := c.pendingAsks[answer.GetId()]
 	if a == nil {
-		h.roundTrip.observeLate(time.Now(), answer.GetId())
+		c.roundTrip.observeLate(time.Now(), answer.GetId())
 	}
-	h.mu.Unlock()
+	c.mu.Unlock()
 	if a != nil && a.home == from {
 		select {
 		case a.answers <- answer:
@@ -154,27 +155,27 @@
 		}
 	}
 	if answer.GetGrant() != nil {
-		h.sendLeft(from, answer.GetId())
+		c.sendCancel(from, answer.GetId())
 	}
 }
 
 // remoteTicket is a turn that another router has granted.
 type remoteTicket struct {
-	homes         *Coordinator
-	home          fleet.RouterID
-	id            uint64
-	upstream      registry.Upstream
-	fetchFrom     string
-	work          int
-	hasFirstEvent bool
-	hasEnded      bool
+	coordinator    *Coordinator
+	home           fleet.RouterID
+	id             uint64
+	upstream       registry.Upstream
+	fetchFrom      string
+	pendingPrefill int
+	hasFirstEvent  bool
+	hasEnded       bool
 }
 
 func (t *remoteTicket) Upstream() registry.Upstream { return t.upstream }
 func (t *remoteTicket) FetchFrom() string           { return t.fetchFrom }
-func (t *remoteTicket) PendingPrefill() int         { return t.work }
+func (t *remoteTicket) PendingPrefill() int         { return t.pendingPrefill }
 
-// RecordFirstEvent tells the home that the upstream has read the prompt.
+// RecordFirstEvent notifies the home that the upstream has read the prompt.
 func (t *remoteTicket) RecordFirstEvent(time.Time) {
 	if t.hasFirstEvent || t.hasEnded {
 		return
@@ -183,8 +184,8 @@
 	t.sendNote(&schema.TurnNote{Id: t.id, Read: true})
 }
 
-// End tells the home that the request has ended. Notes of served requests may be delayed;
-// all others are sent at once, since they may show a fault of the upstream.
+// End notifies the home that the request has ended. Notes of served requests may be
+// delayed; all others are sent at once, since they may show a fault of the upstream.
 func (t *remoteTicket) End(_ time.Time, outcome turn.Outcome) {
 	if t.hasEnded {
 		return
@@ -192,44 +193,44 @@
 	t.hasEnded = true
 	note := &schema.TurnNote{Id: t.id, Outcome: uint32(outcome)}
 	if outcome == turn.Served {
-		t.homes.queueNote(t.home, note)
+		t.coordinator.queueNote(t.home, note)
 		return
 	}
 	t.sendNote(note)
 }
 
 func (t *remoteTicket) sendNote(note *schema.TurnNote) {
-	t.homes.Send(t.home, &schema.Batch{TurnNotes: []*schema.TurnNote{note}})
+	t.coordinator.Send(t.home, &schema.Batch{TurnNotes: []*schema.TurnNote{note}})
 }
 
 // noteDelay is how long the note of a served request may wait for another message to its
-// home. It frees only one of an engine's many slots; the room that the prompt took was
-// freed with the first event.
+// home. The delay is harmless, since the note frees only one of an engine's many slots; the
+// room that the prompt took was freed with the first event.
 const noteDelay = 50 * time.Millisecond
 
 // queueNote sends a note with the next ask to the home, or after noteDelay.
-func (h *Coordinator) queueNote(home fleet.RouterID, note *schema.TurnNote) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.pendingNotes == nil {
-		h.pendingNotes = make(map[fleet.RouterID][]*schema.TurnNote)
+func (c *Coordinator) queueNote(home fleet.RouterID, note *schema.TurnNote) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.pendingNotes == nil {
+		c.pendingNotes = make(map[fleet.RouterID][]*schema.TurnNote)
 	}
-	h.pendingNotes[home] = append(h.pendingNotes[home], note)
-	if len(h.pendingNotes[home]) == 1 {
-		time.AfterFunc(noteDelay, func() { h.Guard.Run(recovery.Home, func() { h.flushNotes(home) }) })
+	c.pendingNotes[home] = append(c.pendingNotes[home], note)
+	if len(c.pendingNotes[home]) == 1 {
+		time.AfterFunc(noteDelay, func() { c.Guard.Run(recovery.Home, func() { c.flushNotes(home) }) })
 	}
 }
 
-func (h *Coordinator) takeNotes(home fleet.RouterID) []*schema.TurnNote {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	notes := h.pendingNotes[home]
-	delete(h.pendingNotes, home)
+func (c *Coordinator) takeNotes(home fleet.RouterID) []*schema.TurnNote {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	notes := c.pendingNotes[home]
+	delete(c.pendingNotes, home)
 	return notes
 }
 
-func (h *Coordinator) flushNotes(home fleet.RouterID) {
-	if notes := h.takeNotes(home); len(notes) > 0 {
-		h.Send(home, &schema.Batch{TurnNotes: notes})
+func (c *Coordinator) flushNotes(home fleet.RouterID) {
+	if notes := c.takeNotes(home); len(notes) > 0 {
+		c.Send(home, &schema.Batch{TurnNotes: notes})
 	}
 }
--- a/home/codec.go
+++ b/home/codec.go
@@ -7,32 +7,32 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-func encodeAsk(id uint64, service fleet.ServiceID, d *turn.Request) *schema.TurnAsk {
+func encodeAsk(id uint64, service fleet.ServiceID, r *turn.Request) *schema.TurnAsk {
 	a := &schema.TurnAsk{
-		Id: id, Service: string(service), Account: string(d.Account), Input: uint32(max(d.Input, 0)), Output: uint32(max(d.Output, 0)),
-		TargetMs: schema.Millis(d.Target), PatienceMs: schema.Millis(d.Patience),
+		Id: id, Service: string(service), Account: string(r.Account), Input: uint32(max(r.Input, 0)), Output: uint32(max(r.Output, 0)),
+		TargetMs: schema.Millis(r.Target), PatienceMs: schema.Millis(r.Patience),
 	}
-	for _, b := range d.Prefixes {
-		a.Beginnings = append(a.Beginnings, &schema.PromptBeginning{Hash: b.Hash, Tokens: uint32(max(b.Tokens, 0))})
+	for _, p := range r.Prefixes {
+		a.Beginnings = append(a.Beginnings, &schema.PromptBeginning{Hash: p.Hash, Tokens: uint32(max(p.Tokens, 0))})
 	}
-	for _, i := range d.Tried {
+	for _, i := range r.Tried {
 		a.Tried = append(a.Tried, turn.EncodeInstance(i))
 	}
 	return a
 }
 
 func decodeAsk(a *schema.TurnAsk) (fleet.ServiceID, turn.Request) {
-	d := turn.Request{
+	r := turn.Request{
 		Account: fleet.AccountID(a.GetAccount()), Input: int(a.GetInput()), Output: int(a.GetOutput()),
 		Target: schema.Duration(a.GetTargetMs()), Patience: schema.Duration(a.GetPatienceMs()),
 	}
-	for _, b := range a.GetBeginnings() {
-		d.Prefixes = append(d.Prefixes, turn.Prefix{Hash: b.GetHash(), Tokens: int(b.GetTokens())})
+	for _, p := range a.GetBeginnings() {
+		r.Prefixes = append(r.Prefixes, turn.Prefix{Hash: p.GetHash(), Tokens: int(p.GetTokens())})
 	}
 	for _, t := range a.GetTried() {
-		d.Tried = append(d.Tried, turn.DecodeInstance(t))
+		r.Tried = append(r.Tried, turn.DecodeInstance(t))
 	}
-	return fleet.ServiceID(a.GetService()), d
+	return fleet.ServiceID(a.GetService()), r
 }
 
 func encodeGrant(t *turn.Ticket) *schema.TurnGrant {
--- a/home/home.go
+++ b/home/home.go
@@ -43,8 +43,8 @@
 	// FetchFrom returns the address of an upstream that has more of the prompt in its
 	// cache, or an empty string if there is none.
 	FetchFrom() string
-	// PendingPrefill returns the number of tokens that the upstream has to read before the first
-	// event.
+	// PendingPrefill returns the number of tokens that the upstream has to read before
+	// the first event.
 	PendingPrefill() int
 	// RecordFirstEvent records that the first event has arrived.
 	RecordFirstEvent(now time.Time)
@@ -52,9 +52,9 @@
 	End(now time.Time, outcome turn.Outcome)
 }
 
-// Coordinator requests turns from the homes of upstream groups, and grants turns for the groups
-// whose home is this router. All exported fields but Guard must be set. It is safe for
-// concurrent use.
+// Coordinator requests turns from the homes of upstream groups, and grants turns for the
+// groups whose home is this router. All exported fields but Guard must be set. It is safe
+// for concurrent use.
 type Coordinator struct {
 	Self fleet.RouterID
 	// Send sends a batch to another router, or drops it if that router isn't connected.
@@ -68,8 +68,8 @@
 	mu sync.Mutex
 	// routers lists this router and those connected to it.
 	routers []fleet.RouterID
-	// unresponsive holds the routers that left an ask unanswered and haven't sent
-	// anything since.
+	// unresponsive holds the routers that didn't answer an ask and haven't sent anything
+	// since.
 	unresponsive map[fleet.RouterID]bool
 	// homeByGroup caches the home of each group until the set of usable routers changes.
 	homeByGroup map[group]fleet.RouterID
@@ -92,72 +92,72 @@
 }
 
 // SetRouters replaces the list of other connected routers.
-func (h *Coordinator) SetRouters(others []fleet.RouterID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.routers = append([]fleet.RouterID{h.Self}, others...)
-	h.homeByGroup = nil
+func (c *Coordinator) SetRouters(others []fleet.RouterID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.routers = append([]fleet.RouterID{c.Self}, others...)
+	c.homeByGroup = nil
 }
 
 // IsActive reports whether turns are granted by homes. In a small fleet each router decides
 // by itself.
-func (h *Coordinator) IsActive() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return fleet.IsLarge(len(h.routers))
+func (c *Coordinator) IsActive() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return fleet.IsLarge(len(c.routers))
 }
 
 // homeOf returns the home of a group.
-func (h *Coordinator) homeOf(g group) fleet.RouterID {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if home, known := h.homeByGroup[g]; known {
+func (c *Coordinator) homeOf(g group) fleet.RouterID {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if home, known := c.homeByGroup[g]; known {
 		return home
 	}
-	candidates := make([]fleet.RouterID, 0, len(h.routers))
-	for _, r := range h.routers {
-		if !h.unresponsive[r] {
+	candidates := make([]fleet.RouterID, 0, len(c.routers))
+	for _, r := range c.routers {
+		if !c.unresponsive[r] {
 			candidates = append(candidates, r)
 		}
 	}
 	key := rendezvous.KeyOf("home", string(g.service)+"/"+strconv.Itoa(g.number))
-	if h.homeByGroup == nil {
-		h.homeByGroup = make(map[group]fleet.RouterID)
+	if c.homeByGroup == nil {
+		c.homeByGroup = make(map[group]fleet.RouterID)
 	}
-	h.homeByGroup[g] = rendezvous.Pick(key, candidates)
-	return h.homeByGroup[g]
+	c.homeByGroup[g] = rendezvous.Pick(key, candidates)
+	return c.homeByGroup[g]
 }
 
-// RequestTurn waits until the request is granted a turn. It returns *turn.RefusedError if the
-// turn can't come in time, or the error of ctx.
-func (h *Coordinator) RequestTurn(ctx context.Context, service fleet.ServiceID, pool *turn.Pool, d turn.Request) (Ticket, error) {
-	number, grouped := pool.GroupOf(&d)
-	if !grouped || !h.IsActive() {
-		return AwaitLocal(ctx, pool, d)
+// RequestTurn waits until the request is granted a turn. It returns *turn.RefusedError if
+// it can't be granted one in time, or the error of ctx.
+func (c *Coordinator) RequestTurn(ctx context.Context, service fleet.ServiceID, pool *turn.Pool, r turn.Request) (Ticket, error) {
+	number, grouped := pool.GroupOf(&r)
+	if !grouped || !c.IsActive() {
+		return AwaitLocal(ctx, pool, r)
 	}
-	deadline := time.Now().Add(d.Patience)
+	deadline := time.Now().Add(r.Patience)
 	for range maxHomes {
-		home := h.homeOf(group{service, number})
-		if home == h.Self {
+		home := c.homeOf(group{service, number})
+		if home == c.Self {
 			break
 		}
-		ticket, err := h.ask(ctx, home, service, pool, d)
+		ticket, err := c.ask(ctx, home, service, pool, r)
 		var noAnswer *NoAnswerError
 		var upstreamGone *UpstreamGoneError
 		switch {
 		case errors.As(err, &upstreamGone):
-			d.Tried = append(slices.Clone(d.Tried), upstreamGone.Instance)
+			r.Tried = append(slices.Clone(r.Tried), upstreamGone.Instance)
 		case !errors.As(err, &noAnswer):
 			return ticket, err
 		}
-		d.Patience = max(time.Until(deadline), 0)
+		r.Patience = max(time.Until(deadline), 0)
 	}
-	return AwaitLocal(ctx, pool, d)
+	return AwaitLocal(ctx, pool, r)
 }
 
 // AwaitLocal waits for a turn that this router grants by itself.
-func AwaitLocal(ctx context.Context, pool *turn.Pool, d turn.Request) (Ticket, error) {
-	ticket, err := pool.Submit(time.Now(), d)
+func AwaitLocal(ctx context.Context, pool *turn.Pool, r turn.Request) (Ticket, error) {
+	ticket, err := pool.Submit(time.Now(), r)
 	if err != nil {
 		return nil, err
 	}
@@ -187,44 +187,44 @@
 }
 
 // HandleBatch handles a batch from another router.
-func (h *Coordinator) HandleBatch(from fleet.RouterID, batch *schema.Batch) {
-	h.markResponsive(from)
+func (c *Coordinator) HandleBatch(from fleet.RouterID, batch *schema.Batch) {
+	c.markResponsive(from)
 	for _, n := range batch.GetTurnNotes() {
-		h.handleNote(from, n) // handled before the asks, since notes free places
+		c.handleNote(from, n) // handled before the asks, since notes free places
 	}
-	h.recordShed(batch)
+	c.recordShed(batch)
 	for _, a := range batch.GetTurnAsks() {
-		h.handleAsk(from, a)
+		c.handleAsk(from, a)
 	}
 	for _, a := range batch.GetTurnAnswers() {
-		h.handleAnswer(from, a)
+		c.handleAnswer(from, a)
 	}
 }
 
 // markResponsive makes a router eligible as a home again once it has sent something.
-func (h *Coordinator) markResponsive(from fleet.RouterID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.unresponsive[from] {
-		delete(h.unresponsive, from)
-		h.homeByGroup = nil
-		h.Log.Info("home answers again", "home", from)
+func (c *Coordinator) markResponsive(from fleet.RouterID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.unresponsive[from] {
+		delete(c.unresponsive, from)
+		c.homeByGroup = nil
+		c.Log.Info("home answers again", "home", from)
 	}
 }
 
-// HandleDisconnect handles the end of the connection to a router. Its turns are released: if the
-// router has stopped, its requests have ended with it, and otherwise it asks again.
-func (h *Coordinator) HandleDisconnect(router fleet.RouterID) {
-	h.mu.Lock()
-	turns := h.peerTurns[router]
-	delete(h.peerTurns, router)
-	delete(h.unresponsive, router)
-	for _, a := range h.pendingAsks {
+// HandleDisconnect handles the end of the connection to a router. Its turns are released:
+// if the router has stopped, its requests have ended with it, and otherwise it asks again.
+func (c *Coordinator) HandleDisconnect(router fleet.RouterID) {
+	c.mu.Lock()
+	turns := c.peerTurns[router]
+	delete(c.peerTurns, router)
+	delete(c.unresponsive, router)
+	for _, a := range c.pendingAsks {
 		if a.home == router {
 			a.disconnect()
 		}
 	}
-	h.mu.Unlock()
+	c.mu.Unlock()
 	for _, t := range turns {
 		t.end(turn.Abandoned)
 	}
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -70,16 +70,16 @@
 	return n
 }
 
-// connect tells each router about the others.
+// connect sets each router's list of the others.
 func (n *network) connect() {
-	for id, homes := range n.routers {
+	for id, coordinator := range n.routers {
 		var others []fleet.RouterID
 		for other := range n.routers {
 			if other != id {
 				others = append(others, other)
 			}
 		}
-		homes.SetRouters(others)
+		coordinator.SetRouters(others)
 	}
 }
 
@@ -117,8 +117,7 @@
 	return n.askCount[id]
 }
 
-// kill removes a router from the network and tells another one that its connection has
-// ended.
+// kill removes a router from the network and ends another one's connection to it.
 func (n *network) kill(killed, other fleet.RouterID) {
 	n.mu.Lock()
 	delete(n.routers, killed)
@@ -146,13 +145,12 @@
 	return most
 }
 
-func (n *network) turn(ctx context.Context, router fleet.RouterID, d turn.Request) (home.Ticket, error) {
-	return n.routers[router].RequestTurn(ctx, "s", n.pools[router], d)
+func (n *network) turn(ctx context.Context, router fleet.RouterID, r turn.Request) (home.Ticket, error) {
+	return n.routers[router].RequestTurn(ctx, "s", n.pools[router], r)
 }
 
-// demandFor returns a demand whose prompt shares its beginning with all others of the
-// same prefix.
-func demandFor(prefix, prompt uint64) turn.Request {
+// requestFor returns a request whose prompt starts with the shared prefix of that hash.
+func requestFor(prefix, prompt uint64) turn.Request {
 	return turn.Request{
 		Account: "a", Input: 12_000, Output: 100, Target: target, Patience: target / 2,
 		Prefixes: []turn.Prefix{{Hash: prefix, Tokens: 10_000}, {Hash: prompt, Tokens: 12_000}},
@@ -172,7 +170,7 @@
 		var group sync.WaitGroup
 		for i := range uint64(20) {
 			group.Go(func() {
-				ticket, err := n.turn(t.Context(), fleet.RouterID(fmt.Sprintf("r%d", i)), demandFor(100+i, 200+i))
+				ticket, err := n.turn(t.Context(), fleet.RouterID(fmt.Sprintf("r%d", i)), requestFor(100+i, 200+i))
 				mu.Lock()
 				defer mu.Unlock()
 				var e *turn.RefusedError
@@ -190,13 +188,13 @@
 }
 
 // Guards against a frozen or isolated home that keeps its connections open and delays
-// each request that it should decide on. Only the first request may lose a tenth of a
-// second. The home decides again once it sends something.
-func TestSilentHomeIsPassedOver(t *testing.T) {
+// every request of its group. Only the first request may be delayed, by a tenth of a
+// second. The home is asked again once it has sent something.
+func TestUnresponsiveHomeIsSkipped(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		n := startNetwork(20, 1)
-		first, err := n.turn(t.Context(), "r1", demandFor(1, 2))
+		first, err := n.turn(t.Context(), "r1", requestFor(1, 2))
 		require.NoError(t, err)
 		first.End(time.Now(), turn.Served)
 		time.Sleep(100 * time.Millisecond) // until the home knows that it has ended
@@ -208,7 +206,7 @@
 		}
 		ask := func() time.Duration {
 			begin := time.Now()
-			ticket, err := n.turn(t.Context(), asking, demandFor(1, 3))
+			ticket, err := n.turn(t.Context(), asking, requestFor(1, 3))
 			require.NoError(t, err)
 			ticket.End(time.Now(), turn.Served)
 			return time.Since(begin)
@@ -225,7 +223,7 @@
 
 // A router is short of processor time and reads each answer 200 ms late. With a fixed
 // timeout all homes would seem unresponsive, and it would decide by itself, in conflict
-// with them. It has to learn how long answers take and wait for them.
+// with them. It has to measure how long answers take and wait for them.
 func TestSlowRouterWaitsForItsHomes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -234,7 +232,7 @@
 		decidedAlone := 0
 		for i := range uint64(20) {
 			before := n.totalAsks()
-			ticket, err := n.turn(t.Context(), "r1", demandFor(1, i))
+			ticket, err := n.turn(t.Context(), "r1", requestFor(1, i))
 			if err == nil {
 				ticket.End(time.Now(), turn.Served)
 			}
@@ -257,7 +255,7 @@
 			n.setIsolated(id, true)
 		}
 		begin := time.Now()
-		ticket, err := n.turn(t.Context(), "r1", demandFor(1, 2))
+		ticket, err := n.turn(t.Context(), "r1", requestFor(1, 2))
 		require.NoError(t, err)
 		require.Equal(t, fleet.UpstreamID("e0"), ticket.Upstream().ID)
 		require.LessOrEqual(t, time.Since(begin), 240*time.Millisecond)
@@ -270,7 +268,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		n := startNetwork(20, 1)
-		running, err := n.turn(t.Context(), "r1", demandFor(1, 2))
+		running, err := n.turn(t.Context(), "r1", requestFor(1, 2))
 		require.NoError(t, err)
 		require.NotNil(t, running)
 		killed := n.mostAsked()
@@ -279,34 +277,34 @@
 			asking = "r4"
 		}
 		time.AfterFunc(50*time.Millisecond, func() { n.kill(killed, asking) })
-		d := demandFor(9, 10)
-		d.Input = 40_000
-		ticket, err := n.turn(t.Context(), asking, d)
+		r := requestFor(9, 10)
+		r.Input = 40_000
+		ticket, err := n.turn(t.Context(), asking, r)
 		require.NoError(t, err)
 		require.NotNil(t, ticket)
 		time.Sleep(time.Second) // until the wait at the killed home has ended too
 	})
 }
 
-// Guards against an engine that stays occupied by requests that are gone: one whose
+// Guards against an engine that stays occupied by requests that have ended: one whose
 // caller left while it waited at the home, and one whose router lost power while it ran.
 func TestTurnsOfRequestsThatLeftAreReleased(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		n := startNetwork(20, 1)
-		running, err := n.turn(t.Context(), "r1", demandFor(1, 2))
+		running, err := n.turn(t.Context(), "r1", requestFor(1, 2))
 		require.NoError(t, err)
 		require.NotNil(t, running)
 		deciding := n.mostAsked()
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		big := demandFor(3, 4)
+		big := requestFor(3, 4)
 		big.Input = 60_000
 		_, err = n.turn(ctx, "r2", big)
 		require.ErrorIs(t, err, context.Canceled)
 		time.Sleep(5 * messageDelay)
 		n.routers[deciding].HandleDisconnect("r1")
-		ticket, err := n.turn(t.Context(), "r5", demandFor(5, 6))
+		ticket, err := n.turn(t.Context(), "r5", requestFor(5, 6))
 		require.NoError(t, err)
 		require.Equal(t, 12_000, ticket.PendingPrefill())
 	})
@@ -318,7 +316,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		n := startNetwork(20, 2)
-		first, err := n.turn(t.Context(), "r1", demandFor(1, 2))
+		first, err := n.turn(t.Context(), "r1", requestFor(1, 2))
 		require.NoError(t, err)
 		first.End(time.Now(), turn.Served)
 		gone := first.Upstream()
@@ -329,15 +327,15 @@
 			}
 		}
 		n.pools["r1"].SetUpstreams(time.Now(), rest, target)
-		ticket, err := n.turn(t.Context(), "r1", demandFor(1, 3))
+		ticket, err := n.turn(t.Context(), "r1", requestFor(1, 3))
 		require.NoError(t, err)
 		require.NotEqual(t, gone.ID, ticket.Upstream().ID)
 	})
 }
 
-// A router refuses requests without asking for turns, since it is overloaded. Each home
-// has to learn its part, or it takes the account for fully served and lets others have
-// several times its service.
+// An overloaded router refuses requests without asking for turns. Each home has to be sent
+// its part of these tokens. Otherwise the account would seem to have no unmet demand, and
+// others would get several times its service.
 func TestShedTokensReachHomes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -348,8 +346,8 @@
 		time.Sleep(time.Second / 4)
 		reported, homes := 0.0, 0
 		for _, pool := range n.pools {
-			for _, standing := range pool.Report(time.Now()).Accounts {
-				reported += standing.Shed
+			for _, usage := range pool.Report(time.Now()).Accounts {
+				reported += usage.Shed
 				homes++
 			}
 		}
@@ -376,7 +374,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		n := startNetwork(6, 2)
-		ticket, err := n.turn(t.Context(), "r1", demandFor(1, 2))
+		ticket, err := n.turn(t.Context(), "r1", requestFor(1, 2))
 		require.NoError(t, err)
 		require.NotNil(t, ticket)
 		require.Empty(t, n.askCount)
@@ -389,15 +387,15 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		n := startNetwork(20, 1)
-		long := demandFor(1, 2)
+		long := requestFor(1, 2)
 		long.Input = 60_000
 		_, err := n.turn(t.Context(), "r1", long)
 		require.NoError(t, err)
 		errs := make(chan error, 1)
-		d := demandFor(1, 3)
-		d.Patience = time.Hour
+		r := requestFor(1, 3)
+		r.Patience = time.Hour
 		go func() {
-			_, err := n.turn(t.Context(), "r2", d)
+			_, err := n.turn(t.Context(), "r2", r)
 			errs <- err
 		}()
 		time.Sleep(10 * messageDelay)
--- a/home/machine_test.go
+++ b/home/machine_test.go
@@ -24,8 +24,8 @@
 	// simulationRouters and simulationEngines are the size of the simulated fleet.
 	simulationRouters = 18
 	simulationEngines = 4
-	// maxOverrun is the longest that a request may wait beyond its patience: two homes
-	// that don't answer for 0.5 s each, and half of its patience more for an account that
+	// maxOverrun is the longest that a request may wait beyond its patience: 0.5 s for
+	// each of two homes that don't answer, and half of its patience for an account that
 	// has received little service.
 	maxOverrun = 2*500*time.Millisecond + target/4
 )
@@ -50,8 +50,8 @@
 // caller leaves first.
 func (m *simulation) ask(ctx context.Context) {
 	router := m.randomRouter()
-	d := demandFor(m.random.Uint64N(6), m.random.Uint64())
-	d.Input = 10_000 + m.random.IntN(60_000)
+	r := requestFor(m.random.Uint64N(6), m.random.Uint64())
+	r.Input = 10_000 + m.random.IntN(60_000)
 	callerTimeout := time.Hour
 	if m.random.IntN(3) == 0 {
 		callerTimeout = time.Duration(m.random.IntN(400)) * time.Millisecond
@@ -62,8 +62,8 @@
 		ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 		defer cancel()
 		begin := time.Now()
-		ticket, err := m.turn(ctx, router, d)
-		m.recordOverrun(time.Since(begin) - min(d.Patience, callerTimeout))
+		ticket, err := m.turn(ctx, router, r)
+		m.recordOverrun(time.Since(begin) - min(r.Patience, callerTimeout))
 		if err != nil {
 			return
 		}
@@ -101,7 +101,7 @@
 	}
 }
 
-// disconnect tells one router that its connection to another has ended.
+// disconnect ends one router's connection to another.
 func (m *simulation) disconnect() {
 	if lost, other := m.randomRouter(), m.randomRouter(); lost != other {
 		m.routers[other].HandleDisconnect(lost)
--- a/home/roundtrip.go
+++ b/home/roundtrip.go
@@ -58,7 +58,7 @@
 	r.overdue[id] = asked
 }
 
-// observeLate measures the round trip of an ask whose answer came after its timeout.
+// observeLate measures the round trip of an ask that was answered after its timeout.
 func (r *roundTrip) observeLate(now time.Time, id uint64) {
 	asked, known := r.overdue[id]
 	if !known {
--- a/home/serve.go
+++ b/home/serve.go
@@ -27,108 +27,108 @@
 }
 
 // handleAsk answers another router's ask.
-func (h *Coordinator) handleAsk(from fleet.RouterID, a *schema.TurnAsk) {
-	service, demand := decodeAsk(a)
-	pool := h.Pool(service)
+func (c *Coordinator) handleAsk(from fleet.RouterID, a *schema.TurnAsk) {
+	service, request := decodeAsk(a)
+	pool := c.Pool(service)
 	if pool == nil {
-		h.sendRefusal(from, a.GetId(), &turn.RefusedError{NoUpstream: true, RetryAfter: homeRetryAfter})
+		c.sendRefusal(from, a.GetId(), &turn.RefusedError{NoUpstream: true, RetryAfter: homeRetryAfter})
 		return
 	}
-	ticket, err := pool.Submit(time.Now(), demand)
+	ticket, err := pool.Submit(time.Now(), request)
 	var refused *turn.RefusedError
 	if errors.As(err, &refused) {
-		h.sendRefusal(from, a.GetId(), refused)
+		c.sendRefusal(from, a.GetId(), refused)
 		return
 	}
 	t := &peerTurn{ticket: ticket, done: make(chan struct{})}
-	h.addPeerTurn(from, a.GetId(), t)
+	c.addPeerTurn(from, a.GetId(), t)
 	select {
 	case <-ticket.Granted():
-		h.sendGrant(from, a.GetId(), t)
+		c.sendGrant(from, a.GetId(), t)
 		return
 	default:
 	}
-	h.sendAnswer(from, &schema.TurnAnswer{Id: a.GetId(), Kind: &schema.TurnAnswer_PatienceMs{PatienceMs: schema.Millis(ticket.Patience())}})
-	go h.awaitTurnGuarded(from, a.GetId(), t)
+	c.sendAnswer(from, &schema.TurnAnswer{Id: a.GetId(), Kind: &schema.TurnAnswer_PatienceMs{PatienceMs: schema.Millis(ticket.Patience())}})
+	go c.awaitTurnGuarded(from, a.GetId(), t)
 }
 
 // awaitTurnGuarded runs awaitTurn and refuses the ask if it panics.
-func (h *Coordinator) awaitTurnGuarded(from fleet.RouterID, id uint64, t *peerTurn) {
-	if h.Guard.Run(recovery.Home, func() { h.awaitTurn(from, id, t) }, "other", from) {
-		h.removePeerTurn(from, id)
-		h.sendRefusal(from, id, &turn.RefusedError{RetryAfter: homeRetryAfter})
+func (c *Coordinator) awaitTurnGuarded(from fleet.RouterID, id uint64, t *peerTurn) {
+	if c.Guard.Run(recovery.Home, func() { c.awaitTurn(from, id, t) }, "other", from) {
+		c.removePeerTurn(from, id)
+		c.sendRefusal(from, id, &turn.RefusedError{RetryAfter: homeRetryAfter})
 	}
 }
 
 // awaitTurn sends the second answer of an ask that has to wait: the grant, or a refusal
 // once its patience has run out.
-func (h *Coordinator) awaitTurn(from fleet.RouterID, id uint64, t *peerTurn) {
+func (c *Coordinator) awaitTurn(from fleet.RouterID, id uint64, t *peerTurn) {
 	patience := time.NewTimer(t.ticket.Patience())
 	defer patience.Stop()
 	select {
 	case <-t.ticket.Granted():
-		h.sendGrant(from, id, t)
+		c.sendGrant(from, id, t)
 	case refused := <-t.ticket.Refused():
-		h.removePeerTurn(from, id)
-		h.sendRefusal(from, id, refused)
+		c.removePeerTurn(from, id)
+		c.sendRefusal(from, id, refused)
 	case <-patience.C:
 		refused := t.ticket.Cancel(time.Now())
 		if refused == nil {
-			h.sendGrant(from, id, t)
+			c.sendGrant(from, id, t)
 			return
 		}
-		h.removePeerTurn(from, id)
-		h.sendRefusal(from, id, refused)
+		c.removePeerTurn(from, id)
+		c.sendRefusal(from, id, refused)
 	case <-t.done:
 	}
 }
 
-func (h *Coordinator) addPeerTurn(from fleet.RouterID, id uint64, t *peerTurn) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.peerTurns == nil {
-		h.peerTurns = make(map[fleet.RouterID]map[uint64]*peerTurn)
+func (c *Coordinator) addPeerTurn(from fleet.RouterID, id uint64, t *peerTurn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.peerTurns == nil {
+		c.peerTurns = make(map[fleet.RouterID]map[uint64]*peerTurn)
 	}
-	if h.peerTurns[from] == nil {
-		h.peerTurns[from] = make(map[uint64]*peerTurn)
+	if c.peerTurns[from] == nil {
+		c.peerTurns[from] = make(map[uint64]*peerTurn)
 	}
-	h.peerTurns[from][id] = t
+	c.peerTurns[from][id] = t
 }
 
 // removePeerTurn removes a turn and returns it, or nil if it is unknown.
-func (h *Coordinator) removePeerTurn(from fleet.RouterID, id uint64) *peerTurn {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	t := h.peerTurns[from][id]
-	delete(h.peerTurns[from], id)
+func (c *Coordinator) removePeerTurn(from fleet.RouterID, id uint64) *peerTurn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.peerTurns[from][id]
+	delete(c.peerTurns[from], id)
 	return t
 }
 
-func (h *Coordinator) sendGrant(to fleet.RouterID, id uint64, t *peerTurn) {
-	h.sendAnswer(to, &schema.TurnAnswer{Id: id, Kind: &schema.TurnAnswer_Grant{Grant: encodeGrant(t.ticket)}})
+func (c *Coordinator) sendGrant(to fleet.RouterID, id uint64, t *peerTurn) {
+	c.sendAnswer(to, &schema.TurnAnswer{Id: id, Kind: &schema.TurnAnswer_Grant{Grant: encodeGrant(t.ticket)}})
 }
 
-func (h *Coordinator) sendRefusal(to fleet.RouterID, id uint64, e *turn.RefusedError) {
-	h.sendAnswer(to, &schema.TurnAnswer{Id: id, Kind: &schema.TurnAnswer_Refusal{Refusal: encodeRefusal(e)}})
+func (c *Coordinator) sendRefusal(to fleet.RouterID, id uint64, e *turn.RefusedError) {
+	c.sendAnswer(to, &schema.TurnAnswer{Id: id, Kind: &schema.TurnAnswer_Refusal{Refusal: encodeRefusal(e)}})
 }
 
-func (h *Coordinator) sendAnswer(to fleet.RouterID, a *schema.TurnAnswer) {
-	h.Send(to, &schema.Batch{TurnAnswers: []*schema.TurnAnswer{a}})
+func (c *Coordinator) sendAnswer(to fleet.RouterID, a *schema.TurnAnswer) {
+	c.Send(to, &schema.Batch{TurnAnswers: []*schema.TurnAnswer{a}})
 }
 
-// handleNote updates the turn that a note is about. The turn is unknown if the connection
-// was lost in the meantime.
-func (h *Coordinator) handleNote(from fleet.RouterID, n *schema.TurnNote) {
+// handleNote applies a note to its turn. The turn is unknown if the connection was lost in
+// the meantime.
+func (c *Coordinator) handleNote(from fleet.RouterID, n *schema.TurnNote) {
 	if n.GetRead() {
-		h.mu.Lock()
-		t := h.peerTurns[from][n.GetId()]
-		h.mu.Unlock()
+		c.mu.Lock()
+		t := c.peerTurns[from][n.GetId()]
+		c.mu.Unlock()
 		if t != nil {
 			t.ticket.RecordFirstEvent(time.Now())
 		}
 		return
 	}
-	t := h.removePeerTurn(from, n.GetId())
+	t := c.removePeerTurn(from, n.GetId())
 	switch {
 	case t == nil:
 	case n.GetLeft():
