--- a/share/deficit.go
+++ b/share/deficit.go
@@ -11,7 +11,7 @@
 const defaultQuantum fleet.Tokens = 500
 
 // DeficitRoundRobin visits the waiting accounts in turn and lets each start requests
-// worth one quantum per round. It is the cheap baseline for fair orders. It doesn't
+// worth one quantum per round. It is the cheap baseline for fair policies. It doesn't
 // compare accounts and keeps no record of their service, so an account that returns from
 // idle is neither lifted nor held back, and dispatchers can't exchange service. Its zero
 // value is ready to use.
@@ -24,12 +24,12 @@
 
 type robinAccount[K comparable] struct {
 	key     K
-	waiting Backlog
+	backlog Backlog
 	balance fleet.Tokens
 }
 
 // SetBacklog replaces what is known about key's waiting requests.
-func (d *DeficitRoundRobin[K]) SetBacklog(key K, waiting Backlog) {
+func (d *DeficitRoundRobin[K]) SetBacklog(key K, backlog Backlog) {
 	a := d.accounts[key]
 	if a == nil {
 		if d.accounts == nil {
@@ -38,12 +38,12 @@
 		a = &robinAccount[K]{key: key}
 		d.accounts[key] = a
 	}
-	previous := a.waiting.Requests
-	a.waiting = waiting
+	previous := a.backlog.Requests
+	a.backlog = backlog
 	switch {
-	case previous == 0 && waiting.Requests > 0:
+	case previous == 0 && backlog.Requests > 0:
 		d.active = append(d.active, a)
-	case previous > 0 && waiting.Requests == 0:
+	case previous > 0 && backlog.Requests == 0:
 		d.active = slices.DeleteFunc(d.active, func(other *robinAccount[K]) bool { return other == a })
 		a.balance = min(a.balance, 0)
 	}
@@ -86,7 +86,7 @@
 	if quantum <= 0 {
 		quantum = defaultQuantum
 	}
-	return quantum * fleet.Tokens(max(a.waiting.Weight, 1))
+	return quantum * fleet.Tokens(max(a.backlog.Weight, 1))
 }
 
 // Start adds the rounds that key needs for a positive balance and subtracts the estimate
@@ -118,7 +118,7 @@
 	}
 }
 
-// End returns the estimate to key's balance; Correct has subtracted the service that the
+// End returns the estimate to key's balance; AddService has subtracted the service that the
 // request received.
 func (d *DeficitRoundRobin[K]) End(key K, estimate fleet.Tokens) { d.AddService(key, -estimate) }
 
--- a/share/exchange.go
+++ b/share/exchange.go
@@ -48,13 +48,13 @@
 		a.isLifted = a.otherService < a.otherFloor
 		a.otherService = max(a.otherService, a.otherFloor)
 	}
-	others := fleet.Tokens(max(a.waiting.Dispatchers, 1) - 1)
+	others := fleet.Tokens(max(a.backlog.Dispatchers, 1) - 1)
 	a.assumedElsewhere = others * max(a.load()-a.reportedLoad, 0)
 	f.requeue(a)
 }
 
-// MarkReassigned makes the next Reports return key with its known service as the floor and a
-// cumulative amount that restarts from zero. Otherwise a new keeper would give each
+// MarkReassigned makes the next Reports return key with its known service as the floor and
+// a cumulative amount that restarts from zero. Otherwise a new keeper would give each
 // account a total without its lifts, and those that were lifted most would be served
 // alone until they had caught up again. The floor already contains the former cumulative
 // amounts, so sending these too would count them twice.
--- a/share/exchange_test.go
+++ b/share/exchange_test.go
@@ -24,7 +24,7 @@
 	return p
 }
 
-func (p *dispatcherPool) wait(key string) {
+func (p *dispatcherPool) setBacklog(key string) {
 	for _, d := range p.dispatchers {
 		d.SetBacklog(key, share.Backlog{Weight: 1, Requests: 9, Dispatchers: len(p.dispatchers)})
 	}
@@ -50,8 +50,8 @@
 func TestServiceElsewhereCounts(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
-	p.wait("busy")
-	p.wait("other")
+	p.setBacklog("busy")
+	p.setBacklog("other")
 	for range 10 {
 		p.dispatchers[0].AddService("busy", 100)
 	}
@@ -65,19 +65,19 @@
 
 // Guards against every dispatcher serving the same account, the one with the least
 // service, between two exchanges, which would give it a multiple of what it lacked. Each
-// dispatcher adds what it assumes of the others, turns to the next account sooner, and
-// drops the assumption with the next total.
+// dispatcher adds the load that it assumes at the others, so it serves the next account
+// sooner, and drops the assumption with the next total.
 func TestDispatchersDoNotAllServeTheLowest(t *testing.T) {
 	t.Parallel()
-	startsBehind := func(asked int) int {
+	startsBehind := func(dispatchers int) int {
 		p := newPool(6)
 		for i, d := range p.dispatchers {
-			d.SetBacklog("behind", share.Backlog{Weight: 1, Requests: 99, Dispatchers: asked})
+			d.SetBacklog("behind", share.Backlog{Weight: 1, Requests: 99, Dispatchers: dispatchers})
 			d.AddService("ahead", 6000)
 			for _, report := range d.Reports(0) {
 				p.keeper.Report(i, report)
 			}
-			d.SetBacklog("ahead", share.Backlog{Weight: 1, Requests: 99, Dispatchers: asked})
+			d.SetBacklog("ahead", share.Backlog{Weight: 1, Requests: 99, Dispatchers: dispatchers})
 			d.Observe("ahead", share.Total{Sum: 6000, OwnReported: 6000})
 		}
 		starts := 0
@@ -109,11 +109,11 @@
 
 // The keeper's router is killed, and another keeper starts without state. If the totals
 // restarted from zero, each account would get its past service a second time; if floors
-// and cumulative amounts were both counted, it would be held back for as long.
+// and cumulative amounts were both counted, its past service would count twice.
 func TestNewKeeperLearnsTheTotals(t *testing.T) {
 	t.Parallel()
 	p := newPool(3)
-	p.wait("a")
+	p.setBacklog("a")
 	for i, d := range p.dispatchers {
 		d.AddService("a", fleet.Tokens(1000*(i+1)))
 	}
@@ -137,12 +137,12 @@
 func TestServiceOfALostDispatcherStays(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
-	p.wait("a")
+	p.setBacklog("a")
 	p.dispatchers[0].AddService("a", 4000)
 	p.exchange(0)
 	p.keeper.RemoveDispatcher(0)
 	p.dispatchers[0] = &share.Fair[string]{}
-	p.wait("a")
+	p.setBacklog("a")
 	p.dispatchers[0].AddService("a", 10)
 	p.exchange(0)
 	require.Equal(t, fleet.Tokens(4010), p.dispatchers[1].Service("a"))
@@ -154,10 +154,10 @@
 func TestOlderTotalDoesNotUndoALift(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
-	p.wait("steady")
+	p.setBacklog("steady")
 	p.dispatchers[0].AddService("steady", 5000)
 	p.exchange(0)
-	p.wait("returned")
+	p.setBacklog("returned")
 	p.dispatchers[0].Observe("returned", share.Total{})
 	require.Equal(t, fleet.Tokens(5000), p.dispatchers[0].Service("returned"))
 	p.dispatchers[0].AddService("returned", 100)
@@ -184,7 +184,7 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(rapid.IntRange(2, 6).Draw(t, "dispatchers"))
-		p.wait("a")
+		p.setBacklog("a")
 		var sum fleet.Tokens
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "exchange") {
@@ -208,8 +208,8 @@
 func TestRequestsInFlightElsewhereCount(t *testing.T) {
 	t.Parallel()
 	p := newPool(2)
-	p.wait("busy")
-	p.wait("other")
+	p.setBacklog("busy")
+	p.setBacklog("other")
 	p.dispatchers[0].Start("busy", 4000)
 	p.exchange(0)
 	p.dispatchers[1].Start("other", 400)
--- a/share/fair.go
+++ b/share/fair.go
@@ -26,7 +26,7 @@
 // Its service across the fleet is otherService + ownService.
 type account[K comparable] struct {
 	key     K
-	waiting Backlog
+	backlog Backlog
 	// ownService is the service of this dispatcher's requests. otherService is the known
 	// service of the other dispatchers' requests, including lifts.
 	ownService   fleet.Tokens
@@ -38,8 +38,8 @@
 	// flight, and outstandingElsewhere that of the other dispatchers.
 	outstanding          fleet.Tokens
 	outstandingElsewhere fleet.Tokens
-	// assumedElsewhere is the load that the other dispatchers asked for the same requests
-	// are assumed to have added since the last exchange.
+	// assumedElsewhere is the load that other dispatchers, asked to serve the same
+	// requests, are assumed to have added since the last exchange.
 	assumedElsewhere fleet.Tokens
 	// reportedLoad is the load that Reports last returned.
 	reportedLoad fleet.Tokens
@@ -56,7 +56,7 @@
 
 // servicePerWeight returns the account's service across the fleet divided by its weight.
 func (a *account[K]) servicePerWeight() float64 {
-	return float64(a.otherService+a.ownService) / float64(max(a.waiting.Weight, 1))
+	return float64(a.otherService+a.ownService) / float64(max(a.backlog.Weight, 1))
 }
 
 // load returns the account's load at this dispatcher: its service plus half of the
@@ -76,11 +76,11 @@
 
 // SetBacklog replaces what is known about key's waiting requests, and lifts an account that
 // returns from idle.
-func (f *Fair[K]) SetBacklog(key K, waiting Backlog) {
+func (f *Fair[K]) SetBacklog(key K, backlog Backlog) {
 	a := f.account(key)
-	isReturning := a.waiting.Requests == 0 && waiting.Requests > 0
-	a.waiting = waiting
-	if waiting.Requests == 0 {
+	isReturning := a.backlog.Requests == 0 && backlog.Requests > 0
+	a.backlog = backlog
+	if backlog.Requests == 0 {
 		f.waiting.remove(a)
 		return
 	}
@@ -104,7 +104,7 @@
 // raiseService raises an account's service per weight to at least target, to be reported
 // to its keeper.
 func (f *Fair[K]) raiseService(a *account[K], target float64) {
-	floor := fleet.Tokens(target * float64(max(a.waiting.Weight, 1)))
+	floor := fleet.Tokens(target * float64(max(a.backlog.Weight, 1)))
 	if floor <= a.otherService+a.ownService {
 		return
 	}
@@ -153,7 +153,7 @@
 // addLoad accounts for a change of an account's load by amount. It assumes the same
 // change at each of the other dispatchers that were asked.
 func (f *Fair[K]) addLoad(a *account[K], amount fleet.Tokens) {
-	others := fleet.Tokens(max(a.waiting.Dispatchers, 1) - 1)
+	others := fleet.Tokens(max(a.backlog.Dispatchers, 1) - 1)
 	a.assumedElsewhere = max(a.assumedElsewhere+others*amount, 0)
 	f.markChanged(a)
 	f.requeue(a)
@@ -162,11 +162,11 @@
 // requeue updates the virtual time of an account and its position in the queue, if it
 // waits.
 func (f *Fair[K]) requeue(a *account[K]) {
-	if a.waiting.Requests == 0 {
+	if a.backlog.Requests == 0 {
 		return
 	}
 	load := a.otherService + a.ownService + (a.outstanding+a.outstandingElsewhere)/2 + a.assumedElsewhere
-	a.virtualTime = float64(load) / float64(max(a.waiting.Weight, 1))
+	a.virtualTime = float64(load) / float64(max(a.backlog.Weight, 1))
 	f.waiting.update(a)
 }
 
--- a/share/first_come.go
+++ b/share/first_come.go
@@ -14,15 +14,15 @@
 // arrival is an account's oldest waiting request.
 type arrival[K comparable] struct {
 	key     K
-	waiting Backlog
+	backlog Backlog
 	// number breaks ties between accounts that began to wait at the same instant.
 	number   uint64
 	position int
 }
 
 func (a *arrival[K]) less(other *arrival[K]) bool {
-	if !a.waiting.OldestSince.Equal(other.waiting.OldestSince) {
-		return a.waiting.OldestSince.Before(other.waiting.OldestSince)
+	if !a.backlog.OldestSince.Equal(other.backlog.OldestSince) {
+		return a.backlog.OldestSince.Before(other.backlog.OldestSince)
 	}
 	return a.number < other.number
 }
@@ -30,9 +30,9 @@
 func (a *arrival[K]) positionPtr() *int { return &a.position }
 
 // SetBacklog replaces what is known about key's waiting requests.
-func (f *FirstCome[K]) SetBacklog(key K, waiting Backlog) {
+func (f *FirstCome[K]) SetBacklog(key K, backlog Backlog) {
 	a := f.accounts[key]
-	if waiting.Requests == 0 {
+	if backlog.Requests == 0 {
 		f.Forget(key)
 		return
 	}
@@ -44,7 +44,7 @@
 		a = &arrival[K]{key: key, number: f.arrivals}
 		f.accounts[key] = a
 	}
-	a.waiting = waiting
+	a.backlog = backlog
 	f.waiting.update(a)
 }
 
--- a/share/keeper.go
+++ b/share/keeper.go
@@ -14,7 +14,7 @@
 	dispatchers map[D]dispatcherReport
 	sum         fleet.Tokens
 	outstanding fleet.Tokens
-	// adjustment is what is added to sum for floors and for dispatchers that are gone.
+	// adjustment is added to sum for floors and for removed dispatchers.
 	adjustment fleet.Tokens
 }
 
@@ -52,9 +52,9 @@
 	return Total{Sum: a.sum + a.adjustment, OwnReported: own.cumulative, Outstanding: a.outstanding - own.outstanding}
 }
 
-// RemoveDispatcher records that a dispatcher stopped or restarted, so that its cumulative amounts
-// restart from zero. Its past service stays in the totals, as each account would
-// otherwise get credit for service that it did receive.
+// RemoveDispatcher records that a dispatcher stopped or restarted, so that its cumulative
+// amounts restart from zero. Its past service stays in the totals; otherwise each account
+// would be given as much service again.
 func (k *Keeper[K, D]) RemoveDispatcher(dispatcher D) {
 	for _, a := range k.accounts {
 		last, ok := a.dispatchers[dispatcher]
--- a/share/lead.go
+++ b/share/lead.go
@@ -18,11 +18,10 @@
 //
 // An account that finds the fleet idle rightly gets every slot, and accounts that arrive
 // a moment later can't take slots back. When its requests have ended it leads by a dozen
-// or more of the largest requests. If the others first caught up in full, nothing of it
-// would start for most of a minute at today's sizes, and its callers would see the fleet
-// stall after each burst. As no other account asked for those slots, the lead is
-// forgiven, except for the part that lets the others go first while they take over the
-// slots.
+// or more of the largest requests. If the others first caught up in full, none of its
+// requests would start for most of a minute at current sizes, and its callers would see
+// the fleet stall after each burst. As no other account waited for those slots, the lead is
+// reduced to the part that lets the others go first while they take over the slots.
 func (f *Fair[K]) limitLead() {
 	maxLead := maxLeadEstimates * float64(f.largestEstimate)
 	if maxLead == 0 {
@@ -47,9 +46,8 @@
 }
 
 // halfOutstandingPerWeight returns half of the account's outstanding cost across the
-// fleet, divided by its weight. When an account is next, its service is lower by this
-// amount than that of an account with nothing outstanding. This isn't a lead of the other
-// account.
+// fleet, divided by its weight. Of two accounts with equal virtual time, the one with
+// outstanding cost has less service by this amount, which isn't a lead of the other.
 func (a *account[K]) halfOutstandingPerWeight() float64 {
-	return float64((a.outstanding+a.outstandingElsewhere)/2) / float64(max(a.waiting.Weight, 1))
+	return float64((a.outstanding+a.outstandingElsewhere)/2) / float64(max(a.backlog.Weight, 1))
 }
--- a/share/level_machine_test.go
+++ b/share/level_machine_test.go
@@ -9,9 +9,9 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-// Guards against a limit that gives away more than the amount, or less than it could, for
-// any claims including none.
-func TestLevelOfAnyClaims(t *testing.T) {
+// Guards against a limit that hands out more than the amount, or less than the claims allow,
+// for any claims including none.
+func TestMaxMinLimitOfAnyClaims(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		claims := rapid.SliceOfN(rapid.Float64Range(0, 1e9), 0, 8).Draw(t, "claims")
@@ -20,10 +20,10 @@
 		for _, claim := range claims {
 			asked += claim
 		}
-		level := share.MaxMinLimit(claims, amount)
+		limit := share.MaxMinLimit(claims, amount)
 		given := 0.0
 		for _, claim := range claims {
-			given += min(claim, level)
+			given += min(claim, limit)
 		}
 		require.InDelta(t, min(asked, amount), given, 1e-3)
 	})
--- a/share/level_test.go
+++ b/share/level_test.go
@@ -9,7 +9,7 @@
 	"nutmeglock.example/nutmeglock/share"
 )
 
-func TestLevel(t *testing.T) {
+func TestMaxMinLimit(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
--- a/share/share.go
+++ b/share/share.go
@@ -15,13 +15,13 @@
 // whole estimate counted from the start and nothing more until the end, accounts whose
 // requests are nearly finished would look the same as those whose requests have just
 // begun, and the gap between accounts would be twice as wide. A larger outstanding part
-// starts requests in larger bursts, and a smaller one fills slots before their service
-// shows. Of a quarter, a half, three quarters, one and one and a half, a half was best or
-// nearly so.
+// starts requests in larger bursts, and with a smaller one an account fills slots before
+// their service is counted. Of a quarter, a half, three quarters, one and one and a half,
+// a half was best or nearly so.
 //
 // An account that returns from idle is lifted to the service per weight of the accounts
-// that wait. Otherwise it would have saved up credit while idle, and the others would
-// wait until the credit was spent. The lift leaves out the outstanding part of the
+// that wait. Otherwise it would accumulate credit while idle, and the others would wait
+// until the credit was spent. The lift leaves out the outstanding part of the
 // others: the slots that a flood took before the account returned must not make it wait
 // until it has been given as many.
 //
@@ -56,7 +56,7 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// Backlog describes the requests of one account that wait.
+// Backlog describes the waiting requests of one account.
 type Backlog struct {
 	// Weight is the account's share relative to other accounts, at least 1.
 	Weight uint32
@@ -70,33 +70,33 @@
 	OldestSince time.Time
 }
 
-// Policy selects the account to serve next. K identifies an account. An Order must not be
+// Policy selects the account to serve next. K identifies an account. A Policy must not be
 // used by several goroutines at once.
 type Policy[K comparable] interface {
 	// SetBacklog replaces what is known about key's waiting requests.
-	SetBacklog(key K, waiting Backlog)
+	SetBacklog(key K, backlog Backlog)
 	// Next returns the waiting key to be served next among those for which eligible is
 	// true, and whether there is one. It has no side effects.
 	Next(eligible func(key K) bool) (K, bool)
 	// Start adds the estimate of a request that is sent now to key's outstanding cost. It
-	// doesn't change key's waiting requests; a call of Wait follows.
+	// doesn't change key's waiting requests; a call of SetBacklog follows.
 	Start(key K, estimate fleet.Tokens)
 	// AddService adds to the service of key; a negative amount subtracts.
 	AddService(key K, amount fleet.Tokens)
 	// End removes the estimate of a request that has ended from key's outstanding cost.
-	// The request's service has been counted by Correct.
+	// The request's service has been counted by AddService.
 	End(key K, estimate fleet.Tokens)
 	// Forget removes a key that no longer exists.
 	Forget(key K)
 }
 
-// Exchange is implemented by an Order that compares service across the fleet.
+// Exchange is implemented by a Policy that compares service across the fleet.
 type Exchange[K comparable] interface {
 	// Reports returns the keys whose service here plus half of the outstanding cost
 	// changed by more than threshold since they were last returned.
 	Reports(threshold fleet.Tokens) []Report[K]
 	// Observe sets the fleet's total for key. The total includes this dispatcher's
-	// reports up to its Covered amount.
+	// reports up to its OwnReported amount.
 	Observe(key K, total Total)
 	// MarkReassigned records that key has a new keeper, or that its keeper restarted. The
 	// next Reports return key with its known service as the floor and a cumulative amount
@@ -118,7 +118,7 @@
 	Outstanding fleet.Tokens
 }
 
-// Total is what the fleet served an account.
+// Total is the service that the fleet has given an account.
 type Total struct {
 	Sum fleet.Tokens
 	// OwnReported is this dispatcher's own cumulative amount within Sum.
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -24,7 +24,7 @@
 // simulation runs one dispatcher with a fixed number of slots in steps. Each step counts
 // the requests that have ended and starts new ones in the free slots.
 type simulation struct {
-	order   share.Policy[string]
+	policy  share.Policy[string]
 	random  *rand.Rand
 	running []request
 	service map[string]fleet.Tokens
@@ -48,9 +48,9 @@
 	since  time.Time
 }
 
-func newSimulation(order share.Policy[string], slots int) *simulation {
+func newSimulation(policy share.Policy[string], slots int) *simulation {
 	return &simulation{
-		order:   order,
+		policy:  policy,
 		random:  rand.New(rand.NewPCG(1, 2)),
 		running: make([]request, slots),
 		service: make(map[string]fleet.Tokens),
@@ -61,12 +61,12 @@
 func (b *simulation) add(account string, d accountLoad) {
 	d.since = epoch.Add(time.Duration(b.now) * time.Second)
 	b.loads[account] = &d
-	b.wait(account)
+	b.updateBacklog(account)
 }
 
-func (b *simulation) wait(account string) {
+func (b *simulation) updateBacklog(account string) {
 	d := b.loads[account]
-	b.order.SetBacklog(account, share.Backlog{
+	b.policy.SetBacklog(account, share.Backlog{
 		Weight: d.weight, Requests: d.waiting, Estimate: 320, Dispatchers: 1, OldestSince: d.since,
 	})
 }
@@ -79,8 +79,8 @@
 			continue
 		}
 		if r.account != "" {
-			b.order.AddService(r.account, r.cost)
-			b.order.End(r.account, r.estimate)
+			b.policy.AddService(r.account, r.cost)
+			b.policy.End(r.account, r.estimate)
 			b.service[r.account] += r.cost
 		}
 		b.running[i] = b.start()
@@ -88,18 +88,18 @@
 }
 
 func (b *simulation) start() request {
-	account, ok := b.order.Next(nil)
+	account, ok := b.policy.Next(nil)
 	if !ok {
 		return request{}
 	}
 	d := b.loads[account]
 	cost := d.cost()
-	b.order.Start(account, 320)
+	b.policy.Start(account, 320)
 	d.waiting = max(d.waiting-1, d.refill)
 	if d.refill < 1000 {
 		d.since = epoch.Add(time.Duration(b.now) * time.Second)
 	}
-	b.wait(account)
+	b.updateBacklog(account)
 	return request{account: account, cost: cost, estimate: 320, ends: b.now + int(cost/16)}
 }
 
@@ -107,7 +107,7 @@
 	return func() fleet.Tokens { return cost }
 }
 
-func orders() map[string]share.Policy[string] {
+func policies() map[string]share.Policy[string] {
 	return map[string]share.Policy[string]{
 		"fair":           &share.Fair[string]{},
 		"first-come":     &share.FirstCome[string]{},
@@ -122,8 +122,8 @@
 // doesn't.
 func TestFloodDoesNotTakeTheShareOfOthers(t *testing.T) {
 	t.Parallel()
-	gap := func(order share.Policy[string]) fleet.Tokens {
-		b := newSimulation(order, 16)
+	gap := func(policy share.Policy[string]) fleet.Tokens {
+		b := newSimulation(policy, 16)
 		b.add("flood", accountLoad{weight: 1, refill: 1000, waiting: 1000, cost: constantCost(320)})
 		for i := range 15 {
 			b.add(fmt.Sprintf("small-%d", i), accountLoad{weight: 1, refill: 1, waiting: 1, cost: constantCost(320)})
@@ -172,7 +172,7 @@
 	require.InEpsilon(t, int64(3*b.service["one"]), int64(b.service["three"]), 0.01)
 }
 
-// An account is idle for a long time and then sends a burst. If it had saved up credit,
+// An account is idle for a long time and then sends a burst. If it had accumulated credit,
 // the others would get nothing until the burst is served.
 func TestReturnFromIdleBringsNoCredit(t *testing.T) {
 	t.Parallel()
@@ -217,25 +217,25 @@
 
 func TestNextSkipsIneligibleAccounts(t *testing.T) {
 	t.Parallel()
-	for name, order := range orders() {
-		order.SetBacklog("a", share.Backlog{Weight: 1, Requests: 1, OldestSince: epoch})
-		order.SetBacklog("b", share.Backlog{Weight: 1, Requests: 1, OldestSince: epoch.Add(1)})
-		next, ok := order.Next(func(key string) bool { return key == "b" })
+	for name, policy := range policies() {
+		policy.SetBacklog("a", share.Backlog{Weight: 1, Requests: 1, OldestSince: epoch})
+		policy.SetBacklog("b", share.Backlog{Weight: 1, Requests: 1, OldestSince: epoch.Add(1)})
+		next, ok := policy.Next(func(key string) bool { return key == "b" })
 		require.True(t, ok, name)
 		require.Equal(t, "b", next, name)
-		_, ok = order.Next(func(string) bool { return false })
+		_, ok = policy.Next(func(string) bool { return false })
 		require.False(t, ok, name)
 	}
 }
 
-// Whatever accounts ask for and requests cost, an order must offer a slot to every
-// eligible account that waits, and to none that doesn't wait.
-func TestOrdersConserveWork(t *testing.T) {
+// Whatever accounts ask for and requests cost, a policy must offer a slot to every eligible
+// account with waiting requests, and to no other.
+func TestPoliciesConserveWork(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		for name, order := range orders() {
+		for name, policy := range policies() {
 			waiting := make(map[int]int)
-			keyed := order
+			keyed := policy
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				key := rapid.IntRange(0, 9).Draw(t, "key")
 				switch rapid.IntRange(0, 3).Draw(t, "step") {
@@ -334,7 +334,7 @@
 // One account finds the fleet idle and gets every slot; the others arrive a moment later.
 // If its lead had to be made up in full, its callers would wait for most of a minute
 // after each such burst while the fleet serves everyone else.
-func TestLeadFromAnIdleFleetIsForgiven(t *testing.T) {
+func TestLeadFromAnIdleFleetIsLimited(t *testing.T) {
 	t.Parallel()
 	var fair share.Fair[string]
 	b := newSimulation(&fair, 160)
@@ -357,7 +357,7 @@
 }
 
 // An account with long requests has a large outstanding cost even when it gets its fair
-// share. If that counted as a lead of the others and was forgiven, the account would be
+// share. If that counted as a lead of the others and was limited, the account would be
 // lifted each time and receive less and less service.
 func TestOutstandingCostIsNotALead(t *testing.T) {
 	t.Parallel()
