--- a/admission/admission.go
+++ b/admission/admission.go
@@ -21,7 +21,7 @@
 type Queue struct {
 	// AccountWaiting is the number of waiting requests of the same account and service.
 	AccountWaiting int
-	// AccountBound is the limit of Account.
+	// AccountBound is the limit of AccountWaiting.
 	AccountBound int
 	// TotalWaiting and TotalBound are the same for all accounts together.
 	TotalWaiting int
@@ -39,7 +39,7 @@
 
 // Limits of RetryAfter.
 const (
-	// minRetryAfter is the least value of the header, which has whole seconds.
+	// minRetryAfter is the least value of the Retry-After header, which has whole seconds.
 	minRetryAfter = time.Second
 	// maxRetryAfter limits a prediction from a rate that may have changed by then.
 	maxRetryAfter = time.Minute
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -46,9 +46,9 @@
 }
 
 // Twice as many requests arrive as are served, and each caller gives up after ten
-// seconds. If the rate were ignored, every request would wait until about its deadline or
-// longer. Refused at once, a caller can do something else, and the admitted requests are
-// served.
+// seconds. If the drain rate were ignored, every request would wait until about its deadline
+// or longer. A caller that is refused at once can do something else, and the admitted
+// requests are served.
 func TestSaturationIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	simulate := func(policy admission.Policy) (lateStarts, refusals int) {
@@ -96,7 +96,7 @@
 	require.Greater(t, len(waits), 15)
 }
 
-func TestDrainMeasuresOnlyWhileWorkWaits(t *testing.T) {
+func TestDrainMeterMeasuresOnlyWhileRequestsWait(t *testing.T) {
 	t.Parallel()
 	var drain admission.DrainMeter
 	require.Zero(t, drain.Rate(epoch))
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -24,10 +24,10 @@
 	confidentStarts = 20
 )
 
-// DrainMeter measures the rate at which one account's requests are started while some wait.
-// Time without waiting requests doesn't count, since the rate of arrivals doesn't show
-// how fast a queue drains. A stall does count: the rate falls while requests wait and
-// none is started. Its zero value is ready to use.
+// DrainMeter measures the rate at which one account's requests are started while some
+// wait. Time without waiting requests doesn't count, since starts then show only the rate
+// of arrivals. A stall does count: the rate falls while requests wait and none is started.
+// Its zero value is ready to use.
 type DrainMeter struct {
 	starts         float64
 	waitingSeconds float64 // seconds with waiting requests, decayed like starts
@@ -58,8 +58,8 @@
 // would come too late even at this rate.
 func (d *DrainMeter) MaxRate(now time.Time) float64 {
 	d.advance(now)
-	doubt := max(1-d.starts/confidentStarts, 0)
-	return d.perWaitingSecond(d.starts + doubt*rateDeviations*math.Sqrt(d.starts+1))
+	marginFactor := max(1-d.starts/confidentStarts, 0)
+	return d.perWaitingSecond(d.starts + marginFactor*rateDeviations*math.Sqrt(d.starts+1))
 }
 
 // perWaitingSecond returns the number of starts divided by the time in which requests
@@ -68,8 +68,8 @@
 	if d.waitingSeconds < minObservation.Seconds() {
 		return 0
 	}
-	// No starts while requests wait is a stall and not an unknown rate, so a minimum rate
-	// is returned in place of zero.
+	// No starts while requests wait are a stall. Zero would mean an unknown rate, so a
+	// minimum rate is returned instead.
 	return max(starts/d.waitingSeconds, 1/(10*drainTimeConstant.Seconds()))
 }
 
--- a/admission/line.go
+++ b/admission/line.go
@@ -11,14 +11,14 @@
 	// rateTimeConstant is the time constant of the rates at which an account's requests
 	// ask for turns and get them. A request's patience is a fraction of a second.
 	rateTimeConstant = time.Second
-	// queueSlack is how many times the requests that would get their turn in time, at the
-	// recent rate, may wait. It leaves room for a rising rate, as at the start of a
-	// burst, and for a choice of requests for the next idle engine.
+	// queueSlack is the limit of waiting requests as a multiple of those that would get
+	// their turn in time at the recent rate. It leaves room for a rising rate, as at the
+	// start of a burst, and for a choice of requests for the next idle engine.
 	queueSlack = 4
 	// minQueueLimit is the number of requests that may always wait.
 	minQueueLimit = 16
-	// askSlack is how many times the recent rate of turns an account may ask for turns,
-	// and minAskRate the rate in requests per second that is always allowed. Most
+	// askSlack is the limit of an account's asks as a multiple of the recent rate of
+	// turns, and minAskRate is the rate in asks per second that is always allowed. Most
 	// requests of a flood are refused at once and never wait, but each ask costs as much
 	// as one or two events of a stream.
 	askSlack   = 5
@@ -28,15 +28,14 @@
 	maxQueueRetryAfter = 2 * time.Second
 )
 
-// QueueLimiter limits how many requests of each account wait at a router for turns that come
-// within a fraction of a second. Its zero value is ready to use. It is safe for
+// QueueLimiter limits how many requests of each account wait at a router for turns that
+// come within a fraction of a second. Its zero value is ready to use. It is safe for
 // concurrent use.
 //
 // It protects a router from an account that sends ten or more times what it can be
 // served. Without a limit each request would be read, wait, and be refused when its
-// patience ends. Callers would learn late what was known at once, and a small router
-// would spend its processor time on them and read the requests of all others seconds
-// late.
+// patience ends, although the refusal was certain at once. A small router would spend its
+// processor time on these requests and read those of all other accounts seconds late.
 type QueueLimiter[K comparable] struct {
 	mu     sync.Mutex
 	queues map[K]*accountQueue
@@ -49,8 +48,8 @@
 }
 
 // perSecond returns a recent rate in events per second.
-func perSecond(r *rate.DecayingSum, now time.Time) float64 {
-	return r.At(now, rateTimeConstant) / rateTimeConstant.Seconds()
+func perSecond(sum *rate.DecayingSum, now time.Time) float64 {
+	return sum.At(now, rateTimeConstant) / rateTimeConstant.Seconds()
 }
 
 // IsFull reports whether the queue is too long for a request with the given patience to
--- a/admission/line_test.go
+++ b/admission/line_test.go
@@ -9,60 +9,60 @@
 	"nutmeglock.example/nutmeglock/admission"
 )
 
-const linePatience = 125 * time.Millisecond
+const testPatience = 125 * time.Millisecond
 
 // One account sends a thousand requests per second to one router and gets sixty turns.
-// Without a limit more than a hundred would wait at any time, nearly all in vain, and the
-// router would keep every other caller waiting for seconds.
+// Without a limit more than a hundred would wait at any time, nearly all to be refused, and
+// the router would delay every other caller by seconds.
 func TestFloodIsRefusedBeforeItWaits(t *testing.T) {
 	t.Parallel()
-	var lines admission.QueueLimiter[string]
+	var limiter admission.QueueLimiter[string]
 	now := time.Unix(0, 0)
 	type waiting struct{ since time.Time }
 	var queue []waiting
 	longest, refused := 0, 0
 	for i := range 3000 {
 		now = now.Add(time.Millisecond)
-		if retryAfter, isFull := lines.IsFull(now, "flood", linePatience); isFull {
+		if retryAfter, isFull := limiter.IsFull(now, "flood", testPatience); isFull {
 			require.GreaterOrEqual(t, retryAfter, 100*time.Millisecond)
 			refused++
 		} else {
-			lines.Enter(now, "flood")
+			limiter.Enter(now, "flood")
 			queue = append(queue, waiting{now})
 		}
 		if i%16 == 0 && len(queue) > 0 {
-			lines.Leave(now, "flood", true)
+			limiter.Leave(now, "flood", true)
 			queue = queue[1:]
 		}
-		for len(queue) > 0 && now.Sub(queue[0].since) > linePatience {
-			lines.Leave(now, "flood", false)
+		for len(queue) > 0 && now.Sub(queue[0].since) > testPatience {
+			limiter.Leave(now, "flood", false)
 			queue = queue[1:]
 		}
 		longest = max(longest, len(queue))
 	}
 	require.LessOrEqual(t, longest, 40)
 	require.Greater(t, refused, 1500)
-	_, isFull := lines.IsFull(now, "other", linePatience)
+	_, isFull := limiter.IsFull(now, "other", testPatience)
 	require.False(t, isFull)
 }
 
 // Nearly every request of a flood is refused at once by the router that grants turns, and
-// never waits. Asking for each of them would cost a small router more than the requests
-// that it serves.
+// never waits. Asking for turns for all of them would cost a small router more than the
+// requests that it serves.
 func TestFloodAsksAtALimitedRate(t *testing.T) {
 	t.Parallel()
-	var lines admission.QueueLimiter[string]
+	var limiter admission.QueueLimiter[string]
 	now := time.Unix(0, 0)
 	asks, starts := 0, 0
 	for range 3000 {
 		now = now.Add(time.Millisecond)
-		if _, isFull := lines.IsFull(now, "flood", linePatience); isFull {
+		if _, isFull := limiter.IsFull(now, "flood", testPatience); isFull {
 			continue
 		}
 		asks++
 		hasTurn := asks%8 == 0
-		lines.Enter(now, "flood")
-		lines.Leave(now, "flood", hasTurn)
+		limiter.Enter(now, "flood")
+		limiter.Leave(now, "flood", hasTurn)
 		if hasTurn {
 			starts++
 		}
@@ -75,13 +75,13 @@
 // refused because many arrive at once.
 func TestServedBurstIsNotRefused(t *testing.T) {
 	t.Parallel()
-	var lines admission.QueueLimiter[string]
+	var limiter admission.QueueLimiter[string]
 	now := time.Unix(0, 0)
 	for range 500 {
 		now = now.Add(time.Millisecond)
-		_, isFull := lines.IsFull(now, "burst", linePatience)
+		_, isFull := limiter.IsFull(now, "burst", testPatience)
 		require.False(t, isFull)
-		lines.Enter(now, "burst")
-		lines.Leave(now, "burst", true)
+		limiter.Enter(now, "burst")
+		limiter.Leave(now, "burst", true)
 	}
 }
--- a/admission/machine_test.go
+++ b/admission/machine_test.go
@@ -15,7 +15,7 @@
 func TestEmptiedQueueAdmitsAfterAnySequence(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		var lines admission.QueueLimiter[string]
+		var limiter admission.QueueLimiter[string]
 		now := time.Unix(1_800_000_000, 0)
 		key := func(t *rapid.T) string { return rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "account") }
 		waiting := map[string]int{}
@@ -25,7 +25,7 @@
 			},
 			"enter": func(t *rapid.T) {
 				k := key(t)
-				lines.Enter(now, k)
+				limiter.Enter(now, k)
 				waiting[k]++
 			},
 			"leave": func(t *rapid.T) {
@@ -33,20 +33,20 @@
 				if waiting[k] == 0 {
 					t.Skip("no request waits")
 				}
-				lines.Leave(now, k, rapid.Bool().Draw(t, "started"))
+				limiter.Leave(now, k, rapid.Bool().Draw(t, "started"))
 				waiting[k]--
 			},
 			"full": func(t *rapid.T) {
-				patience := rapid.SampledFrom([]time.Duration{-time.Hour, 0, linePatience, 1 << 62}).Draw(t, "patience")
-				retryAfter, full := lines.IsFull(now, key(t), patience)
+				patience := rapid.SampledFrom([]time.Duration{-time.Hour, 0, testPatience, 1 << 62}).Draw(t, "patience")
+				retryAfter, full := limiter.IsFull(now, key(t), patience)
 				require.True(t, !full || retryAfter > 0, "retry without delay")
 			},
 		})
 		for k, count := range waiting {
 			for range count {
-				lines.Leave(now, k, false)
+				limiter.Leave(now, k, false)
 			}
-			_, full := lines.IsFull(now.Add(time.Minute), k, linePatience)
+			_, full := limiter.IsFull(now.Add(time.Minute), k, testPatience)
 			require.False(t, full, "empty queue")
 		}
 	})
