--- a/waiting/waiting.go
+++ b/waiting/waiting.go
@@ -22,7 +22,7 @@
 type Item[K comparable, V any] struct {
 	key      K
 	value    V
-	since    time.Time
+	queuedAt time.Time
 	deadline time.Time
 
 	previous, next *Item[K, V]
@@ -38,7 +38,7 @@
 func (i *Item[K, V]) Value() V { return i.value }
 
 // QueuedAt returns when the item was queued.
-func (i *Item[K, V]) QueuedAt() time.Time { return i.since }
+func (i *Item[K, V]) QueuedAt() time.Time { return i.queuedAt }
 
 // Deadline returns when the item expires; the zero time means never.
 func (i *Item[K, V]) Deadline() time.Time { return i.deadline }
@@ -51,7 +51,7 @@
 
 // Push appends value to the queue of key and returns its item. An item with a zero deadline
 // never expires.
-func (q *Queue[K, V]) Push(key K, value V, since, deadline time.Time) *Item[K, V] {
+func (q *Queue[K, V]) Push(key K, value V, queuedAt, deadline time.Time) *Item[K, V] {
 	if q.byKey == nil {
 		q.byKey = make(map[K]*fifo[K, V])
 	}
@@ -60,7 +60,7 @@
 		list = &fifo[K, V]{}
 		q.byKey[key] = list
 	}
-	item := &Item[K, V]{key: key, value: value, since: since, deadline: deadline, previous: list.tail}
+	item := &Item[K, V]{key: key, value: value, queuedAt: queuedAt, deadline: deadline, previous: list.tail}
 	if list.tail == nil {
 		list.head = item
 	} else {
