--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,11 +1,11 @@
 // Package prefix estimates which prompt prefixes an upstream has in its cache.
 //
-// It serves traffic with many shared prefixes. Cache events arrive late and with gaps, so
-// an Index is only an estimate, based on the prefixes recently stored or sent. A wrong
+// It is meant for traffic with many shared prefixes. Cache events arrive late and with gaps,
+// so an Index is only an estimate, based on the prefixes recently stored or sent. A wrong
 // estimate costs one prefill and nothing else, so no upstream is asked to confirm it.
-// Entries expire, since an index that missed the evictions would keep sending a popular
-// prefix to an upstream that has long dropped it. Sent prefixes count at once, since all
-// requests of a burst are placed before the first event arrives.
+// Entries expire, since after a missed eviction the requests with a popular prefix would
+// otherwise keep going to an upstream that evicted it long ago. Sent prefixes count at once,
+// since all requests of a burst are placed before the first event arrives.
 package prefix
 
 import (
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -77,8 +77,8 @@
 func TestMemoryIsBounded(t *testing.T) {
 	t.Parallel()
 	index := prefix.Index{Capacity: 3}
-	for block := range uint64(100) {
-		index.RecordSent(epoch, testUpstream, []uint64{block})
+	for hash := range uint64(100) {
+		index.RecordSent(epoch, testUpstream, []uint64{hash})
 	}
 	require.Equal(t, 3, index.Len(testUpstream))
 	require.Zero(t, index.Affinity(epoch, testUpstream, []uint64{96}))
