--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,10 @@
 // Package placement decides which upstream a request is sent to.
 //
-// It serves traffic in which many requests share prompt prefixes. An upstream that has the
-// prefix cached skips that part of the work. Without cache affinity, each upstream computes
-// and caches every prefix, and the small caches evict each other's entries. With cache
-// affinity alone, a popular prefix fills one upstream while the others idle. Affinity
-// weighs the two: a cached prompt is worth a fixed part of the upstream's limit.
+// It is meant for traffic in which many requests share prompt prefixes. An upstream that
+// has the prefix cached skips that part of the work. Without cache affinity, each upstream
+// computes every prefix, and prefixes evict each other from the small caches. With cache
+// affinity alone, a popular prefix fills one upstream while the others idle. CacheAffinity
+// weighs cache against load: a cached prompt is worth a fixed part of the upstream's limit.
 package placement
 
 import (
@@ -28,7 +28,7 @@
 	Pick(candidates []Candidate) (int, bool)
 }
 
-// Thresholds of Affinity and AddPreferredAffinity.
+// Parameters of CacheAffinity and AddPreferredAffinity.
 const (
 	// defaultCacheWeight lets a fully cached prompt outweigh half a batch: prefill is a
 	// tenth to a half of a request's work, and until the batch is half full the requests in
@@ -40,11 +40,11 @@
 	preferredAffinity = 0.2
 )
 
-// CacheAffinity picks the candidate with the lowest load relative to its limit, minus the value
-// of its cache. Its zero value is ready to use.
+// CacheAffinity picks the candidate with the lowest load relative to its limit, minus the
+// value of its cache. Its zero value is ready to use.
 type CacheAffinity struct {
-	// CacheWeight is the part of an upstream's limit that a fully cached prompt outweighs; zero
-	// means 0.5.
+	// CacheWeight is the part of an upstream's limit that a fully cached prompt outweighs;
+	// zero means 0.5.
 	CacheWeight float64
 }
 
@@ -59,7 +59,7 @@
 }
 
 // LeastLoaded picks the candidate with the lowest load relative to its limit and ignores
-// caches. It is the baseline for Affinity.
+// caches. It is the baseline for CacheAffinity.
 type LeastLoaded struct{}
 
 // Pick returns the candidate with the lowest load.
@@ -84,9 +84,9 @@
 
 func freeSlots(c Candidate) int { return c.Limit - c.InFlight }
 
-// AddPreferredAffinity gives a prefix's preferred upstream a small affinity, so that the first requests
-// with the prefix go to the same upstream from any dispatcher before a cache event arrives.
-// A zero prefix has no preferred upstream.
+// AddPreferredAffinity gives a prefix's preferred upstream a small affinity, so that all
+// dispatchers send the first requests with the prefix to the same upstream before a cache
+// event arrives. A zero prefix has no preferred upstream.
 func AddPreferredAffinity(prefix uint64, candidates []Candidate) {
 	if prefix == 0 || len(candidates) == 0 {
 		return
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -62,7 +62,7 @@
 // One prefix makes up most of the load. With cache affinity alone, all requests would wait
 // at one upstream while the others idle; with load alone, every upstream would compute the
 // prefix and evict other prefixes.
-func TestPopularBeginningSpreadsOnlyUnderLoad(t *testing.T) {
+func TestPopularPrefixSpreadsOnlyUnderLoad(t *testing.T) {
 	t.Parallel()
 	place := func(policy placement.Policy, requests int) map[int]int {
 		counts := make(map[int]int)
