--- a/rate/peak.go
+++ b/rate/peak.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Peak follows the maximum of an amount. It decays by a factor of e in each time
-// constant, and rises at once with the amount. Its zero value is zero. It is not safe for
-// concurrent use.
+// Peak is a decaying maximum of an amount: it rises at once with the amount and falls by a
+// factor of e in each time constant. Its zero value is zero. It is not safe for concurrent
+// use.
 type Peak struct{ value DecayingSum }
 
 // At returns the decayed peak at now.
--- a/rate/recent.go
+++ b/rate/recent.go
@@ -7,7 +7,7 @@
 )
 
 // DecayingSum is a sum that decays exponentially: it falls by a factor of e in each time
-// constant, which every call is given. Its zero value is zero. It is not safe for
+// constant, which is passed to every call. Its zero value is zero. It is not safe for
 // concurrent use.
 type DecayingSum struct {
 	amount    float64
@@ -15,15 +15,15 @@
 }
 
 // At returns the decayed sum at now.
-func (r *DecayingSum) At(now time.Time, timeConstant time.Duration) float64 {
-	if r.amount == 0 {
+func (s *DecayingSum) At(now time.Time, timeConstant time.Duration) float64 {
+	if s.amount == 0 {
 		return 0
 	}
-	return r.amount * math.Exp(-now.Sub(r.updatedAt).Seconds()/timeConstant.Seconds())
+	return s.amount * math.Exp(-now.Sub(s.updatedAt).Seconds()/timeConstant.Seconds())
 }
 
 // Add adds an amount, which may be negative. The sum never falls below zero.
-func (r *DecayingSum) Add(now time.Time, timeConstant time.Duration, amount float64) {
-	r.amount = max(r.At(now, timeConstant)+amount, 0)
-	r.updatedAt = now
+func (s *DecayingSum) Add(now time.Time, timeConstant time.Duration, amount float64) {
+	s.amount = max(s.At(now, timeConstant)+amount, 0)
+	s.updatedAt = now
 }
--- a/rate/recent_test.go
+++ b/rate/recent_test.go
@@ -10,7 +10,7 @@
 	"nutmeglock.example/nutmeglock/rate"
 )
 
-func TestRecentDecays(t *testing.T) {
+func TestDecayingSumDecays(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
 	var r rate.DecayingSum
@@ -26,7 +26,7 @@
 }
 
 // At a steady rate the sum is the number of events within one time constant.
-func TestRecentFollowsASteadyRate(t *testing.T) {
+func TestDecayingSumFollowsASteadyRate(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(0, 0)
 	var r rate.DecayingSum
