--- a/fanout/fanout.go
+++ b/fanout/fanout.go
@@ -3,15 +3,15 @@
 // Asking all dispatchers at once costs messages for each request, and all but one are
 // unnecessary while the fleet has free slots. Asking only a few for long leaves requests
 // waiting while other dispatchers have free slots. It also harms a small account beside a
-// flood: the account waits for the next free slot among few upstreams while slots of
+// flood: the account waits for a free slot among few upstreams, while the free slots of the
 // others go to the flood.
 package fanout
 
 import "time"
 
 const (
-	// MaxDispatchers is the maximum number of dispatchers to ask. Others announce their idle slots
-	// by themselves.
+	// MaxDispatchers is the maximum number of dispatchers to ask. The others announce their
+	// idle slots by themselves.
 	MaxDispatchers = 8
 	// firstAskWait is how long only one dispatcher is asked. It is longer than the round
 	// trip to a dispatcher including its delays.
@@ -27,8 +27,8 @@
 	burstRequests = 8
 )
 
-// Dispatchers returns how many dispatchers to ask, from 1 to Most, for the number of waiting
-// requests of an account and the time that the oldest has waited.
+// Dispatchers returns how many dispatchers to ask, from 1 to MaxDispatchers, for the number
+// of waiting requests of an account and the time that the oldest has waited.
 func Dispatchers(waiting int, waited time.Duration) int {
 	switch {
 	case waited < firstAskWait:
--- a/fanout/fanout_test.go
+++ b/fanout/fanout_test.go
@@ -9,7 +9,7 @@
 	"nutmeglock.example/nutmeglock/fanout"
 )
 
-func TestOf(t *testing.T) {
+func TestDispatchers(t *testing.T) {
 	t.Parallel()
 	require.Equal(t, 1, fanout.Dispatchers(1, 0))
 	require.Equal(t, 1, fanout.Dispatchers(100, 9*time.Millisecond))
