--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -7,7 +7,7 @@
 // by an allowance that starts small and doubles with the answers that begin. It doesn't
 // grow with time, so an upstream that doesn't answer gets no more requests. It counts the
 // beginnings of answers since a whole answer may stream for 13 s: counting ends would
-// leave most of an engine idle for the better part of a minute.
+// leave most of an engine idle for most of a minute.
 package warmup
 
 import (
@@ -67,8 +67,8 @@
 	return min(initialAllowance+r.answersBegun, limit)
 }
 
-// AnswerBegan counts an answer whose first token or byte has arrived. Each raises the allowance
-// by one, which doubles it with every round of requests.
+// AnswerBegan counts an answer whose first token or byte has arrived. Each raises the
+// allowance by one, which doubles it with every round of requests.
 func (r *Ramp) AnswerBegan() {
 	if r.failuresInRow >= failuresToClose {
 		r.restart()
@@ -105,7 +105,7 @@
 // for an upstream that is open.
 func (r *Ramp) OpensAt() time.Time { return r.opensAt }
 
-// Reset restarts the ramp of an upstream that left and came back.
+// Reset restarts the ramp for an upstream that left and returned.
 func (r *Ramp) Reset() { *r = Ramp{} }
 
 func (r *Ramp) restart() {
