--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -1,9 +1,9 @@
 // Package estimate predicts the cost of a request before it is run.
 //
-// Requests differ in length, and their cost is known only at the end. A fair order that
+// Requests differ in length, and their cost is known only at the end. A fair policy that
 // counts nothing until then lets an account start a whole batch of long requests before
-// the first counts. One that counts the same for every account overcharges accounts with
-// short answers until they end. The callers' own limits are rough hints, since max_tokens
+// the first counts. A policy that counts the same for every account overcharges accounts
+// with short answers until these end. The callers' own limits are rough hints, since max_tokens
 // is usually far above the actual output. The mean of the account's last requests is the
 // better prediction, and max_tokens only limits it.
 package estimate
@@ -22,7 +22,7 @@
 	// the last twenty requests count, and one long answer moves the mean by a twentieth.
 	minSampleWeight = 0.05
 	// settledRequests is how many requests an account needs before its own mean is used
-	// alone. With fewer it is mixed with the service's mean.
+	// alone. With fewer its mean is mixed with the service's mean.
 	settledRequests = 8
 	// bytesPerToken is the usual length of a token in the JSON body of a request.
 	bytesPerToken = 4
@@ -104,8 +104,8 @@
 	m.value += (value - m.value) * max(minSampleWeight, 1/float64(m.count))
 }
 
-// PredictOutput returns the expected output tokens of a request, limited to maxTokens if that is
-// above zero.
+// PredictOutput returns the expected output tokens of a request, limited to maxTokens if
+// that is above zero.
 func (e *Estimator) PredictOutput(key Key, maxTokens int64) int64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
