--- a/turn/service_cap_test.go
+++ b/turn/service_cap_test.go
@@ -21,10 +21,10 @@
 	for i := range 1000 {
 		now = now.Add(step)
 		if i >= 500 {
-			p.RecordShed(now, "throttled", shedPerSecond*step.Seconds())
+			p.RecordShed(now, "held-back", shedPerSecond*step.Seconds())
 			dueTokens += servedPerSecond * step.Seconds()
 		}
-		own := prompt("throttled", uint64(i%40), uint64(i)|1<<40, 10_000)
+		own := prompt("held-back", uint64(i%40), uint64(i)|1<<40, 10_000)
 		for size := turn.Cost(own.Input, own.Output); dueTokens >= size; dueTokens -= size {
 			runToEnd(p, now, own)
 		}
@@ -85,7 +85,7 @@
 	t.Parallel()
 	p := newPool(60)
 	now := start
-	p.RecordShed(now, "throttled", 4_000_000)
+	p.RecordShed(now, "held-back", 4_000_000)
 	var refused *turn.RefusedError
 	for i := range uint64(20) {
 		if _, err := p.Submit(now, prompt("asking", i, i|1<<40, 10_000)); err != nil {
