--- a/overload/detector.go
+++ b/overload/detector.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// A router that refuses a large part of its requests is overloaded once the mean
-	// wait of its goroutines for the processor reaches overloadedWait, and no longer once
-	// it is below recoveredWait. The Shedder uses the same two waits.
+	// A router is overloaded once the mean wait of its goroutines for the processor
+	// reaches overloadedWait, until it is below recoveredWait. The Shedder uses the same
+	// two waits; the router passes waits to a Detector only while IsExhausted is true.
 	overloadedWait = highWait
 	recoveredWait  = lowWait
 	// minHold is the shortest time for which the router stays overloaded: the load
--- a/overload/machine_test.go
+++ b/overload/machine_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a Shedder or Detector that never recovers after waits of any length, or
 // that panics once all accounts have expired.
-func TestShedderOutlivesAnyWait(t *testing.T) {
+func TestShedderSurvivesAnyWait(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		var s overload.Shedder[string]
@@ -25,7 +25,7 @@
 				s.Observe(now, wait)
 				d.Observe(now, wait)
 			},
-			"takes": func(t *rapid.T) { s.Admit(now, rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "account")) },
+			"request": func(t *rapid.T) { s.Admit(now, rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "account")) },
 			"admission": func(t *rapid.T) {
 				a := s.Admission()
 				require.True(t, a.Rate > 0 && a.Rate <= 1, "%v", a.Rate)
--- a/overload/scheduling.go
+++ b/overload/scheduling.go
@@ -13,8 +13,8 @@
 // dominated by a single pause of the machine.
 const tailShare = 0.1
 
-// SchedulingLatency measures how long goroutines of this process wait for the processor. Its
-// zero value is ready to use. It isn't safe for concurrent use.
+// SchedulingLatency measures how long goroutines of this process wait for the processor.
+// Its zero value is ready to use. It isn't safe for concurrent use.
 //
 // Callers wait this long too. Timer delays would not show it: the runtime checks timers
 // before other runnable work, so they fire in time on a router that reads requests half
--- a/overload/standing.go
+++ b/overload/standing.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// StandingQueue measures for how long a queue has not been empty. A burst drains within moments;
-// a standing queue means that more arrives than is processed. Its zero value is an empty
-// queue. It is safe for concurrent use.
+// StandingQueue measures for how long a queue has not been empty. A burst drains within
+// moments; a standing queue means that more arrives than is processed. Its zero value is
+// an empty queue. It is safe for concurrent use.
 type StandingQueue struct {
 	mu sync.Mutex
 	// since is when the queue was first seen non-empty after it was empty, zero while it
--- a/overload/standing_test.go
+++ b/overload/standing_test.go
@@ -9,7 +9,7 @@
 	"nutmeglock.example/nutmeglock/overload"
 )
 
-func TestStandingCountsFromTheLastEmptyMoment(t *testing.T) {
+func TestDurationStartsWhenQueueBecomesNonEmpty(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(0, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/overload/steady.go
+++ b/overload/steady.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// spikeFilter ignores single long waits, such as a stall of the machine, which do not
-// show the load. Its zero value is ready to use.
+// spikeFilter ignores single long waits, which are stalls of the machine rather than
+// load. Its zero value is ready to use.
 type spikeFilter struct{ previous time.Duration }
 
 // observe returns the shorter of this wait and the previous one.
