--- a/outlier/machine_test.go
+++ b/outlier/machine_test.go
@@ -12,7 +12,7 @@
 
 // Guards against an upstream that is never probed again, or a panic, because upstreams
 // leave and return between outcomes.
-func TestDetectorOutlivesAnyChange(t *testing.T) {
+func TestDetectorSurvivesAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		var d outlier.Detector[int]
@@ -25,8 +25,8 @@
 			"success": func(t *rapid.T) { d.RecordSuccess(upstream(t)) },
 			"soft":    func(t *rapid.T) { d.RecordFailure(now, upstream(t), outlier.Soft) },
 			"hard":    func(t *rapid.T) { d.RecordFailure(now, upstream(t), outlier.Hard) },
-			"try":     func(t *rapid.T) { d.RecordSend(now, upstream(t)) },
-			"keep":    func(t *rapid.T) { d.Retain(map[int]bool{upstream(t): true}) },
+			"send":    func(t *rapid.T) { d.RecordSend(now, upstream(t)) },
+			"retain":  func(t *rapid.T) { d.Retain(map[int]bool{upstream(t): true}) },
 			"empty":   func(*rapid.T) { d.Retain(nil) },
 		})
 		for key := range 5 {
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -129,7 +129,8 @@
 	return !now.Before(s.ejectedUntil) && !now.Before(s.probeUntil)
 }
 
-// RecordSend records that a request is sent to an upstream; after an ejection it is the probe.
+// RecordSend records that a request is sent to an upstream. After an ejection it is the
+// probe.
 func (d *Detector[K]) RecordSend(now time.Time, key K) {
 	s := d.states[key]
 	if s != nil && s.ejection > 0 {
