--- a/quarantine/entry.go
+++ b/quarantine/entry.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Entry is a refused request as it is persisted for the time when no router runs.
+// Entry is the persisted form of a refused request, which survives a restart of all
+// routers.
 type Entry struct {
 	Request Fingerprint
 	// Until is the wall-clock time at which the term ends.
@@ -11,12 +12,12 @@
 }
 
 // Restore loads persisted entries and ignores those that have expired.
-func (w *Tracker) Restore(now time.Time, entries []Entry) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (t *Tracker) Restore(now time.Time, entries []Entry) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, e := range entries {
-		if t := (refusalTerm{until: e.Until, term: e.Term}); !t.isExpired(now) {
-			w.refusals.put(now, e.Request, t)
+		if refusal := (refusalTerm{until: e.Until, term: e.Term}); !refusal.isExpired(now) {
+			t.refusals.put(now, e.Request, refusal)
 		}
 	}
 }
--- a/quarantine/export_test.go
+++ b/quarantine/export_test.go
@@ -1,6 +1,6 @@
 package quarantine
 
 // Sizes returns how many requests are stored with crashes and how many as served.
-func (w *Tracker) Sizes() (records, served int) {
-	return len(w.crashes.current) + len(w.crashes.previous), len(w.served.servedAt)
+func (t *Tracker) Sizes() (records, served int) {
+	return len(t.crashes.current) + len(t.crashes.previous), len(t.served.servedAt)
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -27,8 +27,8 @@
 type Crash struct {
 	Request  Fingerprint
 	Upstream turn.Instance
-	// StartedAgo and Ended are how long ago the request started to run and the upstream
-	// crashed.
+	// StartedAgo and CrashedAgo are how long ago the request started to run and the
+	// upstream crashed.
 	StartedAgo, CrashedAgo time.Duration
 	// ServedAgo is how long ago the reporting router last served the request, zero for
 	// never.
@@ -38,7 +38,7 @@
 // Status is the state of a request in the quarantine.
 type Status int
 
-// The standings of a request.
+// The statuses of a request.
 const (
 	NotSuspected Status = iota
 	Suspected
@@ -58,10 +58,9 @@
 // crashCounter counts the upstreams that crashed under each request. Its zero value is
 // empty.
 //
-// Upstreams that end together, as in a power cut, count once: a crash counts only if the
-// request started after the previous crash and the upstream ended clearly later than that
-// one. A success clears the request, so a popular request that runs everywhere isn't
-// blamed.
+// Upstreams that crash together, as in a power cut, count once: a crash counts only if
+// the request started after the previous crash and the upstream crashed clearly later. A
+// success clears the request, so a popular request that runs everywhere isn't suspected.
 type crashCounter struct {
 	// Records are kept in two generations. When current is full it replaces previous,
 	// whose records are dropped.
@@ -69,7 +68,7 @@
 	previous map[Fingerprint]*crashRecord
 }
 
-// count records a crash. It returns the new standing of the request, or Unremarkable if
+// count records a crash. It returns the new status of the request, or NotSuspected if
 // the crash doesn't change it.
 func (c *crashCounter) count(now time.Time, crash Crash) Status {
 	r := c.record(now, crash.Request)
@@ -81,15 +80,15 @@
 		return NotSuspected
 	}
 	r.upstreams[crash.Upstream] = true
-	began, ended := now.Add(-crash.StartedAgo), now.Add(-crash.CrashedAgo)
-	if r.crashes > 0 && (began.Before(r.lastCrash.Add(-clockSlack)) || ended.Before(r.lastCrash.Add(commonCauseWindow))) {
+	started, crashed := now.Add(-crash.StartedAgo), now.Add(-crash.CrashedAgo)
+	if r.crashes > 0 && (started.Before(r.lastCrash.Add(-clockSlack)) || crashed.Before(r.lastCrash.Add(commonCauseWindow))) {
 		return NotSuspected
 	}
 	if r.crashes == 0 {
-		r.firstCrash = ended
+		r.firstCrash = crashed
 	}
 	r.crashes++
-	r.lastCrash = ended
+	r.lastCrash = crashed
 	switch {
 	case r.crashes >= refusedCrashes:
 		return Refused
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -4,8 +4,8 @@
 
 // termLengths are the times for which a request is refused, one step further each time it
 // crashes an upstream again after its term. The first is short, since a harmless request
-// may have been at crashing upstreams by chance; with these terms a request that does
-// crash upstreams ends three more of them in a day.
+// may have run at crashing upstreams by chance; with these terms a request that does
+// crash upstreams crashes three more of them in a day.
 var termLengths = [...]time.Duration{30 * time.Second, 5 * time.Minute, time.Hour, 24 * time.Hour}
 
 const (
@@ -42,8 +42,8 @@
 
 // refuse refuses a request for the remainder of a term. It returns false if the request
 // is already refused for as long.
-func (l *refusalList) refuse(now time.Time, request Fingerprint, left, term time.Duration) bool {
-	return l.put(now, request, refusalTerm{until: now.Add(left), term: term})
+func (l *refusalList) refuse(now time.Time, request Fingerprint, remaining, term time.Duration) bool {
+	return l.put(now, request, refusalTerm{until: now.Add(remaining), term: term})
 }
 
 // put stores a term. It returns false if one that ends as late is already stored.
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// maxServed is the number of served requests that are remembered.
+// maxServed is the maximum number of served requests that are kept.
 const maxServed = 4096
 
-// servedRequests holds when the most recently served requests were served. Its zero value
+// servedRequests holds the times at which the latest requests were served. Its zero value
 // is empty.
 type servedRequests struct {
 	servedAt map[Fingerprint]time.Time
