--- a/retry/retry.go
+++ b/retry/retry.go
@@ -36,7 +36,7 @@
 type Attempt struct {
 	// Number is the number of attempts so far, including this one.
 	Number int
-	// Outcome tells whether the upstream may have run the request.
+	// Outcome is whether the upstream may have run the request.
 	Outcome refusal.Outcome
 	// Idempotent is true if a second run does no harm.
 	Idempotent bool
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -32,8 +32,8 @@
 		{"outcome unknown", func(a *retry.Attempt) { a.Outcome = refusal.Unknown }, false},
 		{"outcome unknown but idempotent", func(a *retry.Attempt) { a.Outcome = refusal.Unknown; a.Idempotent = true }, true},
 		{"run", func(a *retry.Attempt) { a.Outcome = refusal.Run }, false},
-		{"a byte went out", func(a *retry.Attempt) { a.Idempotent = true; a.AnswerStarted = true }, false},
-		{"a byte went out of a resumable stream", func(a *retry.Attempt) { a.Outcome = refusal.Run; a.AnswerStarted = true; a.Resumable = true }, true},
+		{"answer started", func(a *retry.Attempt) { a.Idempotent = true; a.AnswerStarted = true }, false},
+		{"answer of a resumable stream started", func(a *retry.Attempt) { a.Outcome = refusal.Run; a.AnswerStarted = true; a.Resumable = true }, true},
 		{"no time left", func(a *retry.Attempt) { a.ExpectedLatency = time.Minute }, false},
 		{"third attempt", func(a *retry.Attempt) { a.Number = 2 }, true},
 		{"too many attempts", func(a *retry.Attempt) { a.Number = 3 }, false},
@@ -46,7 +46,7 @@
 
 // When routers are added, each must use a smaller part of the fleet's burst; otherwise
 // the fleet would retry more with every router.
-func TestResizedBudgetAllowsLess(t *testing.T) {
+func TestSmallerBurstAllowsFewerRetries(t *testing.T) {
 	t.Parallel()
 	budget := retry.Budget{Burst: 12}
 	budget.SetBurst(3)
