--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -23,12 +23,12 @@
 	Message     Part = "message"
 	Update      Part = "update"
 	CrashReport Part = "crash-report"
-	// Control is work on shared state. A panic in it shuts the process down in order.
+	// Control is work on shared state. A panic in it starts an orderly shutdown.
 	Control Part = "control"
 )
 
-// maxStack is the maximum length in bytes of the stack in a log line, so that a pipe takes
-// the line whole.
+// maxStack is the maximum length in bytes of the stack in a log line, so that the line
+// fits into one atomic write to a pipe.
 const maxStack = 3000
 
 // Error is returned for work that panicked.
@@ -48,8 +48,8 @@
 	Log *slog.Logger
 	// OnPanic is called for each panic. It may be nil.
 	OnPanic func()
-	// Shutdown is called by RunControl after a panic. It must start an orderly shutdown of the
-	// process, and may be nil only if RunControl isn't used.
+	// Shutdown is called by RunControl after a panic. It must start an orderly shutdown of
+	// the process, and may be nil only if RunControl isn't used.
 	Shutdown func(err error)
 }
 
@@ -73,7 +73,7 @@
 	return work()
 }
 
-// Run is like Do for work without an error. It reports whether the work panicked.
+// Run is like Do for work that returns no error. It reports whether the work panicked.
 func (g *Guard) Run(part Part, work func(), attributes ...any) (panicked bool) {
 	return g.Do(part, withoutError(work), attributes...) != nil
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// RunControl runs work on the state that all requests share. If it panics, the process
-// shuts down in order.
+// RunControl runs work on the state that all requests share. If it panics, Shutdown
+// is called.
 func (g *Guard) RunControl(work func(), attributes ...any) {
 	if err := g.Do(Control, withoutError(work), attributes...); err != nil {
 		g.Shutdown(err)
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -30,7 +30,7 @@
 	require.Contains(t, line["stack"], "recovery_test.divideOneBy")
 }
 
-// Guards against a log line that is too long for a pipe to pass on whole.
+// Guards against a log line that is too long for one atomic write to a pipe.
 func TestLineOfADeepPanicIsShort(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
@@ -71,7 +71,7 @@
 }
 
 // Guards against panics that go unnoticed.
-func TestWithoutAGuardPanicsPass(t *testing.T) {
+func TestNilGuardDoesNotRecover(t *testing.T) {
 	t.Parallel()
 	var noGuard *recovery.Guard
 	require.Panics(t, func() { noGuard.Run(recovery.Home, func() { _ = divideOneBy(0) }) })
