--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Outcome tells a caller whether its request was run.
+// Outcome is whether a request was run, as reported to its caller.
 type Outcome string
 
 const (
--- a/refusal/summary.go
+++ b/refusal/summary.go
@@ -10,17 +10,17 @@
 const (
 	// maxLoggedPerSecond is the number of refusals per second that are logged one by one.
 	maxLoggedPerSecond = 50
-	// maxKinds is the maximum number of kinds that are summed separately. Further
-	// refusals are summed by reason alone.
+	// maxKinds is the maximum number of kinds that are summed separately. Refusals of
+	// further kinds are summed by reason alone.
 	maxKinds = 64
 	// maxFirstIDs is the maximum number of request IDs in a sum.
 	maxFirstIDs = 3
 )
 
-// Kind holds what the refusals of one sum have in common.
+// Kind holds the fields that are equal in all refusals of one sum.
 type Kind struct {
 	Reason Reason
-	// Account and Route are empty in sums of refusals beyond the limit of kinds.
+	// Account and Route are empty in sums of refusals beyond maxKinds.
 	Account fleet.AccountID
 	Route   string
 }
