--- a/inflight/adaptive.go
+++ b/inflight/adaptive.go
@@ -13,7 +13,7 @@
 	defaultInitial = 4
 	// initialDivisor divides Max to give the limit before there is any evidence. The
 	// slot count of a release note tends to be too high. The slots of a first burst go
-	// to the accounts that ask first and stay taken until their requests end, while
+	// to the accounts whose requests arrive first and stay taken until these end, while
 	// slots not yet allowed are idle. In the virtual-time model a third of Max gives a
 	// utilisation of 0.97 in a first burst, and a gap between the accounts' service of
 	// 2.2 times the largest request there and 4.0 times after one account came first;
@@ -22,7 +22,7 @@
 	// defaultMax is the largest number of slots that a release note allows.
 	defaultMax = 4096
 	// staleAfter is the age from which the latest report is ignored. Reports arrive
-	// about once a second; losing three in a row is not chance.
+	// about once a second, and the loss of three in a row is unlikely to be chance.
 	staleAfter = 3 * time.Second
 	// othersExpireAfter is the age of the latest report from which the requests of
 	// other dispatchers in it no longer count: over twice the 13 s for which a usual
@@ -56,9 +56,9 @@
 // Latency is used as well, for engines that lose throughput before they queue: see
 // firstTokenLatency.
 //
-// When reports stop, the limit keeps what was learnt, since answers that still arrive show
-// that the upstream works: it never grows past the last knee, and latency and refusals
-// still lower it. For an upstream that never reported, the limit grows by answers alone.
+// When reports stop, the last knee stays in effect, since answers that still arrive show
+// that the upstream works: the limit never grows past it, and latency and refusals still
+// lower the limit. For an upstream that never reported, the limit grows by answers alone.
 type Adaptive struct {
 	// Initial is the limit before there is any evidence; zero means a third of Max, or
 	// 4 if Max is zero too.
@@ -76,9 +76,9 @@
 	kneeFromReports bool
 	// runningWithQueue is Running of the previous report if it had a queue, else zero.
 	runningWithQueue int
-	// fullReports counts the reports with the limit fully used since the limit changed,
-	// probes the probes since reports last showed a queue, and fullAnswers the answers at
-	// the limit, which are used in place of a report.
+	// fullReports counts the reports at the knee with the limit fully used since the limit
+	// changed, probes the probes since reports last showed a queue, and fullAnswers the
+	// answers at the limit, which are used in place of a report.
 	fullReports       int
 	probes            int
 	fullAnswers       int
@@ -155,8 +155,9 @@
 	}
 }
 
-// handleQueue sets the limit to the number of running requests at the second consecutive
-// report with a queue. It doesn't raise the limit while growth is paused.
+// handleQueue sets the limit at the second and later consecutive reports with a queue, to
+// the larger number of running requests in the last two. It doesn't raise the limit while
+// growth is paused.
 func (a *Adaptive) handleQueue(now time.Time, running int) {
 	knee := max(running, a.runningWithQueue)
 	consecutive := a.runningWithQueue > 0
@@ -220,7 +221,7 @@
 	}
 }
 
-// handleRefusal sets the limit to one less than what was in flight at the refused request.
+// handleRefusal sets the limit to one less than the requests in flight at the refused one.
 // Refusals of one burst have about the same number in flight and lower it once.
 func (a *Adaptive) handleRefusal(now time.Time, sample Sample) {
 	accepted := sample.InFlight - 1 + a.othersInFlight(now)
--- a/inflight/inflight.go
+++ b/inflight/inflight.go
@@ -1,10 +1,10 @@
 // Package inflight limits how many requests are in flight at one upstream.
 //
 // It matters under saturation, when every slot that an upstream seems to have is used at
-// once. Engines accept whatever they are sent: with too high a limit requests queue inside
-// the engine, which serves them in order of arrival and not in a fair order; with too low
-// a limit the batch isn't full and capacity is idle while requests wait. Adaptive looks
-// for the knee between the two, where the batch is full and nothing queues inside.
+// once. Engines accept all requests: with too high a limit requests queue inside the engine,
+// which serves them in order of arrival and not in a fair order; with too low a limit the
+// batch isn't full and capacity is idle while requests wait. Adaptive looks for the knee
+// between the two, where the batch is full and nothing queues inside.
 package inflight
 
 import (
--- a/inflight/inflight_test.go
+++ b/inflight/inflight_test.go
@@ -143,8 +143,9 @@
 	require.Equal(t, 12, e.running)
 }
 
-// Two dispatchers believe that they hold the same upstream. If they ignored each other's
-// requests, each would fill the batch, and as many requests again would queue.
+// Two dispatchers dispatch to the same upstream while their views of the fleet differ. If
+// they ignored each other's requests, each would fill the batch, and as many requests
+// again would queue.
 func TestRequestsOfOtherDispatchersAreSubtracted(t *testing.T) {
 	t.Parallel()
 	var limiter inflight.Adaptive
--- a/inflight/latency.go
+++ b/inflight/latency.go
@@ -4,15 +4,15 @@
 
 const (
 	// windowSize is the number of first-token times per mean, enough that a single long
-	// prompt doesn't decide.
+	// prompt doesn't dominate.
 	windowSize = 16
 	// maxMeanRatio is how many times the best mean a mean may be. Between an empty and a
 	// full batch, first-token times grow by up to two times; a request that queues in the
 	// engine waits for a whole answer to end, a hundred times a first token.
 	maxMeanRatio = 3
 	// bestDecayDivisor sets how fast the best mean rises: in each window by its value
-	// divided by this. Otherwise an upstream whose prompts have become longer for good
-	// would be limited for ever.
+	// divided by this. Otherwise an upstream whose prompts have become longer
+	// permanently would be limited for ever.
 	bestDecayDivisor = 50
 	// minBestMean is the lowest best mean. A best mean near zero would make all others look
 	// slow.
