--- a/membership/machine_test.go
+++ b/membership/machine_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a panic, and against a lone router that dispatches nothing, after the other
 // routers have left and returned in any order.
-func TestMembersOutliveAnyChange(t *testing.T) {
+func TestMembersSurviveAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		m := membership.New(membership.Options{Self: "self"})
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -37,10 +37,11 @@
 	// DefaultLeaveAfter lets a connection be re-established without moving any
 	// dispatcher. The upstreams of a killed router get no new work for that long.
 	DefaultLeaveAfter = 500 * time.Millisecond
-	// stableAfter is how long a connection must last to reset the router's count of disconnects.
+	// stableAfter is how long a connection must last to reset the router's count of
+	// disconnects.
 	stableAfter = time.Minute
 	// forgetAfter is how long a router that is neither listed nor connected
-	// remains a connection target. It covers the lag of the list.
+	// remains among the routers to connect to. It covers the lag of the list.
 	forgetAfter = 5 * time.Minute
 )
 
@@ -253,13 +254,13 @@
 
 // Addresses returns the addresses of the other routers to connect to.
 func (m *Members) Addresses() map[fleet.RouterID]string {
-	targets := make(map[fleet.RouterID]string, len(m.members))
+	addresses := make(map[fleet.RouterID]string, len(m.members))
 	for id, router := range m.members {
 		if id != m.options.Self && router.address != "" {
-			targets[id] = router.address
+			addresses[id] = router.address
 		}
 	}
-	return targets
+	return addresses
 }
 
 // All returns every known router, sorted by id.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -110,7 +110,7 @@
 
 // During a partition each side continues with the routers that it reaches. The
 // views converge after it ends, without any stored state.
-func TestCutAndRejoinConverge(t *testing.T) {
+func TestViewsConvergeAfterAPartition(t *testing.T) {
 	t.Parallel()
 	m := connectedMembers()
 	m.SetDisconnected(at(10), "b")
