--- a/registry/machine_test.go
+++ b/registry/machine_test.go
@@ -17,16 +17,16 @@
 	for i := range list {
 		id := rapid.SampledFrom([]fleet.UpstreamID{"", "a", "b", "c"}).Draw(t, "id")
 		list[i] = entry(id, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "revision")))
-		list[i].Removed = rapid.Bool().Draw(t, "gone")
+		list[i].Removed = rapid.Bool().Draw(t, "removed")
 		list[i].Upstream.Draining = rapid.Bool().Draw(t, "draining")
-		list[i].Upstream.StartTime = registry.StartTime(rapid.Int64Range(-1, 3).Draw(t, "life"))
+		list[i].Upstream.StartTime = registry.StartTime(rapid.Int64Range(-1, 3).Draw(t, "start time"))
 	}
 	return list
 }
 
 // Guards against a panic, and against an upstream that stays ready for ever, for any order of
 // outages, full reads, changes from other routers and lists that become empty and fill again.
-func TestDirectoryOutlivesAnyChange(t *testing.T) {
+func TestDirectorySurvivesAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		var d registry.Directory
@@ -36,16 +36,18 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"replace": func(t *rapid.T) {
-				d.Replace(now, changes(t), registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "as")))
+				d.Replace(now, changes(t), registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "list revision")))
+			},
+			"empty": func(t *rapid.T) {
+				d.Replace(now, nil, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "list revision")))
 			},
-			"empty": func(t *rapid.T) { d.Replace(now, nil, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "as"))) },
 			"apply": func(t *rapid.T) { d.Apply(now, changes(t)) },
-			"receive": func(t *rapid.T) {
+			"apply from peer": func(t *rapid.T) {
 				d.ApplyFromPeer(now, changes(t), registry.Revision(rapid.Uint64().Draw(t, "complete")))
 			},
-			"lost":     func(*rapid.T) { d.SetUnavailable() },
-			"regained": func(*rapid.T) { d.SetAvailable(now) },
-			"settle":   func(*rapid.T) { d.RemoveDue(now) },
+			"unavailable": func(*rapid.T) { d.SetUnavailable() },
+			"available":   func(*rapid.T) { d.SetAvailable(now) },
+			"remove due":  func(*rapid.T) { d.RemoveDue(now) },
 			"": func(t *rapid.T) {
 				for _, ready := range d.Ready() {
 					for _, u := range ready {
@@ -55,7 +57,7 @@
 				}
 			},
 		})
-		// Once the store is back with an empty list, every entry is removed at the end of its grace period.
+		// Once the list can be read again and is empty, every entry is removed at the end of its grace period.
 		d.SetAvailable(now)
 		d.Replace(now, nil, 1_000)
 		d.RemoveDue(now.Add(time.Minute))
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -35,8 +35,8 @@
 // Revision orders the changes to the platform's list.
 type Revision uint64
 
-// StartTime distinguishes successive starts of an upstream with the same id. It is the
-// start time in milliseconds since 1970.
+// StartTime distinguishes successive starts of an upstream with the same id. It is in
+// milliseconds since 1970.
 type StartTime int64
 
 // Upstream is an entry of the list.
@@ -51,7 +51,7 @@
 	Draining bool
 }
 
-// Change is the write of an entry, or its removal if Gone is set.
+// Change is the write of an entry, or its removal if Removed is set.
 type Change struct {
 	Upstream Upstream
 	Revision Revision
@@ -74,11 +74,11 @@
 	mu          sync.Mutex
 	entries     map[fleet.UpstreamID]entry
 	unavailable bool
-	// regainedAt is when the list could be read again, and graceEnd when the entries
-	// that vanished during the outage are removed.
-	regainedAt time.Time
-	graceEnd   time.Time
-	loaded     bool
+	// availableSince is when the list could be read again after an outage, and graceEnd
+	// when the entries that vanished during the outage are removed.
+	availableSince time.Time
+	graceEnd       time.Time
+	loaded         bool
 	// latest is the revision of the latest change that took effect, and complete
 	// the revision up to which all changes have been received.
 	latest   Revision
@@ -102,8 +102,8 @@
 		if listed[id] || e.change.Removed || e.change.Revision > revision {
 			continue
 		}
-		gone := Change{Upstream: e.change.Upstream, Revision: revision, Removed: true}
-		changed = append(changed, d.applyOne(now, gone, false)...)
+		removal := Change{Upstream: e.change.Upstream, Revision: revision, Removed: true}
+		changed = append(changed, d.applyOne(now, removal, false)...)
 	}
 	d.complete = max(d.complete, d.latest)
 	return changed
@@ -116,8 +116,8 @@
 }
 
 // ApplyFromPeer applies changes that took effect at another router, which has already
-// waited for entries to return. Complete is the revision up to which these changes
-// and those known before are all there are.
+// waited for entries to return. Once they are applied, all changes up to complete
+// have been received.
 func (d *Directory) ApplyFromPeer(now time.Time, changes []Change, complete Revision) []Change {
 	changed := d.applyAll(now, changes, true)
 	d.mu.Lock()
@@ -186,7 +186,7 @@
 	if d.unavailable {
 		return time.Time{}
 	}
-	if now.Sub(d.regainedAt) < catchUpWindow {
+	if now.Sub(d.availableSince) < catchUpWindow {
 		return d.graceEnd
 	}
 	if latest := now.Add(lateRemovalGrace); latest.Before(d.graceEnd) {
@@ -212,7 +212,7 @@
 }
 
 // SettledRevision returns the revision up to which all changes have taken effect. Pending
-// removals lower it, because another router may already have confirmed them.
+// removals limit it, because another router may already have confirmed them.
 func (d *Directory) SettledRevision() Revision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -240,7 +240,7 @@
 		return
 	}
 	d.unavailable = false
-	d.regainedAt = now
+	d.availableSince = now
 	d.graceEnd = now.Add(outageGrace)
 	for id, e := range d.entries {
 		if e.removalPending {
@@ -255,7 +255,7 @@
 func (d *Directory) RemoveDue(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var gone []Change
+	var removals []Change
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		e := d.entries[id]
 		if !e.removalPending || e.removeAt.IsZero() || now.Before(e.removeAt) {
@@ -265,9 +265,9 @@
 		e.change.Removed = true
 		d.latest = max(d.latest, e.change.Revision)
 		d.entries[id] = e
-		gone = append(gone, e.change)
+		removals = append(removals, e.change)
 	}
-	return gone
+	return removals
 }
 
 // Get returns the latest change of an entry, and whether there is one.
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -17,7 +17,7 @@
 	return registry.Change{Upstream: registry.Upstream{ID: id, Service: "model", Address: string(id)}, Revision: revision}
 }
 
-func gone(id fleet.UpstreamID, revision registry.Revision) registry.Change {
+func removal(id fleet.UpstreamID, revision registry.Revision) registry.Change {
 	c := entry(id, revision)
 	c.Removed = true
 	return c
@@ -44,19 +44,19 @@
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1), entry("b", 2)}, 2)
-	d.Apply(start, []registry.Change{draining("a", 5), gone("b", 6)})
+	d.Apply(start, []registry.Change{draining("a", 5), removal("b", 6)})
 	require.Empty(t, d.Replace(start, []registry.Change{entry("a", 1), entry("b", 2)}, 3))
 	require.Empty(t, ids(&d))
 }
 
 // The feed was interrupted, and an upstream left during the gap. A full read lacks
 // it, so it gets no more requests.
-func TestWholeReadRemovesWhatItLacks(t *testing.T) {
+func TestFullReadRemovesMissingEntries(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1), entry("b", 2)}, 2)
 	changed := d.Replace(start, []registry.Change{entry("b", 2)}, 9)
-	require.Equal(t, []registry.Change{gone("a", 9)}, changed)
+	require.Equal(t, []registry.Change{removal("a", 9)}, changed)
 	require.Equal(t, []fleet.UpstreamID{"b"}, ids(&d))
 }
 
@@ -64,7 +64,7 @@
 // upstreams expire because they can't be renewed. Removing them would refuse every
 // caller although every upstream works. They are kept until they have had time to
 // return, and removed after that.
-func TestEntriesThatLapseInAnOutageMayReturn(t *testing.T) {
+func TestEntriesThatExpireInAnOutageMayReturn(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1), entry("b", 2), draining("c", 3)}, 3)
@@ -94,7 +94,7 @@
 	d.SetUnavailable()
 	d.SetAvailable(start)
 	vanished := start.Add(700 * time.Millisecond)
-	d.Apply(vanished, []registry.Change{gone("a", 9)})
+	d.Apply(vanished, []registry.Change{removal("a", 9)})
 	require.Equal(t, []fleet.UpstreamID{"a"}, ids(&d))
 	due, ok := d.NextRemoval()
 	require.True(t, ok)
@@ -106,26 +106,26 @@
 // After an outage a router keeps an entry that vanished meanwhile. Another router,
 // which could read the store throughout, reports that the upstream has left. That
 // takes effect at once, though later changes have already taken effect here.
-func TestAnotherRouterKnowsThatALapsedEntryIsGone(t *testing.T) {
+func TestRemovalFromPeerTakesEffectAtOnce(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1), entry("b", 2)}, 2)
 	d.SetUnavailable()
 	d.SetAvailable(start)
-	d.Apply(start, []registry.Change{gone("a", 7), draining("b", 9)})
+	d.Apply(start, []registry.Change{removal("a", 7), draining("b", 9)})
 	require.EqualValues(t, 9, d.Latest())
 	require.EqualValues(t, 6, d.SettledRevision())
-	require.Len(t, d.ApplyFromPeer(start, []registry.Change{gone("a", 7), draining("b", 9)}, 9), 1)
+	require.Len(t, d.ApplyFromPeer(start, []registry.Change{removal("a", 7), draining("b", 9)}, 9), 1)
 	require.Empty(t, ids(&d))
 	require.EqualValues(t, 9, d.SettledRevision())
 }
 
 // An upstream that leaves while the store is available is removed at once.
-func TestEntryRemovedOutsideAnOutageIsGoneAtOnce(t *testing.T) {
+func TestRemovalOutsideAnOutageTakesEffectAtOnce(t *testing.T) {
 	t.Parallel()
 	var d registry.Directory
 	d.Replace(start, []registry.Change{entry("a", 1)}, 1)
-	require.Len(t, d.Apply(start, []registry.Change{gone("a", 2)}), 1)
+	require.Len(t, d.Apply(start, []registry.Change{removal("a", 2)}), 1)
 	require.Empty(t, ids(&d))
 }
 
@@ -133,7 +133,7 @@
 // the feed and from each other. They end with the same list.
 func TestOrderOfChangesDoesNotMatter(t *testing.T) {
 	t.Parallel()
-	changes := []registry.Change{entry("a", 1), draining("a", 4), gone("a", 6), entry("a", 9), entry("b", 2), gone("b", 7), entry("c", 3)}
+	changes := []registry.Change{entry("a", 1), draining("a", 4), removal("a", 6), entry("a", 9), entry("b", 2), removal("b", 7), entry("c", 3)}
 	rapid.Check(t, func(t *rapid.T) {
 		var d registry.Directory
 		for _, c := range rapid.Permutation(changes).Draw(t, "order") {
