--- a/follow/follow.go
+++ b/follow/follow.go
@@ -83,11 +83,11 @@
 	Name string
 	Feed Feed[R, V]
 	Sink Sink[R, V]
-	// Wait is how long one call waits for a change; zero means WaitFor(DefaultRecovery).
+	// Wait is how long one call waits for a change; zero means MaxWait(DefaultRecovery).
 	Wait time.Duration
 	// PollInterval returns the interval at which the table is polled while other routers
-	// pass on its changes; zero means to follow it without pauses, and so does a nil
-	// Rest. It is called repeatedly, and the result may change.
+	// pass on its changes. Zero means to follow it without pauses, and so does a nil
+	// PollInterval. It is called repeatedly, and the result may change.
 	PollInterval func() time.Duration
 	Log          *slog.Logger
 
@@ -135,7 +135,8 @@
 	return ctx.Err()
 }
 
-// pollCheckInterval is how often a Follower that waits for its next poll calls Rest again.
+// pollCheckInterval is how often a Follower that waits for its next poll calls
+// PollInterval again.
 const pollCheckInterval = 100 * time.Millisecond
 
 // waitForPoll waits until the table has to be polled. It spreads the calls of Followers
@@ -207,7 +208,7 @@
 
 // setRegained records an answer of the store. The log line has the duration of the
 // outage, the number of failed calls and the duration of the successful one, so that a
-// call that timed out late can be told from a long outage.
+// call that timed out late can be distinguished from a long outage.
 func (f *Follower[R, V]) setRegained() {
 	if f.lostAt.IsZero() {
 		return
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -53,21 +53,21 @@
 // recordingSink records the calls of a Follower.
 type recordingSink struct{ events []string }
 
-func (h *recordingSink) Replace(rows []string, _ int) {
-	h.events = append(h.events, append([]string{"whole"}, rows...)...)
+func (r *recordingSink) Replace(rows []string, _ int) {
+	r.events = append(r.events, append([]string{"whole"}, rows...)...)
 }
-func (h *recordingSink) Apply(rows []string, _ int) { h.events = append(h.events, rows...) }
-func (h *recordingSink) Lost(error)                 { h.events = append(h.events, "lost") }
-func (h *recordingSink) Regained()                  { h.events = append(h.events, "regained") }
+func (r *recordingSink) Apply(rows []string, _ int) { r.events = append(r.events, rows...) }
+func (r *recordingSink) Lost(error)                 { r.events = append(r.events, "lost") }
+func (r *recordingSink) Regained()                  { r.events = append(r.events, "regained") }
 
 func runFollower(t *testing.T, s *scriptedFeed, duration time.Duration) *recordingSink {
 	t.Helper()
-	h := &recordingSink{}
-	f := follow.Follower[string, int]{Name: "test", Feed: s, Sink: h, Log: slog.New(slog.DiscardHandler)}
+	sink := &recordingSink{}
+	f := follow.Follower[string, int]{Name: "test", Feed: s, Sink: sink, Log: slog.New(slog.DiscardHandler)}
 	ctx, cancel := context.WithTimeout(t.Context(), duration)
 	defer cancel()
 	require.ErrorIs(t, f.Run(ctx), context.DeadlineExceeded)
-	return h
+	return sink
 }
 
 // The store drops its history while a router waits for changes. The changes in the
@@ -81,8 +81,8 @@
 			{rows: []string{"b"}, revision: 9},
 			{rows: []string{"c"}, revision: 10},
 		}}
-		h := runFollower(t, s, time.Second)
-		require.Equal(t, []string{"whole", "a", "whole", "b", "c"}, h.events)
+		sink := runFollower(t, s, time.Second)
+		require.Equal(t, []string{"whole", "a", "whole", "b", "c"}, sink.events)
 	})
 }
 
@@ -93,8 +93,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		down := answer{err: errors.New("down")}
 		s := &scriptedFeed{answers: []answer{{revision: 1}, down, down, down, down, down, down, down, down, {rows: []string{"x"}, revision: 2}}}
-		h := runFollower(t, s, time.Minute)
-		require.Equal(t, []string{"whole", "lost", "regained", "x"}, h.events[:4])
+		sink := runFollower(t, s, time.Minute)
+		require.Equal(t, []string{"whole", "lost", "regained", "x"}, sink.events[:4])
 		outage := s.times[9].Sub(s.times[1])
 		require.Greater(t, outage, time.Second)
 		for i := 1; i < 10; i++ {
@@ -103,13 +103,13 @@
 	})
 }
 
-// A connection stops responding without a reset, so the wait never ends by itself.
-// The call times out and is repeated, so that a new connection delivers the changes.
-func TestSilentWaitIsGivenUp(t *testing.T) {
+// A connection stops responding without a reset, so a call for changes never ends by
+// itself. It times out and is repeated, so that a new connection delivers the changes.
+func TestHungWatchTimesOut(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedFeed{answers: []answer{{revision: 1}, {hangs: true}, {rows: []string{"late"}, revision: 2}}}
-		h := runFollower(t, s, 8*time.Second)
-		require.Equal(t, []string{"whole", "lost", "regained", "late"}, h.events[:4])
+		sink := runFollower(t, s, 8*time.Second)
+		require.Equal(t, []string{"whole", "lost", "regained", "late"}, sink.events[:4])
 	})
 }
--- a/follow/group.go
+++ b/follow/group.go
@@ -22,9 +22,9 @@
 	// itself: changes that the followers miss, because their feed stopped responding,
 	// are seen by another router after some 30 s divided by the size of the fleet.
 	standbyPollInterval = 30 * time.Second
-	// blindPollInterval is the same while no follower can read the store, though it may
+	// storeLostPollInterval is the same while no follower can read the store, though it may
 	// answer other routers: 88 routers make 15 calls a second for each table.
-	blindPollInterval = 6 * time.Second
+	storeLostPollInterval = 6 * time.Second
 )
 
 // Group decides which routers of a fleet follow the store for all others. The zero
@@ -38,11 +38,11 @@
 	Self fleet.RouterID
 
 	mu sync.Mutex
-	// peerCount is how many other routers are connected, and rankedAhead are those of
+	// peerCount is how many other routers are connected, and rankedAhead holds those of
 	// them that precede this one in the choice of followers.
 	peerCount   int
 	rankedAhead []fleet.RouterID
-	standings   map[fleet.RouterID]Status
+	statuses    map[fleet.RouterID]Status
 	storeLost   bool
 }
 
@@ -62,26 +62,26 @@
 	g.rankedAhead = nil
 	key := rendezvous.KeyOf("follow", "store")
 	own := rendezvous.Score(key, g.Self)
-	standings := make(map[fleet.RouterID]Status, len(others))
+	statuses := make(map[fleet.RouterID]Status, len(others))
 	for _, id := range others {
 		if rendezvous.Score(key, id) > own {
 			g.rankedAhead = append(g.rankedAhead, id)
 		}
-		if s, ok := g.standings[id]; ok {
-			standings[id] = s
+		if s, ok := g.statuses[id]; ok {
+			statuses[id] = s
 		}
 	}
-	g.standings = standings
+	g.statuses = statuses
 }
 
-// SetPeerStatus records the Standing that another router announced.
+// SetPeerStatus records the Status that another router announced.
 func (g *Group) SetPeerStatus(from fleet.RouterID, s Status) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.standings == nil {
-		g.standings = make(map[fleet.RouterID]Status)
+	if g.statuses == nil {
+		g.statuses = make(map[fleet.RouterID]Status)
 	}
-	g.standings[from] = s
+	g.statuses[from] = s
 }
 
 // SetLost records whether this router can't read the store.
@@ -91,7 +91,7 @@
 	g.storeLost = lost
 }
 
-// OwnStatus returns the Standing that this router announces.
+// OwnStatus returns the Status that this router announces.
 func (g *Group) OwnStatus() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,15 +107,15 @@
 	}
 	unable := 0
 	for _, id := range g.rankedAhead {
-		if g.standings[id].StoreLost {
+		if g.statuses[id].StoreLost {
 			unable++
 		}
 	}
 	return len(g.rankedAhead)-min(unable, maxSubstitutes) < followerCount
 }
 
-// PollInterval returns the interval at which this router polls the store; zero means that it
-// has to follow it.
+// PollInterval returns the interval at which this router polls the store; zero means that
+// it follows the store.
 func (g *Group) PollInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,20 +124,20 @@
 	case g.isFollower() || followers < minKnownFollowers:
 		return 0
 	case able == 0:
-		return blindPollInterval
+		return storeLostPollInterval
 	default:
 		return standbyPollInterval
 	}
 }
 
-// FollowersLostStore reports whether this router does not follow the store and none of those
-// that do can read it.
-func (g *Group) FollowersLostStore() bool { return g.PollInterval() == blindPollInterval }
+// FollowersLostStore reports whether this router does not follow the store and none of
+// the routers that do can read it.
+func (g *Group) FollowersLostStore() bool { return g.PollInterval() == storeLostPollInterval }
 
 // countFollowers returns how many other routers follow, and how many of them can read the
 // store.
 func (g *Group) countFollowers() (followers, able int) {
-	for _, s := range g.standings {
+	for _, s := range g.statuses {
 		if !s.Follows {
 			continue
 		}
--- a/follow/group_test.go
+++ b/follow/group_test.go
@@ -34,9 +34,9 @@
 	return others
 }
 
-// exchangeStandings lets all routers announce their Standing until nothing changes any
-// more. Followers lose the store if it is unavailable.
-func exchangeStandings(all map[fleet.RouterID]*follow.Group, unavailable bool) {
+// exchangeStatuses lets all routers announce their Status until nothing changes any more.
+// Followers can't read the store if it is unavailable.
+func exchangeStatuses(all map[fleet.RouterID]*follow.Group, unavailable bool) {
 	for range 20 {
 		for id, g := range all {
 			if g.OwnStatus().Follows {
@@ -61,16 +61,16 @@
 	return count
 }
 
-// A change in a large fleet made each router read it from the store. Only four may do
-// so, while the others poll twice a minute.
+// If all 88 routers followed the store, each change would be read 88 times. Only four
+// follow it, and the others poll twice a minute.
 func TestFewRoutersOfALargeFleetFollow(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
 	require.Equal(t, 88, following(all))
-	exchangeStandings(all, false)
+	exchangeStatuses(all, false)
 	require.Equal(t, 4, following(all))
 	small := groups(12)
-	exchangeStandings(small, false)
+	exchangeStatuses(small, false)
 	require.Equal(t, 12, following(small))
 }
 
@@ -79,13 +79,13 @@
 func TestOutageDoesNotMakeAllFollow(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
-	exchangeStandings(all, false)
-	exchangeStandings(all, true)
+	exchangeStatuses(all, false)
+	exchangeStatuses(all, true)
 	require.LessOrEqual(t, following(all), 12)
 	for _, g := range all {
 		require.Equal(t, g.PollInterval() > 0, g.FollowersLostStore())
 	}
-	exchangeStandings(all, false)
+	exchangeStatuses(all, false)
 	require.Equal(t, 4, following(all))
 }
 
@@ -94,7 +94,7 @@
 func TestOthersFollowForThoseThatAreRefused(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
-	exchangeStandings(all, false)
+	exchangeStatuses(all, false)
 	refused := make(map[fleet.RouterID]bool)
 	for id, g := range all {
 		refused[id] = g.OwnStatus().Follows
@@ -126,7 +126,7 @@
 func TestRouterWithoutOthersFollows(t *testing.T) {
 	t.Parallel()
 	all := groups(88)
-	exchangeStandings(all, false)
+	exchangeStatuses(all, false)
 	for _, g := range all {
 		g.SetRouters(nil)
 		require.Equal(t, time.Duration(0), g.PollInterval())
--- a/follow/machine_test.go
+++ b/follow/machine_test.go
@@ -13,9 +13,9 @@
 
 var machineRouters = []fleet.RouterID{"", "r0", "r1", "r2", "r3"}
 
-// Guards against a panic, and against an update that no source is asked for, because sources
-// are added and removed during calls.
-func TestSourcesOutliveAnyChange(t *testing.T) {
+// Guards against a panic, and against an update that is fetched from no source, because
+// sources are added and removed during calls.
+func TestSourcesSurviveAnyChange(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		var s follow.Sources
@@ -35,15 +35,15 @@
 			s.Forget(r)
 		}
 		none, _ := s.Next(now, 0)
-		require.Empty(t, none, "nobody is left")
+		require.Empty(t, none, "no source is left")
 		s.Announce("r9", 7)
-		asked, _ := s.Next(now.Add(time.Second), 0)
-		require.Equal(t, fleet.RouterID("r9"), asked)
+		called, _ := s.Next(now.Add(time.Second), 0)
+		require.Equal(t, fleet.RouterID("r9"), called)
 	})
 }
 
 // Guards against a fleet in which no router follows the store after routers have left.
-func TestSomebodyFollowsWhoeverIsLeft(t *testing.T) {
+func TestSomeRouterFollowsAfterOthersLeave(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "routers")
--- a/follow/silence_test.go
+++ b/follow/silence_test.go
@@ -93,12 +93,13 @@
 func (a *arrivals) Lost(error)                       {}
 func (a *arrivals) Regained()                        {}
 
+// Guards against a call that began in an outage of the store and times out long after it.
 // All routers of a data centre used a configuration more than two seconds after it was
-// replaced. The store had not responded for six seconds, with its connections open, and
-// had been back for four when the routers received the new configurations: a call that
-// began in the outage and was to wait four seconds for a change timed out only after
-// five. In the routers' logs no call followed the one after `dependency lost` for 5.2 s,
-// while the store answered the next call for another table.
+// replaced: the store did not respond for six seconds, with its connections open, and the
+// routers received the new configurations only four seconds after it responded again. A
+// call that was to wait four seconds for a change timed out after five. The routers' logs
+// show no call for 5.2 s after the first one that followed `dependency lost`, while the
+// store answered the next call for another table.
 func TestChangesAfterASilenceArriveInTime(t *testing.T) {
 	t.Parallel()
 	for _, silence := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, time.Second, 2500 * time.Millisecond, 6200 * time.Millisecond, 11 * time.Second} {
--- a/follow/sources.go
+++ b/follow/sources.go
@@ -10,14 +10,14 @@
 
 const (
 	// hedgeDelay is how long a call may take before another source is called too,
-	// and the least time between two calls to the same source.
+	// and the minimum time between two calls to the same source.
 	hedgeDelay = 200 * time.Millisecond
 	// maxCalls bounds the concurrent calls of one router.
 	maxCalls = 4
 )
 
-// Sources chooses which other routers to ask for an update. Its zero value is empty. It
-// is safe for concurrent use.
+// Sources chooses the routers from which an update is fetched. Its zero value is empty.
+// It is safe for concurrent use.
 //
 // A source may not respond, or be busy with calls of many other routers. So calls are
 // hedged: one that takes long is followed by a call to another source.
@@ -57,9 +57,9 @@
 	delete(s.sources, router)
 }
 
-// Next returns a router to ask now for a version after held, or none, and how long to
+// Next returns a router to call now for a version after held, or none, and how long to
 // wait before Next is called again; zero means until a call ends or a router announces a
-// newer version. The call counts as in flight until End.
+// newer version. The call to the router counts as in flight until End.
 func (s *Sources) Next(now time.Time, held uint64) (router fleet.RouterID, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/follow/sources_test.go
+++ b/follow/sources_test.go
@@ -10,42 +10,43 @@
 	"nutmeglock.example/nutmeglock/follow"
 )
 
-func TestNothingIsAskedThatNobodyAnnounced(t *testing.T) {
+func TestNoCallWithoutANewerVersion(t *testing.T) {
 	t.Parallel()
 	var s follow.Sources
 	s.Announce("a", 3)
-	router, again := s.Next(time.Now(), 3)
+	router, retryAfter := s.Next(time.Now(), 3)
 	require.Empty(t, router)
-	require.Zero(t, again)
+	require.Zero(t, retryAfter)
 }
 
-// Guards against an update that waits for the timeout of a call to a source that does not respond.
+// Guards against an update that waits for the timeout of a call to a source that does not
+// respond.
 func TestCallToASilentSourceIsHedged(t *testing.T) {
 	t.Parallel()
 	var s follow.Sources
 	now := time.Unix(1_800_000_000, 0)
-	asked := make(map[fleet.RouterID]bool)
+	called := make(map[fleet.RouterID]bool)
 	for _, router := range []fleet.RouterID{"a", "b", "c", "d", "e", "f"} {
 		s.Announce(router, 2)
 	}
-	const patience = time.Second
-	for end := now.Add(patience); now.Before(end); {
-		router, again := s.Next(now, 1)
+	const callTimeout = time.Second
+	for end := now.Add(callTimeout); now.Before(end); {
+		router, retryAfter := s.Next(now, 1)
 		if router != "" {
-			require.False(t, asked[router])
-			asked[router] = true
+			require.False(t, called[router])
+			called[router] = true
 		}
-		if again == 0 {
+		if retryAfter == 0 {
 			break
 		}
-		require.Less(t, again, patience/2)
-		now = now.Add(again)
+		require.Less(t, retryAfter, callTimeout/2)
+		now = now.Add(retryAfter)
 	}
-	require.Len(t, asked, 4, "calls in flight are bounded")
+	require.Len(t, called, 4, "calls in flight are bounded")
 }
 
 // Guards against a loop of calls to a single source that fails at once.
-func TestSourceThatFailsIsAskedAgainAfterAPause(t *testing.T) {
+func TestSourceThatFailsIsCalledAgainAfterAPause(t *testing.T) {
 	t.Parallel()
 	var s follow.Sources
 	now := time.Unix(1_800_000_000, 0)
@@ -53,10 +54,10 @@
 	router, _ := s.Next(now, 1)
 	require.EqualValues(t, "a", router)
 	s.End("a")
-	router, again := s.Next(now.Add(time.Millisecond), 1)
+	router, retryAfter := s.Next(now.Add(time.Millisecond), 1)
 	require.Empty(t, router)
-	require.Positive(t, again)
-	router, _ = s.Next(now.Add(time.Millisecond+again), 1)
+	require.Positive(t, retryAfter)
+	router, _ = s.Next(now.Add(time.Millisecond+retryAfter), 1)
 	require.EqualValues(t, "a", router)
 }
 
@@ -75,12 +76,12 @@
 }
 
 // Guards against calls to a router that is no longer connected.
-func TestForgottenSourceIsNotAsked(t *testing.T) {
+func TestForgottenSourceIsNotCalled(t *testing.T) {
 	t.Parallel()
 	var s follow.Sources
 	s.Announce("a", 2)
 	s.Forget("a")
-	router, again := s.Next(time.Now(), 1)
+	router, retryAfter := s.Next(time.Now(), 1)
 	require.Empty(t, router)
-	require.Zero(t, again)
+	require.Zero(t, retryAfter)
 }
