--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -2,8 +2,8 @@
 // upstream may have run it.
 //
 // The outcome of a failed exchange that is returned to the caller (not-run,
-// outcome-unknown or run) is computed in one place, Facts.Outcome, from what
-// this router sent and received only. An exchange is never retried here:
+// outcome-unknown or run) is computed in one place, Facts.Outcome, only from
+// the bytes that this router sent and received. An exchange is never retried here:
 // net/http retries some requests by itself if a reused connection turns out to
 // be closed, so the requests are built in a way that prevents it, and a
 // connection that would carry a second copy rejects the write.
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -24,12 +24,12 @@
 // Fixes the seed, so that each run has the same cases; -rapid.seed sets another one.
 func init() { _ = flag.Set("rapid.seed", "7") }
 
-// upstream is a raw TCP server that reads cut bytes of each request, writes reply
-// and closes the connection. It records what it received.
+// upstream is a raw TCP server that reads at most readLimit bytes of each request, writes
+// reply and closes the connection. It records the bytes that it read.
 type upstream struct {
 	net.Listener
-	cut   int
-	reply string
+	readLimit int
+	reply     string
 
 	mu       sync.Mutex
 	conns    int
@@ -37,12 +37,12 @@
 	wg       sync.WaitGroup
 }
 
-func startUpstream(t interface{ Fatal(args ...any) }, cut int, reply string) *upstream {
+func startUpstream(t interface{ Fatal(args ...any) }, readLimit int, reply string) *upstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &upstream{Listener: l, cut: cut, reply: reply}
+	u := &upstream{Listener: l, readLimit: readLimit, reply: reply}
 	u.wg.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -60,7 +60,7 @@
 	u.mu.Lock()
 	u.conns++
 	u.mu.Unlock()
-	got, _ := io.ReadAll(io.LimitReader(c, int64(u.cut)))
+	got, _ := io.ReadAll(io.LimitReader(c, int64(u.readLimit)))
 	_, _ = io.WriteString(c, u.reply)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -96,10 +96,10 @@
 		body := strings.Repeat("b", rapid.SampledFrom([]int{0, 1, 100, 9000, 12 << 20}).Draw(t, "body"))
 		method := rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method")
 		idempotent := rapid.Bool().Draw(t, "idempotent")
-		cut := rapid.IntRange(0, 300+min(len(body), 9000)).Draw(t, "cut")
+		readLimit := rapid.IntRange(0, 300+min(len(body), 9000)).Draw(t, "read limit")
 		answer := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 		reply := answer[:rapid.IntRange(0, len(answer)-1).Draw(t, "reply")]
-		u := startUpstream(t, cut, reply)
+		u := startUpstream(t, readLimit, reply)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		var client attempt.Client
@@ -127,7 +127,7 @@
 	require.NotZero(t, outcomes[refusal.Run])
 }
 
-func TestOutcomeOfEachCut(t *testing.T) {
+func TestOutcomeOfEachInterruption(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		facts    attempt.Facts
@@ -140,7 +140,7 @@
 		"before the answer":          {attempt.Facts{Connected: true, Written: 99, HeaderSent: true, BodySent: true}, refusal.Unknown},
 		"early answer":               {attempt.Facts{Connected: true, Written: 9, AnswerStarted: true}, refusal.Unknown},
 		"in the answer":              {attempt.Facts{Connected: true, HeaderSent: true, AnswerStarted: true, AnswerHeaderRead: true}, refusal.Run},
-		"refused unrun":              {attempt.Facts{Connected: true, HeaderSent: true, BodySent: true, AnswerStarted: true, Refused: attempt.Full}, refusal.NotRun},
+		"refused":                    {attempt.Facts{Connected: true, HeaderSent: true, BodySent: true, AnswerStarted: true, Refused: attempt.Full}, refusal.NotRun},
 		"refused in a broken answer": {attempt.Facts{Connected: true, HeaderSent: true, AnswerStarted: true}, refusal.Unknown},
 	} {
 		require.Equal(t, c.expected, c.facts.Outcome(), name)
--- a/attempt/client.go
+++ b/attempt/client.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// transportFor returns a transport that opens a connection for this request only if
-// the request may run at most once, or if net/http would consider it replayable, for
-// which an Idempotency-Key and an empty body are enough.
+// transportFor returns the transport for a request: singleUse, which opens a connection
+// per request, if the request may run at most once or if net/http would consider it
+// replayable, for which an Idempotency-Key and an empty body are enough.
 func (c *Client) transportFor(request Request) *http.Transport {
 	if !request.Idempotent || (len(request.Body) == 0 && !IsBodyless(request.Method)) {
 		return c.singleUse
--- a/attempt/facts.go
+++ b/attempt/facts.go
@@ -2,8 +2,8 @@
 
 import "nutmeglock.example/nutmeglock/refusal"
 
-// Facts is what the router knows of a failed exchange. What was written is an upper
-// bound: it was passed to the operating system and may not have arrived.
+// Facts holds a router's observations of a failed exchange. Written bytes are an upper
+// bound: they were passed to the operating system and may not have arrived.
 type Facts struct {
 	// Connected is true once there was a connection.
 	Connected bool
