--- a/route/route.go
+++ b/route/route.go
@@ -53,8 +53,8 @@
 	Public bool
 	// Resumable streams may continue at another upstream after the last event.
 	Resumable bool
-	// PromptCaching requests list the parts of their prompt, and are faster at upstreams that
-	// have these parts cached.
+	// PromptCaching is set if requests list the parts of their prompt. They are faster at
+	// upstreams that have these parts cached.
 	PromptCaching bool
 }
 
