--- a/resume/resume.go
+++ b/resume/resume.go
@@ -58,7 +58,7 @@
 
 // Open decodes and verifies a token that a caller of account sent. It fails with
 // *refusal.Error: bad-resume-token if the token was not issued by this fleet or is for
-// another account, which a caller can't tell apart, and resume-expired.
+// another account, which a caller can't distinguish, and resume-expired.
 func (i *Issuer) Open(text, account string, now time.Time) (*schema.ResumeToken, error) {
 	invalid := &refusal.Error{Reason: refusal.BadResumeToken, Outcome: refusal.NotRun, Detail: "The resume token is not valid."}
 	if len(text) > MaxTokenLength {
