--- a/logging/logging.go
+++ b/logging/logging.go
@@ -20,9 +20,11 @@
 	// maxLinesPerSecond bounds the lines written in a second. A line takes about 5 µs
 	// including its write, so logging uses at most some 0.2 % of a processor.
 	maxLinesPerSecond = 400
-	// panicReserve is how many lines about panics are allowed in a second beyond maxLinesPerSecond.
+	// panicReserve is how many lines about panics are allowed in a second beyond
+	// maxLinesPerSecond.
 	panicReserve = 50
-	// maxDeferredPerSecond bounds the lines deferred in a second, because each of them has to be formatted.
+	// maxDeferredPerSecond bounds the lines deferred in a second, because each of them has
+	// to be formatted.
 	maxDeferredPerSecond = 300
 	// batchDelay is how long lines are collected before they are written together.
 	// Under load a separate write for each line wakes a thread and costs as much as the
@@ -35,21 +37,23 @@
 
 const (
 	// Router is for the state of the router, of other routers and of upstreams, which
-	// explains all other lines. It is the priority of the loggers that Log returns.
+	// explains all other lines. It is the priority of the loggers that Logger
+	// returns.
 	Router Priority = iota
 	// Failure is for requests that were sent to an upstream and got no complete answer.
 	Failure
 	// Request is for requests that succeeded, or were sent to no upstream. Under overload
 	// they are by far the most frequent.
 	Request
-	// Panic is for panics. They have room whatever else is logged.
+	// Panic is for panics. A second has room for panicReserve of them whatever else is
+	// logged.
 	Panic
 
 	priorityCount = iota
 )
 
-// lineLimits are the numbers of queued lines in a second at which lines of each priority are
-// no longer queued, so that there is always room for a higher priority.
+// lineLimits holds the number of lines queued in a second at which lines of each priority
+// are no longer queued, so that there is always room for a higher priority.
 var lineLimits = [priorityCount]int{Panic: maxLinesPerSecond + panicReserve, Router: maxLinesPerSecond, Failure: 300, Request: 150}
 
 // Writer queues lines and writes them to another writer. Create it with New.
@@ -85,7 +89,7 @@
 }
 
 // WithPriority returns a logger whose lines have a priority. A logger that was not
-// created by Log is returned unchanged.
+// created by Logger is returned unchanged.
 func WithPriority(log *slog.Logger, priority Priority) *slog.Logger {
 	h, ok := log.Handler().(*limitedHandler)
 	if !ok {
@@ -195,7 +199,8 @@
 	time.AfterFunc(flushInterval, w.flush)
 }
 
-// accepts reports whether a line would be queued or deferred now; if not, it counts the line as dropped.
+// accepts reports whether a line would be queued or deferred now. If not, it counts the
+// line as dropped.
 func (w *Writer) accepts(priority Priority) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -22,17 +22,17 @@
 	release chan struct{}
 }
 
-func (s *blockedOutput) Write(p []byte) (int, error) {
-	<-s.release
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.out.Write(p)
+func (b *blockedOutput) Write(p []byte) (int, error) {
+	<-b.release
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.out.Write(p)
 }
 
-func (s *blockedOutput) text() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.out.String()
+func (b *blockedOutput) text() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.out.String()
 }
 
 // The reader of the log stops reading. A router must not wait for it, since that would
