--- a/explain/explain.go
+++ b/explain/explain.go
@@ -38,9 +38,9 @@
 	Route   string    `json:"route"`
 	Account string    `json:"account"`
 
-	Count    int      `json:"count"`
-	Longest  float64  `json:"longest-ms"`
-	FirstIDs []string `json:"first"`
+	Count       int      `json:"count"`
+	LongestWait float64  `json:"longest-ms"`
+	FirstIDs    []string `json:"first"`
 
 	PanicValue   string  `json:"value"`
 	EndedBy      string  `json:"ended-by"`
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -64,7 +64,7 @@
 	return n, nil
 }
 
-// The log of an hour is larger than memory. Reading it must not retain it.
+// The log of an hour is larger than memory, so it must be read as a stream.
 func TestLargeLogIsReadAsAStream(t *testing.T) { //nolint:paralleltest // it measures the memory of the process
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -82,8 +82,8 @@
 {"time":"2026-12-03T14:19:41Z","msg":"requests refused","router":"edge-2","reason":"no-upstream","account":"bob","route":"q","count":7,"first":["b1"],"longest-ms":120}
 `
 
-// Guards against a refused request without an explanation, because only a summary of several
-// refusals was logged.
+// Guards against a refused request without an explanation because only a summary of
+// several refusals was logged.
 func TestSummariesOfRefusalsAreExplained(t *testing.T) {
 	t.Parallel()
 	var named, other bytes.Buffer
--- a/explain/sums.go
+++ b/explain/sums.go
@@ -11,11 +11,11 @@
 // describeSummary describes a summary of refused requests of one kind and second.
 func (l *logLine) describeSummary() string {
 	return fmt.Sprintf("refused %d requests without lines of their own: %s, route %s, account %s, after %.1f ms at most",
-		l.Count, l.Reason, l.Route, l.Account, l.Longest)
+		l.Count, l.Reason, l.Route, l.Account, l.LongestWait)
 }
 
-// addSummary keeps a line that summarises several refusals, or prints it if it has the id of the
-// request.
+// addSummary keeps a line that summarises several refusals, or prints it if it lists the
+// id of the request.
 func (e *Explainer) addSummary(l *logLine) error {
 	if slices.Contains(l.FirstIDs, e.Request) {
 		e.found++
@@ -28,15 +28,15 @@
 	return nil
 }
 
-// keepLargest keeps the summaries of the most requests, sorted by time.
+// keepLargest keeps the summaries with the most requests, sorted by time.
 func (e *Explainer) keepLargest() {
 	slices.SortStableFunc(e.summaries, func(a, b logLine) int { return b.Count - a.Count })
 	e.summaries = e.summaries[:min(len(e.summaries), maxSummaries)]
 	slices.SortStableFunc(e.summaries, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 }
 
-// PrintSummaries prints the largest summaries, which may include a request without lines. It is
-// called after all logs were read.
+// PrintSummaries prints the largest summaries, which may include a request that has no
+// lines. It must be called after all logs were read.
 func (e *Explainer) PrintSummaries() error {
 	e.keepLargest()
 	for i := range e.summaries {
