--- a/metric/handler.go
+++ b/metric/handler.go
@@ -15,8 +15,7 @@
 // each of them the smallest families come first and the histograms last.
 //
 // A collector may keep only the beginning of a page. With families sorted by name the Go
-// runtime's metrics would fill most of it, and an operator would not find there what a
-// router refused.
+// runtime's metrics would fill most of it, and the metrics of refusals would be missing.
 func Handler(gatherers ...prometheus.Gatherer) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		var page bytes.Buffer
--- a/metric/handler_test.go
+++ b/metric/handler_test.go
@@ -16,9 +16,8 @@
 // collectorPageLimit is how much of a metrics page the users' collector keeps, in bytes.
 const collectorPageLimit = 4000
 
-// After an incident there was no record of what routers had refused: the collector keeps
-// 4,000 bytes of each metrics page, and the Go runtime's metrics, which come first by
-// name, had filled them.
+// Guards against metrics of refusals that a collector doesn't record: it keeps 4,000 bytes
+// of each page, and the Go runtime's metrics, which come first by name, filled them.
 func TestOwnMetricsComeFirst(t *testing.T) {
 	t.Parallel()
 	own, process := prometheus.NewRegistry(), prometheus.NewRegistry()
