--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -96,7 +96,7 @@
 		body := strings.Repeat("b", rapid.SampledFrom([]int{0, 1, 100, 9000, 12 << 20}).Draw(t, "body"))
 		method := rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method")
 		idempotent := rapid.Bool().Draw(t, "idempotent")
-		readLimit := rapid.IntRange(0, 300+min(len(body), 9000)).Draw(t, "read limit")
+		readLimit := rapid.IntRange(0, 300+min(len(body), 9000)).Draw(t, "cut")
 		answer := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 		reply := answer[:rapid.IntRange(0, len(answer)-1).Draw(t, "reply")]
 		u := startUpstream(t, readLimit, reply)
--- a/quarantine/machine_test.go
+++ b/quarantine/machine_test.go
@@ -31,7 +31,7 @@
 		}
 		crash := func(t *rapid.T) quarantine.Crash {
 			return quarantine.Crash{
-				Request: request(t), Upstream: turn.Instance{ID: rapid.SampledFrom([]fleet.UpstreamID{"", "a", "b", "c"}).Draw(t, "upstream"), StartTime: registry.StartTime(rapid.Int64().Draw(t, "start time"))},
+				Request: request(t), Upstream: turn.Instance{ID: rapid.SampledFrom([]fleet.UpstreamID{"", "a", "b", "c"}).Draw(t, "upstream"), StartTime: registry.StartTime(rapid.Int64().Draw(t, "life"))},
 				StartedAgo: length(t, "started"), CrashedAgo: length(t, "crashed"), ServedAgo: length(t, "served"),
 			}
 		}
@@ -44,8 +44,8 @@
 			"report":  func(t *rapid.T) { tracker.CountCrash(now, crash(t)) },
 			"receive": func(t *rapid.T) {
 				tracker.ApplyVerdict(now, quarantine.Verdict{
-					Request: request(t), Status: quarantine.Status(rapid.IntRange(-1, 5).Draw(t, "status")),
-					FirstCrashAgo: length(t, "first crash"), Term: length(t, "term"), Remaining: length(t, "remaining"),
+					Request: request(t), Status: quarantine.Status(rapid.IntRange(-1, 5).Draw(t, "standing")),
+					FirstCrashAgo: length(t, "first crash"), Term: length(t, "term"), Remaining: length(t, "left"),
 				})
 			},
 			"restore": func(t *rapid.T) {
--- a/registry/machine_test.go
+++ b/registry/machine_test.go
@@ -17,9 +17,9 @@
 	for i := range list {
 		id := rapid.SampledFrom([]fleet.UpstreamID{"", "a", "b", "c"}).Draw(t, "id")
 		list[i] = entry(id, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "revision")))
-		list[i].Removed = rapid.Bool().Draw(t, "removed")
+		list[i].Removed = rapid.Bool().Draw(t, "gone")
 		list[i].Upstream.Draining = rapid.Bool().Draw(t, "draining")
-		list[i].Upstream.StartTime = registry.StartTime(rapid.Int64Range(-1, 3).Draw(t, "start time"))
+		list[i].Upstream.StartTime = registry.StartTime(rapid.Int64Range(-1, 3).Draw(t, "life"))
 	}
 	return list
 }
@@ -36,18 +36,18 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"replace": func(t *rapid.T) {
-				d.Replace(now, changes(t), registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "list revision")))
+				d.Replace(now, changes(t), registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "as")))
 			},
 			"empty": func(t *rapid.T) {
-				d.Replace(now, nil, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "list revision")))
+				d.Replace(now, nil, registry.Revision(rapid.Uint64Range(0, 40).Draw(t, "as")))
 			},
 			"apply": func(t *rapid.T) { d.Apply(now, changes(t)) },
 			"apply from peer": func(t *rapid.T) {
 				d.ApplyFromPeer(now, changes(t), registry.Revision(rapid.Uint64().Draw(t, "complete")))
 			},
-			"unavailable": func(*rapid.T) { d.SetUnavailable() },
-			"available":   func(*rapid.T) { d.SetAvailable(now) },
-			"remove due":  func(*rapid.T) { d.RemoveDue(now) },
+			"lost":       func(*rapid.T) { d.SetUnavailable() },
+			"regained":   func(*rapid.T) { d.SetAvailable(now) },
+			"remove due": func(*rapid.T) { d.RemoveDue(now) },
 			"": func(t *rapid.T) {
 				for _, ready := range d.Ready() {
 					for _, u := range ready {
