--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -15,9 +15,9 @@
 
 // waiter is a request in one of this router's queues.
 type waiter struct {
-	work dispatch.Request
-	item *waiting.Item[queueKey, *waiter]
-	// avoided holds the numbers of the upstreams in work.Avoid.
+	request dispatch.Request
+	item    *waiting.Item[queueKey, *waiter]
+	// avoided holds the numbers of the upstreams in request.AvoidedUpstreams.
 	avoided   []uint32
 	preferred []fleet.ShortID
 	// overtaken counts the later requests that were started before this one.
@@ -35,8 +35,8 @@
 }
 
 // Acquire waits until the request gets a slot.
-func (s *Scheduler) Acquire(ctx context.Context, work dispatch.Request) (dispatch.Slot, error) {
-	w := &waiter{work: work, result: make(chan acquireResult, 1)}
+func (s *Scheduler) Acquire(ctx context.Context, request dispatch.Request) (dispatch.Slot, error) {
+	w := &waiter{request: request, result: make(chan acquireResult, 1)}
 	if !s.loop.Post(func() { s.local.add(s, s.timer.Now(), w) }) {
 		return nil, refusal.New(refusal.Stopping, "the router is stopping", time.Second)
 	}
@@ -59,41 +59,41 @@
 	scheduler *Scheduler
 	held      *heldSlot
 	upstream  *schema.Upstream
-	// reportBegin is true until the dispatcher is told that the answer began, if
-	// the grant asked for that.
+	// reportBegin is true while the beginning of the answer must still be reported
+	// to the dispatcher.
 	reportBegin atomic.Bool
 	returned    atomic.Bool
 }
 
-func newSlot(s *Scheduler, h *heldSlot, upstream *schema.Upstream, begin bool) *slot {
+func newSlot(s *Scheduler, h *heldSlot, upstream *schema.Upstream, reportBegin bool) *slot {
 	granted := &slot{scheduler: s, held: h, upstream: upstream}
-	granted.reportBegin.Store(begin)
+	granted.reportBegin.Store(reportBegin)
 	return granted
 }
 
 // Upstream returns the upstream to send the request to.
-func (g *slot) Upstream() *schema.Upstream { return g.upstream }
+func (s *slot) Upstream() *schema.Upstream { return s.upstream }
 
 // ReportCost records the request's cost so far. It is sent to a dispatcher that
 // takes over; the current one estimates it from the time that the request runs.
-func (g *slot) ReportCost(cost fleet.Tokens) {
-	g.held.cost.Store(int64(cost))
-	if g.reportBegin.CompareAndSwap(true, false) {
-		g.scheduler.loop.Post(func() { g.scheduler.local.reportProgress(g.scheduler, g.held) })
+func (s *slot) ReportCost(cost fleet.Tokens) {
+	s.held.cost.Store(int64(cost))
+	if s.reportBegin.CompareAndSwap(true, false) {
+		s.scheduler.loop.Post(func() { s.scheduler.local.reportCost(s.scheduler, s.held) })
 	}
 }
 
 // Release returns the slot. A second call has no effect.
-func (g *slot) Release(done dispatch.Completion) {
-	if g.returned.Swap(true) {
+func (s *slot) Release(completion dispatch.Completion) {
+	if s.returned.Swap(true) {
 		return
 	}
-	g.scheduler.loop.Post(func() { g.scheduler.local.handleDone(g.scheduler, g.held, done) })
+	s.scheduler.loop.Post(func() { s.scheduler.local.handleCompletion(s.scheduler, s.held, completion) })
 }
 
 func (s *Scheduler) observeWait(w *waiter, now time.Time) {
 	if s.metrics != nil {
-		s.metrics.QueueSeconds.WithLabelValues(w.work.Service.GetId()).Observe(now.Sub(w.item.QueuedAt()).Seconds())
+		s.metrics.QueueSeconds.WithLabelValues(w.request.Service.GetId()).Observe(now.Sub(w.item.QueuedAt()).Seconds())
 	}
 }
 
--- a/scheduler/asking.go
+++ b/scheduler/asking.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// preferOwnRate is the requests per second from which own slots are preferred
-	// to save messages: at 50 bytes each, the messages would use the whole control
-	// allowance of 3 KB/s.
+	// preferOwnRate is the requests per second from which a router prefers its own
+	// slots to save messages: at 50 bytes each, the messages would use all of the
+	// 3 KB/s allowed for control messages.
 	preferOwnRate = 50.0
 )
 
@@ -49,8 +49,8 @@
 	return r != nil && r.connected
 }
 
-// updateAsks sends asks for a queue to the dispatchers whose count is too far
-// off, or to all asked ones if changed is true. It withdraws the asks to others.
+// updateAsks sends asks for a queue to those of its dispatchers whose count is too
+// far off, or to all of them if changed is true. It withdraws the asks to others.
 func (l *localRequests) updateAsks(s *Scheduler, now time.Time, q *queue, changed bool) {
 	want := l.waiting.Len(q.key)
 	if want == 0 {
@@ -74,7 +74,7 @@
 func (l *localRequests) sendAsk(s *Scheduler, now time.Time, q *queue, router fleet.RouterID) {
 	message := l.newAsk(now, q)
 	if q.dispatcherCounts[router] == 0 || len(message.GetAvoided()) > 0 {
-		// A dispatcher with a count above zero goes on granting meanwhile.
+		// A dispatcher with a count above zero continues to grant meanwhile.
 		s.outbox.sendUrgently(router)
 	}
 	q.dispatcherCounts[router] = l.waiting.Len(q.key)
@@ -119,7 +119,7 @@
 	}
 }
 
-// handleFree asks a dispatcher that announced idle slots for a service.
+// handleFree sends asks to a dispatcher that announced idle slots of a service.
 func (l *localRequests) handleFree(s *Scheduler, now time.Time, from fleet.RouterID, service fleet.ShortID) {
 	for _, q := range l.queues {
 		if q.key.service != service || l.waiting.Len(q.key) == 0 || slices.Contains(q.askedDispatchers, from) {
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -15,13 +15,13 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// assignment maps upstreams to their dispatchers in this router's view. Those of
-// other routers may differ for a while.
+// assignment maps upstreams to their dispatchers in this router's view. The views
+// of other routers may differ for a while.
 type assignment struct {
 	liveRouters []fleet.RouterID
 	version     fleet.Version
 	dispatchers map[fleet.ShortID]fleet.RouterID
-	// available lists, for each service, its upstreams that take new requests.
+	// available lists, for each service, its upstreams that accept new requests.
 	available      map[fleet.ShortID][]availableUpstream
 	serviceNumbers map[fleet.ServiceID]fleet.ShortID
 	// ownServices are the services of the upstreams that this router dispatches.
@@ -32,7 +32,7 @@
 	epoch uint64
 }
 
-// availableUpstream is an upstream that takes new requests, and its dispatcher.
+// availableUpstream is an upstream that accepts new requests, and its dispatcher.
 type availableUpstream struct {
 	number     fleet.ShortID
 	dispatcher fleet.RouterID
@@ -67,7 +67,7 @@
 	s.exchange.updateKeepers(s)
 	s.local.applyAssignment(s, now)
 	if isFirst {
-		// This tells the others, which have excluded this router so far, that it can dispatch now.
+		// The other routers have excluded this one so far; the batch reports that it can dispatch now.
 		for _, id := range s.connectedRouters() {
 			s.sendComplete(now, id)
 		}
--- a/scheduler/denial.go
+++ b/scheduler/denial.go
@@ -9,15 +9,16 @@
 )
 
 // denials records routers that this router considers dispatchers of a service but
-// that report that they dispatch none of its upstreams.
+// that report to dispatch none of its upstreams.
 //
 // While the network between some pairs of routers is cut, two routers that reach
 // each other may disagree on the dispatcher for as long as the cut lasts. A router
 // that can't reach an upstream's dispatcher selects the router of the next rank.
 // That one still reaches the dispatcher and therefore grants nothing: requests
-// would wait beside idle slots until their deadlines. After denials for a while,
-// a router excludes the other and asks the next in rank, in the end itself. The
-// upstream then has two dispatchers, which its load reports limit together.
+// would wait until their deadlines although slots are idle. A router that gets
+// denials for a while excludes their sender and asks the next in rank, finally
+// itself. The upstream then has two dispatchers, which its load reports limit
+// together.
 type denials struct {
 	byKey map[denialKey]denial
 }
@@ -39,7 +40,7 @@
 	denialConfirmTime = time.Second
 	// maxDenialGap is the longest time between two denials that count as one series.
 	maxDenialGap = time.Second
-	// denialTTL is how long a router stays excluded; its own view may have changed then.
+	// denialTTL is how long a router stays excluded; after that its view may have changed.
 	denialTTL = 30 * time.Second
 )
 
@@ -103,7 +104,7 @@
 	return false
 }
 
-// sendDenial tells a router that this one dispatches no upstream of a service.
+// sendDenial reports to a router that this one dispatches no upstream of a service.
 func (s *Scheduler) sendDenial(to fleet.RouterID, service fleet.ShortID) {
 	if s.view == nil || s.assignment.ownServices[service] || to == s.self {
 		return
--- a/scheduler/drain_test.go
+++ b/scheduler/drain_test.go
@@ -13,14 +13,14 @@
 
 // All upstreams of a service report draining, which only their dispatchers read.
 // Waiting requests and those that arrive at other routers must be refused at once
-// with a retry time, not shortly before their deadlines. When the upstreams take
+// with a retry time, not shortly before their deadlines. When the upstreams accept
 // requests again, requests are admitted again.
 func TestServiceWhoseUpstreamsAllDrainIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		reporter := &loadReporter{}
 		f := newFleet(t, newView(1, 3, 1))
-		f.client = &http.Client{Transport: reporter}
+		f.pollClient = &http.Client{Transport: reporter}
 		ids := f.startAll(3)
 		defer f.stopAll()
 		f.keepLoad(ids[0], "account-0", 3, time.Hour)
@@ -62,14 +62,14 @@
 // Two routers are connected again after a cut. Each reports draining upstreams that
 // it dispatches in its own view, possibly before the other considers it their
 // dispatcher. If the other dropped that report, it would not be repeated for a
-// minute, and requests would wait in vain until shortly before their deadlines.
+// minute, and requests would wait until shortly before their deadlines.
 func TestDrainReportSurvivesDisagreementOnTheDispatcher(t *testing.T) {
 	t.Parallel()
 	for after := time.Duration(0); after < 2*time.Second; after += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			reporter := &loadReporter{}
 			f := newFleet(t, newView(1, 6, 1))
-			f.client = &http.Client{Transport: reporter}
+			f.pollClient = &http.Client{Transport: reporter}
 			defer f.stopAll()
 			ids := f.startAll(2)
 			f.network.cut(ids[0], ids[1])
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -9,9 +9,8 @@
 )
 
 // drainReports holds the upstreams that their dispatchers report as draining.
-// Every router needs them: if all upstreams of a service drain, it refuses
-// requests at once, which would otherwise wait for a slot in vain until shortly
-// before their deadlines.
+// Every router needs them to refuse requests at once if all upstreams of a service
+// drain. The requests would otherwise wait until shortly before their deadlines.
 type drainReports struct {
 	// received holds the reports of routers about upstreams that they dispatch in
 	// their own view. A report is kept even if this router considers another
@@ -76,7 +75,7 @@
 	return changed
 }
 
-// removeIf deletes the reports for which match is true and returns whether there were any.
+// removeIf deletes the reports for which match is true and reports whether there were any.
 func (d *drainReports) removeIf(match func(report drainReport) bool) bool {
 	before := len(d.received)
 	maps.DeleteFunc(d.received, func(report drainReport, _ bool) bool { return match(report) })
--- a/scheduler/entry.go
+++ b/scheduler/entry.go
@@ -19,7 +19,7 @@
 	waiting   waiting.Queue[queueKey, *waiter]
 	queues    map[queueKey]*queue
 	heldSlots map[grantKey]*heldSlot
-	// lastGrant is the highest id among the received grants of each dispatcher.
+	// lastGrant is the highest sequence number among each dispatcher's received grants.
 	lastGrant      map[fleet.RouterID]uint64
 	recentPrefixes recentPrefixes
 	// startRate is a moving average of the requests started per second, starts
@@ -52,7 +52,7 @@
 		w.result <- acquireResult{refused: refused}
 		return
 	}
-	w.item = l.waiting.Push(w.queue.key, w, now, w.work.Deadline)
+	w.item = l.waiting.Push(w.queue.key, w, now, w.request.Deadline)
 	w.queue.drainMeter.SetWaiting(now, true)
 	l.updateAsks(s, now, w.queue, len(w.avoided) > 0)
 }
@@ -64,7 +64,7 @@
 	if s.view == nil {
 		return refusal.New(refusal.NotReady, "no release note is in force here yet", time.Second)
 	}
-	key := queueKey{fleet.ShortID(w.work.Service.GetNumber()), fleet.ShortID(w.work.Account.GetNumber())}
+	key := queueKey{fleet.ShortID(w.request.Service.GetNumber()), fleet.ShortID(w.request.Account.GetNumber())}
 	available := s.assignment.available[key.service]
 	if len(available) == 0 {
 		return refusal.New(refusal.NoUpstream, "the service has no upstream that takes work", noUpstreamRetryAfter)
@@ -74,12 +74,12 @@
 		q = &queue{key: key, dispatcherCounts: make(map[fleet.RouterID]int)}
 		l.queues[key] = q
 	}
-	q.service, q.account = w.work.Service, w.work.Account
+	q.service, q.account = w.request.Service, w.request.Account
 	q.usedAt = now
 	w.queue = q
 	w.avoided = avoidedNumbers(s, w, available)
 	w.preferred = l.preferredUpstreams(s, w)
-	return s.admission.Admit(now, w.work.Deadline, admission.Queue{
+	return s.admission.Admit(now, w.request.Deadline, admission.Queue{
 		AccountWaiting: l.waiting.Len(key), AccountBound: s.accountBound(q), TotalWaiting: l.waiting.Total(), TotalBound: s.maxWaitingTotal,
 		DrainRate: q.drainMeter.MaxRate(now),
 	})
@@ -90,8 +90,8 @@
 // prefix, then those that all routers prefer for its first block.
 func (l *localRequests) preferredUpstreams(s *Scheduler, w *waiter) []fleet.ShortID {
 	service := w.queue.key.service
-	preferred := s.assignment.prefixUpstreams(service, w.work.Prefixes)
-	upstream, ok := l.recentPrefixes.find(w.work.Prefixes)
+	preferred := s.assignment.prefixUpstreams(service, w.request.Prefixes)
+	upstream, ok := l.recentPrefixes.find(w.request.Prefixes)
 	if !ok || !s.assignment.serves(service, upstream) {
 		return preferred
 	}
@@ -111,13 +111,13 @@
 // avoidedNumbers returns the numbers of the upstreams to avoid. It returns none
 // if that would exclude all, since the request could never start then.
 func avoidedNumbers(s *Scheduler, w *waiter, available []availableUpstream) []uint32 {
-	if len(w.work.AvoidedUpstreams) == 0 {
+	if len(w.request.AvoidedUpstreams) == 0 {
 		return nil
 	}
 	var avoided []uint32
 	for _, u := range available {
 		upstream := s.view.UpstreamByNumber(u.number)
-		if slices.Contains(w.work.AvoidedUpstreams, fleet.UpstreamID(upstream.GetId())) {
+		if slices.Contains(w.request.AvoidedUpstreams, fleet.UpstreamID(upstream.GetId())) {
 			avoided = append(avoided, uint32(u.number))
 		}
 	}
@@ -127,10 +127,10 @@
 	return avoided
 }
 
-// abandon removes a request whose caller has gone, or returns its slot.
+// abandon removes a request whose caller has disconnected, or returns its slot.
 func (l *localRequests) abandon(s *Scheduler, now time.Time, w *waiter) {
 	if w.heldSlot != nil {
-		l.handleDone(s, w.heldSlot, dispatch.Completion{Result: dispatch.Unused})
+		l.handleCompletion(s, w.heldSlot, dispatch.Completion{Result: dispatch.Unused})
 		return
 	}
 	if l.remove(now, w) {
@@ -207,7 +207,7 @@
 		}
 		rate := q.drainMeter.MaxRate(now)
 		for i, w := range l.waiters(q) {
-			refused := s.admission.Admit(now, w.work.Deadline, admission.Queue{
+			refused := s.admission.Admit(now, w.request.Deadline, admission.Queue{
 				AccountWaiting: i, AccountBound: i + 1, TotalBound: 1, DrainRate: rate,
 			})
 			if refused != nil && refused.Reason == refusal.DeadlineBeforeTurn {
@@ -304,17 +304,17 @@
 	return s.view.UpstreamByNumber(number)
 }
 
-func (l *localRequests) start(s *Scheduler, now time.Time, w *waiter, h *heldSlot, u *schema.Upstream, begin bool) {
+func (l *localRequests) start(s *Scheduler, now time.Time, w *waiter, h *heldSlot, u *schema.Upstream, reportBegin bool) {
 	l.remove(now, w)
 	w.queue.drainMeter.AddStart(now)
 	l.starts++
-	l.recentPrefixes.record(w.work.Prefixes, h.upstream)
+	l.recentPrefixes.record(w.request.Prefixes, h.upstream)
 	h.service = w.queue.service
 	l.heldSlots[h.key] = h
 	w.heldSlot = h
 	s.announceForeignGrant(h)
 	s.observeWait(w, now)
-	w.result <- acquireResult{slot: newSlot(s, h, u, begin)}
+	w.result <- acquireResult{slot: newSlot(s, h, u, reportBegin)}
 }
 
 // updateStartRate updates the moving average of requests started per second.
--- a/scheduler/exchange.go
+++ b/scheduler/exchange.go
@@ -20,7 +20,7 @@
 
 // fullReportRate is the requests per second at this router up to which each start
 // and end is reported. Above it the threshold grows in proportion, which keeps
-// the reports at about half of the control allowance.
+// the reports at about half of the bandwidth allowed for control messages.
 const fullReportRate = 15.0
 
 // reportThresholdAt returns the report threshold for a rate in requests per second.
@@ -85,7 +85,7 @@
 	}
 }
 
-// handleReport adds a dispatcher's report as keeper and answers with the total.
+// handleReport passes a dispatcher's report to this router's keeper and replies with the total.
 func (x *serviceExchange) handleReport(s *Scheduler, now time.Time, from fleet.RouterID, incarnation fleet.Incarnation, message *schema.ServiceReport) {
 	key := keeper.Key{Service: fleet.ShortID(message.GetService()), Account: fleet.ShortID(message.GetAccount())}
 	total := s.keeper.Report(now, from, incarnation, share.Report[keeper.Key]{
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -51,10 +51,10 @@
 	})
 }
 
-// The dispatcher of a full upstream is killed. The next one starts without state;
-// if it were not told about the requests in flight, it would fill the upstream a
-// second time and slow down all answers.
-func TestNextDispatcherLearnsWhatIsInFlight(t *testing.T) {
+// The dispatcher of a full upstream is killed. The next one starts without state.
+// Without a report of the requests in flight it would fill the upstream a second
+// time and slow down all answers.
+func TestNextDispatcherReceivesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(2, 1, 6))
@@ -107,7 +107,7 @@
 // A router is killed and restarts without state before the others notice. The
 // grants to its first incarnation are lost; the new one must be served like a new
 // router, and no slot may leak.
-func TestRouterRestartedWithNothingRemembered(t *testing.T) {
+func TestRouterRestartedWithoutState(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(2, 1, 4))
@@ -129,7 +129,7 @@
 
 // The dispatcher is killed and restarts without state while other routers have
 // requests in flight that it granted.
-func TestDispatcherRestartedWithNothingRemembered(t *testing.T) {
+func TestDispatcherRestartedWithoutState(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(2, 1, 4))
@@ -152,7 +152,7 @@
 // A paused router reads nothing, and after a while its slots go to others. When it
 // resumes, it reads and uses old grants. The upstream may exceed its limit by these
 // at most and must get no further requests until it is below the limit.
-func TestPausedRouterWakesWithOldGrants(t *testing.T) {
+func TestPausedRouterResumesWithOldGrants(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(3, 1, 2))
@@ -208,7 +208,7 @@
 // The network between two routers is cut, and both still reach the third. One of
 // them dispatches the only upstream of a service. The other considers the third the
 // dispatcher, which grants nothing, since it still reaches the real one. Without
-// denials, requests would wait until their deadlines beside idle slots.
+// denials, requests would wait until their deadlines although slots are idle.
 func TestRouterThatIsCutOffFromTheDispatcherOnly(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -240,10 +240,10 @@
 }
 
 // A dispatcher is killed and restarts while a request holds a slot that it granted
-// and that the next dispatcher was told about. Then the slot is returned, for
+// and that was reported to the next dispatcher. Then the slot is returned, for
 // example unused because the request's claim could not be written. If only the
-// granter were told, the slot would leak at the current dispatcher; after a few of
-// these, the upstream would idle while requests wait.
+// granter got the release, the slot would leak at the current dispatcher; after a
+// few of these, the upstream would idle while requests wait.
 func TestUnusedSlotOfAFormerDispatcherComesBack(t *testing.T) {
 	t.Parallel()
 	for _, result := range []dispatch.Result{dispatch.Unused, dispatch.Answered, dispatch.Failed} {
@@ -254,7 +254,7 @@
 			killed := f.dispatcherOf(ids[0])
 			id := allExcept(ids, killed)[0]
 			holder := f.routers[id]
-			slot, err := holder.Acquire(holder.ctx, f.work("account-0"))
+			slot, err := holder.Acquire(holder.ctx, f.newRequest("account-0"))
 			require.NoError(t, err)
 			f.kill(killed)
 			time.Sleep(3 * time.Second)
@@ -273,8 +273,8 @@
 
 // A request returns its slot unused, because its claim could not be written or its
 // caller has disconnected, while others of the same account wait at the router.
-// The dispatcher takes an unused slot as a sign that the router has no waiting
-// requests. If the router did not ask again, these would wait for ever.
+// The dispatcher then drops the router's ask. If the router did not ask again, the
+// other requests would wait for ever.
 func TestUnusedSlotDoesNotStarveOtherRequests(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{0, 1, 2} { // The dispatcher itself, and routers that ask it.
@@ -283,7 +283,7 @@
 			ids := f.startAll(3)
 			defer f.stopAll()
 			r := f.routers[ids[n]]
-			slot, err := r.Acquire(r.ctx, f.work("account-0"))
+			slot, err := r.Acquire(r.ctx, f.newRequest("account-0"))
 			require.NoError(t, err)
 			answered := make(chan error, 3)
 			for range 3 {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -114,19 +114,19 @@
 
 // testFleet runs several routers in one process.
 type testFleet struct {
-	t         *testing.T
-	network   *network
-	upstreams *upstreams
-	view      *note.View
-	routers   map[fleet.RouterID]*testRouter
-	sharing   scheduler.Sharing
-	client    *http.Client
+	t          *testing.T
+	network    *network
+	upstreams  *upstreams
+	view       *note.View
+	routers    map[fleet.RouterID]*testRouter
+	sharing    scheduler.Sharing
+	pollClient *http.Client
 	// notes and vms override the sources of single routers.
 	notes   map[fleet.RouterID]note.Source
 	vms     map[fleet.RouterID]store.VMLister
 	limiter func(slots int) inflight.Limiter
-	// order overrides share.Fair.
-	order func() share.Policy[fleet.ShortID]
+	// sharePolicy overrides share.Fair.
+	sharePolicy func() share.Policy[fleet.ShortID]
 	// placement overrides placement.LeastLoaded.
 	placement placement.Policy
 }
@@ -157,13 +157,13 @@
 	if notes == nil {
 		notes = fixedNotes{f.view}
 	}
-	order := f.order
-	if order == nil {
-		order = func() share.Policy[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
+	sharePolicy := f.sharePolicy
+	if sharePolicy == nil {
+		sharePolicy = func() share.Policy[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
 	}
-	policy := f.placement
-	if policy == nil {
-		policy = placement.LeastLoaded{}
+	placementPolicy := f.placement
+	if placementPolicy == nil {
+		placementPolicy = placement.LeastLoaded{}
 	}
 	limiter := f.limiter
 	if limiter == nil {
@@ -171,8 +171,8 @@
 	}
 	s := scheduler.New(scheduler.Options[share.Policy[fleet.ShortID], inflight.Limiter, placement.Policy]{
 		Self: id, Incarnation: incarnation, Notes: notes, VMs: f.vms[id], Peers: f.network.newPeers(id, incarnation),
-		SharePolicy: order, Limiter: limiter,
-		Admission: bounded{}, MaxWaiting: 10_000, MaxWaitingTotal: 100_000, Sharing: f.sharing, Placement: policy, PollClient: f.client,
+		SharePolicy: sharePolicy, Limiter: limiter,
+		Admission: bounded{}, MaxWaiting: 10_000, MaxWaitingTotal: 100_000, Sharing: f.sharing, Placement: placementPolicy, PollClient: f.pollClient,
 	})
 	ctx, cancel := context.WithCancel(f.t.Context())
 	r := &testRouter{Scheduler: s, stop: cancel, ctx: ctx, done: make(chan struct{})}
@@ -215,7 +215,7 @@
 	for id := range f.routers {
 		f.kill(id)
 	}
-	// Waits until batches under way are dropped and streams notice that their router has stopped.
+	// Waits until batches in transit are dropped and streams notice that their router has stopped.
 	time.Sleep(10*linkDelay + 2*time.Second)
 }
 
@@ -224,8 +224,8 @@
 	return f.runOn(f.routers["router-0"], account, 300, duration)
 }
 
-// work returns a request of an account with a deadline in an hour.
-func (f *testFleet) work(account string) dispatch.Request {
+// newRequest returns a request of an account with a deadline in an hour.
+func (f *testFleet) newRequest(account string) dispatch.Request {
 	return dispatch.Request{
 		Account: f.view.Account(fleet.AccountID(account)), Service: f.view.Service("model"), Estimate: 300,
 		Deadline: time.Now().Add(time.Hour),
@@ -233,7 +233,7 @@
 }
 
 func (f *testFleet) runOn(r *testRouter, account string, cost fleet.Tokens, duration time.Duration) error {
-	slot, err := r.Acquire(r.ctx, f.work(account))
+	slot, err := r.Acquire(r.ctx, f.newRequest(account))
 	if err != nil {
 		return err
 	}
@@ -269,7 +269,7 @@
 	return state
 }
 
-// requireFull checks over some seconds that the upstreams run so many requests in
+// requireFull checks over some seconds that the upstreams run that many requests in
 // total. A single sample could fall between the end of a request and the start of
 // the next, which takes a few milliseconds of each second.
 func (f *testFleet) requireFull(slots int) {
--- a/scheduler/flood_test.go
+++ b/scheduler/flood_test.go
@@ -15,12 +15,12 @@
 
 // queueTimes returns the queue times of an account that sends one request at a
 // time, to each router in turn.
-func queueTimes(t *testing.T, flood bool, requests int, order func() share.Policy[fleet.ShortID]) []time.Duration {
+func queueTimes(t *testing.T, flood bool, requests int, sharePolicy func() share.Policy[fleet.ShortID]) []time.Duration {
 	t.Helper()
 	var times []time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(2, 10, 16))
-		f.order = order
+		f.sharePolicy = sharePolicy
 		ids := f.startAll(6)
 		defer f.stopAll()
 		random := rand.New(rand.NewPCG(5, 5))
--- a/scheduler/free.go
+++ b/scheduler/free.go
@@ -9,7 +9,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// freeAnnouncer tells other routers about this dispatcher's idle slots. A queue
+// freeAnnouncer announces this dispatcher's idle slots to other routers. A queue
 // asks only a few dispatchers; without announcements the slots of others would
 // stay idle while its requests wait.
 type freeAnnouncer struct {
@@ -23,10 +23,10 @@
 const (
 	// minAnnounceInterval follows the first announcement of idle slots. It is a few round trips.
 	minAnnounceInterval = 20 * time.Millisecond
-	// maxAnnounceInterval is reached when nobody asks, for example while the whole
-	// fleet has idle slots. It limits how long a queue that asked fanout.Most
-	// dispatchers in vain waits while another dispatcher has an idle slot. At this
-	// interval one service takes 70 bytes a second.
+	// maxAnnounceInterval is reached when no router asks, for example while the whole
+	// fleet has idle slots. It limits how long a queue that has asked
+	// fanout.MaxDispatchers dispatchers waits while another one has an idle slot. At
+	// this interval one service takes 70 bytes a second.
 	maxAnnounceInterval = time.Second
 	// servicesPerMaxInterval is the number of idle services that extends the
 	// longest interval by another maxAnnounceInterval.
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -28,23 +28,23 @@
 	id      dispatcher.GrantID
 }
 
-// settlingDispatcher returns the router that charges the cost of a held slot: the
+// chargingDispatcher returns the router that charges the cost of a held slot: the
 // granter, which charged the estimate, or if that is not reachable, the
 // upstream's current dispatcher.
-func (s *Scheduler) settlingDispatcher(h *heldSlot) fleet.RouterID {
+func (s *Scheduler) chargingDispatcher(h *heldSlot) fleet.RouterID {
 	if s.isReachable(h.key.granter) {
 		return h.key.granter
 	}
 	return s.assignment.dispatchers[h.upstream]
 }
 
-// reportProgress sends the settling dispatcher a request's cost so far, which
-// also tells it that the answer began.
-func (l *localRequests) reportProgress(s *Scheduler, h *heldSlot) {
+// reportCost sends the charging dispatcher a request's cost so far, which also
+// reports that the answer began.
+func (l *localRequests) reportCost(s *Scheduler, h *heldSlot) {
 	if l.heldSlots[h.key] != h {
 		return
 	}
-	out := s.outbox.batchTo(s.settlingDispatcher(h))
+	out := s.outbox.batchTo(s.chargingDispatcher(h))
 	out.Held = append(out.Held, heldMessage(h))
 }
 
@@ -61,14 +61,14 @@
 	l.release(s, h, dispatch.Completion{Result: dispatch.Unused})
 }
 
-// handleDone returns the slot of a request that has ended. Dispatchers take an
-// unused slot as a sign that the account has no waiting requests here. If it has,
-// they are asked again: an unchanged ask is not repeated, so the requests would
-// wait for ever.
-func (l *localRequests) handleDone(s *Scheduler, h *heldSlot, done dispatch.Completion) {
-	dispatchers := []fleet.RouterID{s.settlingDispatcher(h), s.assignment.dispatchers[h.upstream]}
-	l.release(s, h, done)
-	if done.Result != dispatch.Unused || h.service == nil {
+// handleCompletion returns the slot of a request that has ended. A dispatcher drops
+// the account's ask when it gets the slot back unused. If requests still wait
+// here, the dispatchers are asked again: an unchanged ask is not repeated, so the
+// requests would wait for ever.
+func (l *localRequests) handleCompletion(s *Scheduler, h *heldSlot, completion dispatch.Completion) {
+	dispatchers := []fleet.RouterID{s.chargingDispatcher(h), s.assignment.dispatchers[h.upstream]}
+	l.release(s, h, completion)
+	if completion.Result != dispatch.Unused || h.service == nil {
 		return
 	}
 	q := l.queues[queueKey{fleet.ShortID(h.service.GetNumber()), h.account}]
@@ -81,23 +81,23 @@
 	l.updateAsks(s, s.timer.Now(), q, false)
 }
 
-// release returns a slot. The settling dispatcher gets the cost. While an upstream
+// release returns a slot. The charging dispatcher gets the cost. While an upstream
 // changes its dispatcher, both count the slot, so the current dispatcher gets a
 // release too, with the cost that it already knows. It needs one for unused slots
 // as well: otherwise it would never free them, and the upstream would idle.
-func (l *localRequests) release(s *Scheduler, h *heldSlot, done dispatch.Completion) {
+func (l *localRequests) release(s *Scheduler, h *heldSlot, completion dispatch.Completion) {
 	delete(l.heldSlots, h.key)
-	settling, current := s.settlingDispatcher(h), s.assignment.dispatchers[h.upstream]
-	s.sendRelease(settling, h, done, done.Cost)
-	if current != settling && current != "" {
-		s.sendRelease(current, h, done, h.reportedCost)
+	charging, current := s.chargingDispatcher(h), s.assignment.dispatchers[h.upstream]
+	s.sendRelease(charging, h, completion, completion.Cost)
+	if current != charging && current != "" {
+		s.sendRelease(current, h, completion, h.reportedCost)
 	}
-	s.countServiceTokens(h, done)
+	s.countServiceTokens(h, completion)
 }
 
-func (s *Scheduler) sendRelease(to fleet.RouterID, h *heldSlot, done dispatch.Completion, cost fleet.Tokens) {
+func (s *Scheduler) sendRelease(to fleet.RouterID, h *heldSlot, completion dispatch.Completion, cost fleet.Tokens) {
 	message := &schema.Release{
-		Cost: clampUint32(cost), Result: schemaResult(done.Result), FirstTokenMs: clampUint32(done.FirstTokenLatency.Milliseconds()),
+		Cost: clampUint32(cost), Result: schemaResult(completion.Result), FirstTokenMs: clampUint32(completion.FirstTokenLatency.Milliseconds()),
 	}
 	if h.key.granter == to && h.key.id.GrantedBy(s.nonce(to)) {
 		message.Id = h.key.id.Count()
@@ -118,7 +118,7 @@
 }
 
 // releaseDelay lets releases share a frame with asks. It is short compared with
-// the duration of a request, so that slots are hardly idle for it.
+// the duration of a request, so it hardly keeps slots idle.
 const releaseDelay = 3 * time.Millisecond
 
 func schemaResult(result dispatch.Result) schema.Result {
@@ -136,12 +136,12 @@
 	}
 }
 
-func (s *Scheduler) countServiceTokens(h *heldSlot, done dispatch.Completion) {
-	if s.metrics == nil || done.Cost <= 0 {
+func (s *Scheduler) countServiceTokens(h *heldSlot, completion dispatch.Completion) {
+	if s.metrics == nil || completion.Cost <= 0 {
 		return
 	}
 	if a := s.view.AccountByNumber(h.account); a != nil {
-		s.metrics.ServiceTokens.WithLabelValues(a.GetId()).Add(float64(done.Cost))
+		s.metrics.ServiceTokens.WithLabelValues(a.GetId()).Add(float64(completion.Cost))
 	}
 }
 
@@ -174,8 +174,8 @@
 	return all
 }
 
-// announceReassigned tells new dispatchers which requests are in flight at their
-// upstreams. Otherwise they would fill each upstream a second time.
+// announceReassigned reports the requests in flight at reassigned upstreams to the
+// new dispatchers, which would otherwise fill each upstream a second time.
 func (s *Scheduler) announceReassigned(before assignment) {
 	notified := make(map[fleet.RouterID]bool)
 	for _, h := range s.local.heldSlots {
@@ -192,8 +192,8 @@
 	}
 }
 
-// announceForeignGrant tells an upstream's current dispatcher about a request that
-// another one granted. The grant was under way when the dispatcher changed, so
+// announceForeignGrant reports a request that another dispatcher granted to the
+// upstream's current one. The grant was in transit when the dispatcher changed, so
 // announceReassigned did not include it; without this message the new dispatcher
 // would send the upstream one request too many.
 func (s *Scheduler) announceForeignGrant(h *heldSlot) {
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -83,7 +83,7 @@
 }
 
 func (p *loadPoller) tick(now time.Time) {
-	if p.scheduler.client == nil {
+	if p.scheduler.pollClient == nil {
 		return
 	}
 	for number, polled := range p.upstreams {
@@ -127,7 +127,7 @@
 	if err != nil {
 		return inflight.Load{}, eris.Wrap(err, "create load request")
 	}
-	response, err := p.scheduler.client.Do(request)
+	response, err := p.scheduler.pollClient.Do(request)
 	if err != nil {
 		return inflight.Load{}, eris.Wrap(err, "request load")
 	}
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -37,20 +37,20 @@
 func TestUpstreamThatReportsDrainingGetsNoWork(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		upstream := &loadReporter{}
+		reporter := &loadReporter{}
 		f := newFleet(t, newView(1, 1, 4))
-		f.client = &http.Client{Transport: upstream}
+		f.pollClient = &http.Client{Transport: reporter}
 		f.start("router-0", 1)
 		defer f.stopAll()
 		f.keepLoad("router-0", "account-0", 4, time.Second)
 		time.Sleep(5500 * time.Millisecond)
 		f.requireFull(4)
 		// During the ramp it is polled four times a second.
-		require.GreaterOrEqual(t, upstream.polls.Load(), int64(15))
-		upstream.draining.Store(true)
+		require.GreaterOrEqual(t, reporter.polls.Load(), int64(15))
+		reporter.draining.Store(true)
 		time.Sleep(4 * time.Second)
 		require.Zero(t, f.upstreams.totalRunning())
-		upstream.down.Store(true)
+		reporter.down.Store(true)
 		time.Sleep(time.Minute)
 		require.Zero(t, f.upstreams.totalRunning())
 	})
--- a/scheduler/loopback_test.go
+++ b/scheduler/loopback_test.go
@@ -25,7 +25,7 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// vmList implements store.VMs with a list that tests set.
+// vmList implements store.VMLister with a list that tests set.
 type vmList struct {
 	mu  sync.Mutex
 	vms []store.VM
--- a/scheduler/outbox.go
+++ b/scheduler/outbox.go
@@ -7,7 +7,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Delays in which further messages to the same router join a batch.
+// Delays during which further messages to the same router join a batch.
 const (
 	// urgentDelay is small compared with the round trip of 1 to 2 ms between data
 	// centres, because a slot may be idle meanwhile.
@@ -92,7 +92,7 @@
 		return
 	}
 	o.wakeAt = next
-	// The loop calls finishRound after the timer function, which flushes.
+	// After the timer function the loop calls finishRound, which calls flushDue.
 	o.scheduler.loop.After(o.scheduler.timer, next.Sub(now), func(time.Time) {})
 }
 
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -32,7 +32,7 @@
 
 // affinityLookahead is how many of the oldest requests are searched for one whose
 // prompt is cached at the granted upstream, and how often the head of the queue
-// may be overtaken by such a one: the head is delayed by at most 8 starts.
+// may be overtaken by such a request: the head is delayed by at most 8 starts.
 const affinityLookahead = 8
 
 // chooseRequest returns the request to start at an upstream: the first of the
@@ -65,10 +65,10 @@
 	return chosen
 }
 
-// needsAsk reports whether a dispatcher that counts counted waiting requests must
-// be told that there are want. A wrong count is harmless while some wait: the
-// dispatcher subtracts its own grants, and is corrected before its count reaches
-// zero or twice the actual number.
+// needsAsk reports whether a dispatcher that assumes counted waiting requests needs
+// an ask with the actual number, want. A wrong count is harmless while some wait:
+// the dispatcher subtracts its own grants, and is corrected before its count
+// reaches zero or twice the actual number.
 func needsAsk(counted, want int) bool {
 	return counted != want && (counted == 0 || want == 0 || want >= 2*counted || counted > 2*want)
 }
@@ -83,7 +83,7 @@
 		return message
 	}
 	head := item.Value()
-	message.Estimate = clampUint32(head.work.Estimate)
+	message.Estimate = clampUint32(head.request.Estimate)
 	message.WaitedMs = clampUint32(now.Sub(item.QueuedAt()).Milliseconds())
 	if len(q.askedDispatchers) > 1 {
 		message.Asked = uint32(len(q.askedDispatchers))
--- a/scheduler/ranking.go
+++ b/scheduler/ranking.go
@@ -64,14 +64,14 @@
 // prefixUpstreams returns the two upstreams preferred by all requests with the
 // same first prompt block, so that they find it cached. Every router computes the
 // same two, without any messages.
-func (a *assignment) prefixUpstreams(service fleet.ShortID, prefix []uint64) []fleet.ShortID {
-	if len(prefix) == 0 {
+func (a *assignment) prefixUpstreams(service fleet.ShortID, prefixes []uint64) []fleet.ShortID {
+	if len(prefixes) == 0 {
 		return nil
 	}
 	var first, second fleet.ShortID
 	var firstScore, secondScore rendezvous.Key
 	for _, u := range a.available[service] {
-		score := rendezvous.KeyOfNumber("prefix", prefix[0]^uint64(dispatcherKey(u.number)))
+		score := rendezvous.KeyOfNumber("prefix", prefixes[0]^uint64(dispatcherKey(u.number)))
 		switch {
 		case first == 0 || score > firstScore:
 			second, secondScore = first, firstScore
--- a/scheduler/recent_test.go
+++ b/scheduler/recent_test.go
@@ -13,12 +13,12 @@
 	"nutmeglock.example/nutmeglock/placement"
 )
 
-// runPrompt runs one request with prompt blocks through a router and returns its upstream.
-func (f *testFleet) runPrompt(t *testing.T, id fleet.RouterID, blocks ...uint64) string {
+// runPrompt runs one request with prompt prefixes through a router and returns its upstream.
+func (f *testFleet) runPrompt(t *testing.T, id fleet.RouterID, prefixes ...uint64) string {
 	t.Helper()
 	slot, err := f.routers[id].Acquire(t.Context(), dispatch.Request{
 		Account: f.view.Account("account-0"), Service: f.view.Service("model"), Estimate: 300,
-		Deadline: time.Now().Add(time.Hour), Prefixes: blocks,
+		Deadline: time.Now().Add(time.Hour), Prefixes: prefixes,
 	})
 	require.NoError(t, err)
 	time.Sleep(time.Second)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -129,7 +129,7 @@
 	timer           timer.Service
 	metrics         *metric.Set
 	logger          *slog.Logger
-	client          *http.Client
+	pollClient      *http.Client
 	sharing         Sharing
 	admission       admission.Policy
 	maxWaiting      int
@@ -173,8 +173,8 @@
 	restarted      bool
 	// completeSentAt is when the last complete batch was sent to it.
 	completeSentAt time.Time
-	// seenGrant is the highest id among this router's grants that it has seen,
-	// ackedGrant the highest id among its grants that was acknowledged to it.
+	// seenGrant is the highest sequence number among this router's grants that it
+	// has received, ackedGrant the highest among its grants acknowledged to it.
 	seenGrant  uint64
 	ackedGrant uint64
 }
@@ -212,7 +212,7 @@
 	c := config{
 		self: options.Self, incarnation: options.Incarnation, notes: options.Notes, peers: options.Peers,
 		vms: options.VMs, timer: options.Timer, metrics: options.Metrics, logger: options.Logger,
-		client: options.PollClient, sharing: options.Sharing, admission: options.Admission,
+		pollClient: options.PollClient, sharing: options.Sharing, admission: options.Admission,
 		maxWaiting: options.MaxWaiting, maxWaitingTotal: options.MaxWaitingTotal,
 	}
 	if c.timer == nil {
@@ -267,8 +267,8 @@
 	return err
 }
 
-// Leave tells the other routers that this one begins its graceful shutdown.
-// They take over its upstreams; requests that wait here are still served.
+// Leave announces this router's graceful shutdown to the other routers. They take
+// over its upstreams; requests that wait here are still served.
 func (s *Scheduler) Leave() {
 	s.loop.Post(func() {
 		s.stopping = true
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -51,7 +51,7 @@
 }
 
 // A caller disconnects while its request waits. If the request stayed in the
-// queue, a slot would be granted to it in vain.
+// queue, a slot would be granted to it and returned unused.
 func TestCallerThatGoesAwayLeavesTheQueue(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/scheduler/traffic_test.go
+++ b/scheduler/traffic_test.go
@@ -76,7 +76,7 @@
 // each at four fifths of its capacity and overloaded.
 func TestControlTraffic(t *testing.T) {
 	t.Parallel()
-	const residence = 13 * time.Second
+	const requestDuration = 13 * time.Second
 	for name, load := range map[string]struct {
 		upstreams, slots int
 		rate             float64
@@ -88,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			perSecond, perRequest, json := measureTraffic(t, 6, load.upstreams, load.slots, load.rate, residence, 30*time.Second, time.Minute)
+			perSecond, perRequest, json := measureTraffic(t, 6, load.upstreams, load.slots, load.rate, requestDuration, 30*time.Second, time.Minute)
 			t.Logf("%.0f B/s a router, %.0f B a request, JSON %.1f times as much", perSecond, perRequest, json)
 			require.Less(t, perSecond, 3000.0)
 		})
@@ -107,8 +107,8 @@
 	}
 	t.Parallel()
 	for _, routers := range []int{2, 4, 6, 12, 24} {
-		for name, part := range map[string]float64{"four fifths": 0.8, "saturated": 1.5} {
-			perSecond, perRequest, _ := measureTraffic(t, routers, 2*routers, 32, part*float64(2*routers*32)/13,
+		for name, fraction := range map[string]float64{"four fifths": 0.8, "saturated": 1.5} {
+			perSecond, perRequest, _ := measureTraffic(t, routers, 2*routers, 32, fraction*float64(2*routers*32)/13,
 				13*time.Second, 30*time.Second, time.Minute)
 			t.Logf("%2d routers, %s: %4.0f B/s a router, %3.0f B a request", routers, name, perSecond, perRequest)
 		}
--- a/scheduler/view_test.go
+++ b/scheduler/view_test.go
@@ -54,7 +54,7 @@
 
 // An upstream's VM is to be replaced, and the other routers see it as leaving in
 // the platform's VM list before its dispatcher does. They must send it no new
-// requests, and once they have told the dispatcher, no router may.
+// requests, and once they have reported it to the dispatcher, no router may.
 func TestUpstreamThatLeavesByTheListGetsNoWork(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -135,7 +135,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(2, 1, 64))
-		f.client = &http.Client{Transport: limitedEngine{f}}
+		f.pollClient = &http.Client{Transport: limitedEngine{f}}
 		f.limiter = func(int) inflight.Limiter { return &inflight.Adaptive{} }
 		ids := f.startAll(2)
 		defer f.stopAll()
