--- a/dispatcher/demand.go
+++ b/dispatcher/demand.go
@@ -30,8 +30,8 @@
 	sentAt time.Time
 }
 
-// HandleAsk replaces the demand of an account at a router. Through is the highest id of
-// this dispatcher's grants that the router had received, so that a request is
+// HandleAsk replaces the demand of an account at a router. through is the highest id
+// of this dispatcher's grants that the router had received, so that a request is
 // not granted a second slot while the first grant is in transit.
 func (d *Dispatcher[O, L, P]) HandleAsk(now time.Time, from fleet.RouterID, through GrantID, message *schema.Ask) {
 	account := fleet.ShortID(message.GetAccount())
@@ -56,7 +56,7 @@
 	if message.GetWaiting() == 0 && len(a.unseenGrants) == 0 {
 		delete(demand.asks, from)
 	}
-	d.updateOrder(s, account, demand)
+	d.updateBacklog(s, account, demand)
 }
 
 // acknowledge removes the grants that the router has received and those older
@@ -72,8 +72,8 @@
 	a.unseenGrants = unseen
 }
 
-// updateOrder passes the current demand of an account to the service's order.
-func (d *Dispatcher[O, L, P]) updateOrder(s *service[O, L], account fleet.ShortID, demand *accountDemand) {
+// updateBacklog passes the current demand of an account to the service's policy.
+func (d *Dispatcher[O, L, P]) updateBacklog(s *service[O, L], account fleet.ShortID, demand *accountDemand) {
 	total := share.Backlog{Weight: max(1, d.options.Weight(account)), Dispatchers: 1}
 	for _, a := range demand.asks {
 		if a.waiting == 0 {
@@ -86,7 +86,7 @@
 		total.Requests += a.waiting
 		total.Dispatchers = max(total.Dispatchers, a.dispatchers)
 	}
-	s.order.SetBacklog(account, total)
+	s.policy.SetBacklog(account, total)
 	if len(demand.asks) == 0 {
 		delete(s.demands, account)
 	}
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -9,12 +9,12 @@
 // dispatcher for each upstream sees all requests that wait for it.
 //
 // All of the state is soft. Routers repeat their asks after each reconnection
-// and tell a new dispatcher what they have in flight (Held). If there is a wrong,
-// second or new dispatcher for an upstream, the upstream may therefore receive
-// too many requests for a while: at most its limit once more for each additional
-// dispatcher. It never receives too few for longer than Grace. No message has to
-// arrive exactly once: asks replace each other, releases are matched by id, and
-// Complete removes grants that were lost.
+// and report to a new dispatcher what they have in flight (HandleHeld). If there
+// is a wrong, second or new dispatcher for an upstream, the upstream may
+// therefore receive too many requests for a while: at most its limit once more
+// for each additional dispatcher. It never receives too few for longer than
+// Grace. No message has to arrive exactly once: asks replace each other, releases
+// are matched by id, and Reconcile removes grants that were lost.
 package dispatcher
 
 import (
@@ -32,7 +32,7 @@
 // Defaults of Options.
 const (
 	// DefaultTakeoverWait is a few round trips between data centres, within which
-	// routers tell a new dispatcher what they have in flight.
+	// routers report to a new dispatcher what they have in flight.
 	DefaultTakeoverWait = 200 * time.Millisecond
 	// DefaultGrace is how long an engine may continue a stream after its router
 	// has died. It equals the engines' own setting of 10 s.
@@ -65,13 +65,13 @@
 // GrantID identifies a grant. The ids of one dispatcher's grants are increasing.
 type GrantID uint64
 
-// Grant tells a router to start one request of an account at an upstream.
+// Grant permits a router to start one request of an account at an upstream.
 type Grant struct {
 	To       fleet.RouterID
 	ID       GrantID
 	Account  fleet.ShortID
 	Upstream fleet.ShortID
-	// ReportBegin asks the router to report the beginning of the answer.
+	// ReportBegin is true if the router must report the beginning of the answer.
 	ReportBegin bool
 }
 
@@ -93,7 +93,7 @@
 }
 
 type service[O share.Policy[fleet.ShortID], L inflight.Limiter] struct {
-	order     O
+	policy    O
 	demands   map[fleet.ShortID]*accountDemand
 	upstreams []*upstream[L]
 }
@@ -118,9 +118,9 @@
 	upstream        fleet.ShortID
 	grantedAt       time.Time
 	charged         fleet.Tokens
-	estimate        fleet.Tokens // outstanding in the order until the request ends
+	estimate        fleet.Tokens // outstanding in the share policy until the request ends
 	initialCost     fleet.Tokens // cost when the router first reported it in Held, zero if granted here
-	inFlightAtStart int          // requests in flight at the upstream, with this one
+	inFlightAtStart int          // requests in flight at the upstream, including this one
 	orphanedAt      time.Time    // zero while its router is connected
 	holdsSlot       bool         // whether it counts as in flight here
 	answerBegun     bool         // whether the answer is known to have begun
@@ -171,16 +171,16 @@
 func (d *Dispatcher[O, L, P]) service(number fleet.ShortID) *service[O, L] {
 	s := d.services[number]
 	if s == nil {
-		s = &service[O, L]{order: d.options.SharePolicy(), demands: make(map[fleet.ShortID]*accountDemand)}
+		s = &service[O, L]{policy: d.options.SharePolicy(), demands: make(map[fleet.ShortID]*accountDemand)}
 		d.services[number] = s
 	}
 	return s
 }
 
-// SetUpstreams replaces the upstreams that this dispatcher is responsible for. If others
-// is true, a new upstream gets no requests for TakeoverWait, because other routers
-// may have requests in flight there that they have not reported yet. Grants at a
-// removed upstream are kept until they are released or given up.
+// SetUpstreams replaces the upstreams that this dispatcher is responsible for. If
+// others is true, a new upstream gets no requests for TakeoverWait, because other
+// routers may have requests in flight there that they have not reported yet. Grants
+// at a removed upstream are kept until they are released or given up.
 func (d *Dispatcher[O, L, P]) SetUpstreams(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.ShortID, others bool) {
 	keep := make(map[fleet.ShortID]bool, len(owned))
 	for _, s := range d.services {
@@ -246,7 +246,7 @@
 // removeGrant deletes a grant and frees its slot.
 func (d *Dispatcher[O, L, P]) removeGrant(key grantKey, g *grant) {
 	delete(d.grants, key)
-	d.service(g.service).order.End(g.account, g.estimate)
+	d.service(g.service).policy.End(g.account, g.estimate)
 	if u := d.upstreams[g.upstream]; u != nil && g.holdsSlot {
 		u.inFlight--
 	}
@@ -266,7 +266,7 @@
 // It is zero if the upstream accepts no work or is not this dispatcher's.
 func (d *Dispatcher[O, L, P]) Limit(now time.Time, upstream fleet.ShortID) int {
 	u := d.upstreams[upstream]
-	if u == nil || !u.takesWork(now) {
+	if u == nil || !u.acceptsWork(now) {
 		return 0
 	}
 	return u.limit(now)
@@ -289,8 +289,8 @@
 	return u.warmup != nil && u.warmup.Allow(now, limit) < limit
 }
 
-// takesWork reports whether new requests may be sent to the upstream at now.
-func (u *upstream[L]) takesWork(now time.Time) bool {
+// acceptsWork reports whether new requests may be sent to the upstream at now.
+func (u *upstream[L]) acceptsWork(now time.Time) bool {
 	return !u.leaving && u.drainingSince.IsZero() && !now.Before(u.readyAt)
 }
 
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -41,11 +41,11 @@
 
 func fixedLimit(slots int) inflight.Fixed { return inflight.Fixed(slots) }
 
-func newFairOrder() *share.Fair[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
+func newFairPolicy() *share.Fair[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
 
 func newFairDispatcher() slotDispatcher {
 	return dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
-		SharePolicy: newFairOrder, Limiter: fixedLimit,
+		SharePolicy: newFairPolicy, Limiter: fixedLimit,
 	})
 }
 
@@ -55,8 +55,8 @@
 	})
 }
 
-// ownUpstreams makes a dispatcher responsible for n upstreams with slots slots each.
-func ownUpstreams(d slotDispatcher, n, slots int, leaving bool) {
+// setUpstreams makes a dispatcher responsible for n upstreams with slots slots each.
+func setUpstreams(d slotDispatcher, n, slots int, leaving bool) {
 	var ups []*schema.Upstream
 	for i := range n {
 		ups = append(ups, &schema.Upstream{
@@ -94,7 +94,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ownUpstreams(want.d, 1, 1, false)
+			setUpstreams(want.d, 1, 1, false)
 			for _, router := range []fleet.RouterID{"a", "b", "c"} {
 				m := newAsk(floodAccount, 500)
 				m.WaitedMs = 10_000
@@ -119,10 +119,10 @@
 // A router asks again while a grant to it is in transit. If its only request
 // counted as waiting again, it would be granted a second slot, which would stay
 // unused for a round trip while other requests wait.
-func TestGrantOnItsWayIsNotGrantedAgain(t *testing.T) {
+func TestGrantInTransitIsNotGrantedAgain(t *testing.T) {
 	t.Parallel()
 	d := newFairDispatcher()
-	ownUpstreams(d, 1, 4, false)
+	setUpstreams(d, 1, 4, false)
 	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 1))
 	granted := d.Grant(start)
 	require.Len(t, granted, 1)
@@ -138,7 +138,7 @@
 func TestLostGrantIsGrantedAgain(t *testing.T) {
 	t.Parallel()
 	d := newFairDispatcher()
-	ownUpstreams(d, 1, 4, false)
+	setUpstreams(d, 1, 4, false)
 	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 1))
 	require.Len(t, d.Grant(start), 1)
 	later := start.Add(dispatcher.DefaultAckTimeout)
@@ -154,7 +154,7 @@
 func TestUnusedSlotIsNotGrantedBack(t *testing.T) {
 	t.Parallel()
 	d := newFairDispatcher()
-	ownUpstreams(d, 1, 1, false)
+	setUpstreams(d, 1, 1, false)
 	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 5))
 	granted := d.Grant(start)
 	d.Release(start, "a", &schema.Release{Id: granted[0].ID.Count(), Result: schema.Result_RESULT_UNUSED})
@@ -169,7 +169,7 @@
 func TestDrainingUpstreamGetsNoWork(t *testing.T) {
 	t.Parallel()
 	d := newFairDispatcher()
-	ownUpstreams(d, 2, 2, false)
+	setUpstreams(d, 2, 2, false)
 	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 2))
 	granted := d.Grant(start)
 	require.Len(t, granted, 2)
@@ -181,7 +181,7 @@
 	// Its load report says that it accepts work again.
 	d.UpdateLoad(start, granted[0].Upstream, inflight.Load{MeasuredAt: start.Add(time.Second)})
 	require.NotEmpty(t, d.Grant(start))
-	ownUpstreams(d, 2, 2, true)
+	setUpstreams(d, 2, 2, true)
 	d.HandleAsk(start, "a", 1<<62, newAsk(smallAccount, 4))
 	require.Empty(t, d.Grant(start))
 }
@@ -191,7 +191,7 @@
 func TestUpstreamsReportFreesTheSlotsOfALostRouter(t *testing.T) {
 	t.Parallel()
 	d := newFairDispatcher()
-	ownUpstreams(d, 1, 4, false)
+	setUpstreams(d, 1, 4, false)
 	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 3))
 	d.HandleAsk(start, "b", 0, newAsk(floodAccount, 1))
 	require.Len(t, d.Grant(start), 4)
@@ -209,7 +209,7 @@
 func TestRouterThatComesBackKeepsWhatItHolds(t *testing.T) {
 	t.Parallel()
 	d := newFairDispatcher()
-	ownUpstreams(d, 1, 3, false)
+	setUpstreams(d, 1, 3, false)
 	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 3))
 	granted := d.Grant(start)
 	d.HandleDisconnect(start, "a")
@@ -231,7 +231,7 @@
 func TestAvoidedUpstreamIsNotGranted(t *testing.T) {
 	t.Parallel()
 	d := newFairDispatcher()
-	ownUpstreams(d, 1, 2, false)
+	setUpstreams(d, 1, 2, false)
 	avoiding := newAsk(smallAccount, 1)
 	avoiding.Avoided = []uint32{uint32(firstUpstream)}
 	d.HandleAsk(start, "a", 0, avoiding)
@@ -248,9 +248,9 @@
 func TestUpstreamThatJoinsIsWarmedUp(t *testing.T) {
 	t.Parallel()
 	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
-		SharePolicy: newFairOrder, Limiter: fixedLimit, Warmup: true,
+		SharePolicy: newFairPolicy, Limiter: fixedLimit, Warmup: true,
 	})
-	ownUpstreams(d, 1, 16, false)
+	setUpstreams(d, 1, 16, false)
 	d.HandleAsk(start, "a", 0, newAsk(smallAccount, 100))
 	granted := d.Grant(start)
 	require.Len(t, granted, 2)
@@ -266,12 +266,12 @@
 // A dispatcher takes over a busy upstream. Its requests in flight show that it is
 // warm. If it were warmed up again, most of its slots would be idle after each
 // change of routers.
-func TestUpstreamThatChangesHandsIsNotWarmedUpAgain(t *testing.T) {
+func TestTakenOverUpstreamIsNotWarmedUpAgain(t *testing.T) {
 	t.Parallel()
 	d := dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
-		SharePolicy: newFairOrder, Limiter: fixedLimit, Warmup: true,
+		SharePolicy: newFairPolicy, Limiter: fixedLimit, Warmup: true,
 	})
-	ownUpstreams(d, 1, 16, false)
+	setUpstreams(d, 1, 16, false)
 	held := &schema.Held{Upstream: uint32(firstUpstream)}
 	for id := range uint64(12) {
 		held.Ids = append(held.Ids, id+1)
--- a/dispatcher/grant.go
+++ b/dispatcher/grant.go
@@ -42,7 +42,7 @@
 func (d *Dispatcher[O, L, P]) freeUpstreams(now time.Time, s *service[O, L]) []freeUpstream[L] {
 	var free []freeUpstream[L]
 	for _, u := range s.upstreams {
-		if !u.takesWork(now) {
+		if !u.acceptsWork(now) {
 			continue
 		}
 		if limit := u.limit(now); u.inFlight < limit {
@@ -58,7 +58,7 @@
 	eligible := func(a *ask) bool {
 		return slices.ContainsFunc(free, func(f freeUpstream[L]) bool { return f.allowedFor(a) })
 	}
-	account, ok := s.order.Next(func(account fleet.ShortID) bool {
+	account, ok := s.policy.Next(func(account fleet.ShortID) bool {
 		demand := s.demands[account]
 		if demand == nil {
 			return false
@@ -81,9 +81,9 @@
 		account: account, service: number, upstream: u.number,
 		grantedAt: now, estimate: a.estimate, inFlightAtStart: u.inFlight, holdsSlot: true,
 	}
-	s.order.Start(account, a.estimate)
+	s.policy.Start(account, a.estimate)
 	a.recordGrant(now, g.ID)
-	d.updateOrder(s, account, demand)
+	d.updateBacklog(s, account, demand)
 	return g, true
 }
 
@@ -118,24 +118,24 @@
 
 // FreeSlots returns the number of free slots of each service at this dispatcher.
 func (d *Dispatcher[O, L, P]) FreeSlots(now time.Time) map[fleet.ShortID]int {
-	idle := make(map[fleet.ShortID]int)
+	free := make(map[fleet.ShortID]int)
 	for number, s := range d.services {
 		for _, f := range d.freeUpstreams(now, s) {
-			idle[number] += f.limit - f.upstream.inFlight
+			free[number] += f.limit - f.upstream.inFlight
 		}
 	}
-	return idle
+	return free
 }
 
-// ServiceLoad returns the number of requests of a service in flight at upstreams that
-// accept work, and the sum of these upstreams' limits.
+// ServiceLoad returns the number of requests of a service in flight at upstreams
+// that accept work, and the sum of these upstreams' limits.
 func (d *Dispatcher[O, L, P]) ServiceLoad(now time.Time, service fleet.ShortID) (inFlight, limit int) {
 	s := d.services[service]
 	if s == nil {
 		return 0, 0
 	}
 	for _, u := range s.upstreams {
-		if u.takesWork(now) {
+		if u.acceptsWork(now) {
 			inFlight += u.inFlight
 			limit += u.limit(now)
 		}
@@ -146,5 +146,5 @@
 // IsFull reports whether an upstream that accepts work has no free slot.
 func (d *Dispatcher[O, L, P]) IsFull(now time.Time, upstream fleet.ShortID) bool {
 	u := d.upstreams[upstream]
-	return u != nil && u.takesWork(now) && u.inFlight >= u.limit(now)
+	return u != nil && u.acceptsWork(now) && u.inFlight >= u.limit(now)
 }
--- a/dispatcher/machine_test.go
+++ b/dispatcher/machine_test.go
@@ -52,9 +52,9 @@
 func newSimulatedFleet(ups, slots int) *simulatedFleet {
 	f := &simulatedFleet{now: start, routers: make(map[fleet.RouterID]*simulatedRouter), slots: slots, upstreams: ups, keeper: keeper.New(keeper.Options{})}
 	f.dispatcher = dispatcher.New(dispatcher.Options[*share.Fair[fleet.ShortID], inflight.Fixed, placement.LeastLoaded]{
-		SharePolicy: newFairOrder, Limiter: fixedLimit,
+		SharePolicy: newFairPolicy, Limiter: fixedLimit,
 	})
-	ownUpstreams(f.dispatcher, ups, slots, false)
+	setUpstreams(f.dispatcher, ups, slots, false)
 	for i := range 3 {
 		f.routers[fleet.RouterID(fmt.Sprintf("r%d", i))] = &simulatedRouter{
 			waiting: make(map[fleet.ShortID]int), held: make(map[dispatcher.GrantID]dispatcher.Grant),
--- a/dispatcher/progress.go
+++ b/dispatcher/progress.go
@@ -101,7 +101,7 @@
 	}
 	// Sorted, so that ties between accounts are broken deterministically.
 	for _, key := range slices.SortedFunc(maps.Keys(charges), accountUse.compare) {
-		d.service(key.service).order.AddService(key.account, charges[key])
+		d.service(key.service).policy.AddService(key.account, charges[key])
 	}
 }
 
--- a/dispatcher/settle.go
+++ b/dispatcher/settle.go
@@ -47,19 +47,19 @@
 		return
 	}
 	delete(demand.asks, from)
-	d.updateOrder(s, g.account, demand)
+	d.updateBacklog(s, g.account, demand)
 }
 
 // charge sets the charged cost of a grant and corrects the account's service.
 func (d *Dispatcher[O, L, P]) charge(g *grant, cost fleet.Tokens) {
 	if cost != g.charged {
-		d.service(g.service).order.AddService(g.account, cost-g.charged)
+		d.service(g.service).policy.AddService(g.account, cost-g.charged)
 	}
 	g.charged = cost
 }
 
 // recordResult passes the result of a request to the upstream's warm-up and limiter.
-func (d *Dispatcher[O, L, P]) recordResult(now time.Time, u *upstream[L], g *grant, result dispatch.Result, firstToken time.Duration) {
+func (d *Dispatcher[O, L, P]) recordResult(now time.Time, u *upstream[L], g *grant, result dispatch.Result, firstTokenLatency time.Duration) {
 	if result == dispatch.Unused {
 		return
 	}
@@ -72,7 +72,7 @@
 	if result == dispatch.Answered {
 		u.recordBegin(g)
 	}
-	u.limiter.RecordResult(now, inflight.Sample{Result: result, FirstTokenLatency: firstToken, InFlight: g.inFlightAtStart})
+	u.limiter.RecordResult(now, inflight.Sample{Result: result, FirstTokenLatency: firstTokenLatency, InFlight: g.inFlightAtStart})
 }
 
 // recordBegin counts the beginning of a request's answer, once.
@@ -83,9 +83,9 @@
 	g.answerBegun = true
 }
 
-// HandleHeld records a router's requests in flight at an upstream. An unknown grant,
-// which another dispatcher issued, holds a slot from now on and its cost so far is
-// not charged again. For a known grant, any cost not yet charged is charged.
+// HandleHeld records a router's requests in flight at an upstream. An unknown
+// grant, which another dispatcher issued, holds a slot from now on and its cost so
+// far is not charged again. For a known grant, any cost not yet charged is charged.
 func (d *Dispatcher[O, L, P]) HandleHeld(now time.Time, from fleet.RouterID, service fleet.ShortID, message *schema.Held) {
 	accounts, costs := message.GetAccounts(), message.GetCosts()
 	for i, id := range message.GetIds() {
@@ -99,7 +99,7 @@
 	}
 }
 
-// recordHeld records one request that a router reported in Held.
+// recordHeld records one request of a Held message.
 func (d *Dispatcher[O, L, P]) recordHeld(now time.Time, key grantKey, service fleet.ShortID, reported grant) {
 	known := d.grants[key]
 	if known != nil {
@@ -149,10 +149,10 @@
 	}
 }
 
-// HandleDisconnect handles the loss of a router. Its grants keep their slots until the
-// upstream's load report shows that they have ended, at most for Grace: an engine
-// continues a stream for a while after its reader died, and a router that is only
-// cut off from this one still reads it.
+// HandleDisconnect handles the loss of a router. Its grants keep their slots until
+// the upstream's load report shows that they have ended, at most for Grace: an
+// engine continues a stream for a while after its reader died, and a router that is
+// only cut off from this one still reads it.
 func (d *Dispatcher[O, L, P]) HandleDisconnect(now time.Time, router fleet.RouterID) {
 	d.dropAsks(router)
 	for key, g := range d.grants {
@@ -168,7 +168,7 @@
 		for account, demand := range s.demands {
 			if demand.asks[router] != nil {
 				delete(demand.asks, router)
-				d.updateOrder(s, account, demand)
+				d.updateBacklog(s, account, demand)
 			}
 		}
 	}
@@ -222,11 +222,11 @@
 
 // Reports returns, for each service, the reports on accounts whose service here
 // changed by more than threshold since their last report. It is empty if the
-// order policy does not implement share.Exchange.
+// share policy does not implement share.Exchange.
 func (d *Dispatcher[O, L, P]) Reports(threshold fleet.Tokens) map[fleet.ShortID][]share.Report[fleet.ShortID] {
 	reports := make(map[fleet.ShortID][]share.Report[fleet.ShortID])
 	for number, s := range d.services {
-		exchange, ok := any(s.order).(share.Exchange[fleet.ShortID])
+		exchange, ok := any(s.policy).(share.Exchange[fleet.ShortID])
 		if !ok {
 			continue
 		}
@@ -243,7 +243,7 @@
 	if s == nil {
 		return
 	}
-	if exchange, ok := any(s.order).(share.Exchange[fleet.ShortID]); ok {
+	if exchange, ok := any(s.policy).(share.Exchange[fleet.ShortID]); ok {
 		exchange.Observe(account, total)
 	}
 }
@@ -254,7 +254,7 @@
 	if s == nil {
 		return
 	}
-	if exchange, ok := any(s.order).(share.Exchange[fleet.ShortID]); ok {
+	if exchange, ok := any(s.policy).(share.Exchange[fleet.ShortID]); ok {
 		exchange.MarkReassigned(account)
 	}
 }
@@ -263,12 +263,12 @@
 func (d *Dispatcher[O, L, P]) Forget(account fleet.ShortID) {
 	for _, s := range d.services {
 		delete(s.demands, account)
-		s.order.Forget(account)
+		s.policy.Forget(account)
 	}
 }
 
-// DrainingUpstreams returns the upstreams of this dispatcher that have announced that they
-// accept no new requests, in ascending order.
+// DrainingUpstreams returns the upstreams of this dispatcher that have announced
+// that they accept no new requests, in ascending order.
 func (d *Dispatcher[O, L, P]) DrainingUpstreams() []fleet.ShortID {
 	var draining []fleet.ShortID
 	for number, u := range d.upstreams {
