--- a/claim/claim.go
+++ b/claim/claim.go
@@ -4,14 +4,14 @@
 //
 // A router may send a request only after it has inserted the row in state
 // sending. No other router ever takes that row over, so it does not matter how
-// long the first router pauses, whether it crashes or what its clock says. A
-// repeat of the request finds the row and gets the kept answer,
+// long the first router pauses, whether it crashes or whether its clock is wrong.
+// A repeat of the request finds the row and gets the stored answer,
 // duplicate-in-flight or outcome-lost; it is never sent. Only the router that
 // wrote the row changes it: to done with the answer, to not-run if the request
 // certainly was not sent or was refused without being run, or to lost. A key in
 // state not-run can be claimed again, conditionally on that version of the row.
 //
-// Clocks only decide whether a repeat is told duplicate-in-flight or
+// Clocks only decide whether a repeat is refused with duplicate-in-flight or
 // outcome-lost, and when a row may be removed. A row is kept for an hour after
 // the request's deadline (DefaultRetention), after which the key must not be
 // used again. A claim's lease ends at the request's deadline on the claiming
@@ -90,7 +90,7 @@
 	return attemptID(id[:])
 }
 
-// Answer is an upstream's complete answer, kept for repeats of the request.
+// Answer is an upstream's complete answer, stored for repeats of the request.
 type Answer struct {
 	Status int
 	Header map[string][]string
@@ -98,7 +98,7 @@
 }
 
 // Claim is the right to send one request. Its holder must call Finish, Release
-// or Lose once. It is not safe for concurrent use.
+// or MarkLost once. It is not safe for concurrent use.
 type Claim struct {
 	store   *Store
 	key     store.Key
@@ -107,7 +107,7 @@
 	version store.RowVersion
 	// leaseEnd is when the right to send ends. It has a monotonic clock reading.
 	leaseEnd time.Time
-	// ended is true after Finish, Release or Lose.
+	// ended is true after Finish, Release or MarkLost.
 	ended bool
 	row   *schema.ClaimRow
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -160,7 +160,7 @@
 // The table applied the claim but its reply was lost. The router must find this
 // out by reading the row back, even if the first read is stale; otherwise it
 // would refuse the order for no reason.
-func TestLostReplyIsSettledByReadingBack(t *testing.T) {
+func TestLostReplyIsResolvedByReadingBack(t *testing.T) {
 	t.Parallel()
 	p := newTwoRouters(replyLost, noFault, stale)
 	got, _, err := p.one.Claim(t.Context(), p.request())
@@ -169,13 +169,13 @@
 }
 
 // The first claim gets no reply, and the router gives up and reports not-run.
-// The claim then takes effect late, before or after the row is settled. The
-// repeat must run, exactly once.
+// The claim then takes effect late, before or after the final write is retried.
+// The repeat must run, exactly once.
 func TestFirstClaimTakesEffectLate(t *testing.T) {
 	t.Parallel()
 	for name, between := range map[string]func(p *twoRouters){
-		"before it is settled": func(p *twoRouters) { p.table.applyPending(0); p.one.RetryWrites(context.Background()) },
-		"after it is settled":  func(p *twoRouters) { p.one.RetryWrites(context.Background()); p.table.applyPending(0) },
+		"before the retry": func(p *twoRouters) { p.table.applyPending(0); p.one.RetryWrites(context.Background()) },
+		"after the retry":  func(p *twoRouters) { p.one.RetryWrites(context.Background()); p.table.applyPending(0) },
 	} {
 		for _, released := range []bool{false, true} {
 			p := newTwoRouters(late, down)
--- a/claim/collect.go
+++ b/claim/collect.go
@@ -58,7 +58,7 @@
 // Routers needn't agree on the collectors: if two routers act as the same
 // collector, groups only get smaller. If a collector does not answer, the same
 // transaction is committed here. If this second commit conflicts, the attempt id
-// in the row tells whether the first one was applied.
+// in the row shows whether the first one was applied.
 //
 // All fields but Timer must be set, and Receive must be called with each batch
 // from a peer. It is safe for concurrent use.
@@ -72,12 +72,12 @@
 	// Timer is the clock; nil means the system clock.
 	Timer timer.Service
 
-	initCollectorGroup sync.Once
-	collectorGroup     GroupCommitter
-	peerWrites         atomic.Int64
-	mu                 sync.Mutex
-	lastID             uint64
-	pending            map[uint64]pendingWrite
+	initCollectorCommitter sync.Once
+	collectorCommitter     GroupCommitter
+	peerWrites             atomic.Int64
+	mu                     sync.Mutex
+	lastID                 uint64
+	pending                map[uint64]pendingWrite
 }
 
 // pendingWrite is a forwarded write that waits for its collector's verdict.
@@ -93,21 +93,21 @@
 const firstIDBits = 48
 
 // Commit applies a transaction. It fails with the errors of store.Table.
-func (c *ForwardingTable) Commit(ctx context.Context, txn store.Txn) error {
+func (t *ForwardingTable) Commit(ctx context.Context, txn store.Txn) error {
 	write, ok := newClaimWrite(txn)
 	if !ok {
-		return c.Group.Commit(ctx, txn)
+		return t.Group.Commit(ctx, txn)
 	}
-	to := c.collector(write.GetClaim())
+	to := t.collector(write.GetClaim())
 	switch to {
 	case "":
-		return c.Group.Commit(ctx, txn)
-	case c.Self:
-		return c.groupAsCollector().Commit(ctx, txn)
+		return t.Group.Commit(ctx, txn)
+	case t.Self:
+		return t.committerAsCollector().Commit(ctx, txn)
 	}
-	verdict := c.forward(ctx, to, write)
+	verdict := t.forward(ctx, to, write)
 	if verdict == nil {
-		return secondCommitError(c.Group.Commit(ctx, txn))
+		return secondCommitError(t.Group.Commit(ctx, txn))
 	}
 	return verdictError(verdict, txn.Checks[0])
 }
@@ -125,13 +125,13 @@
 
 // forward sends a write to a collector and returns its verdict, or nil if none
 // arrives in time.
-func (c *ForwardingTable) forward(ctx context.Context, to fleet.RouterID, write *schema.ClaimWrite) *schema.ClaimVerdict {
+func (t *ForwardingTable) forward(ctx context.Context, to fleet.RouterID, write *schema.ClaimWrite) *schema.ClaimVerdict {
 	verdicts := make(chan *schema.ClaimVerdict, 1)
-	write.Id = c.addPending(pendingWrite{to, verdicts})
-	defer c.removePending(write.GetId())
+	write.Id = t.addPending(pendingWrite{to, verdicts})
+	defer t.removePending(write.GetId())
 	ctx, cancel := context.WithTimeout(ctx, verdictTimeout)
 	defer cancel()
-	c.Peers.Send(to, &schema.Batch{ClaimWrites: []*schema.ClaimWrite{write}})
+	t.Peers.Send(to, &schema.Batch{ClaimWrites: []*schema.ClaimWrite{write}})
 	select {
 	case verdict := <-verdicts:
 		return verdict
@@ -140,70 +140,70 @@
 	}
 }
 
-func (c *ForwardingTable) addPending(write pendingWrite) (id uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.pending == nil {
-		c.pending = map[uint64]pendingWrite{}
-		c.lastID = rand.Uint64N(1 << firstIDBits)
+func (t *ForwardingTable) addPending(write pendingWrite) (id uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.pending == nil {
+		t.pending = map[uint64]pendingWrite{}
+		t.lastID = rand.Uint64N(1 << firstIDBits)
 	}
-	c.lastID++
-	c.pending[c.lastID] = write
-	return c.lastID
+	t.lastID++
+	t.pending[t.lastID] = write
+	return t.lastID
 }
 
-func (c *ForwardingTable) removePending(id uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.pending, id)
+func (t *ForwardingTable) removePending(id uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.pending, id)
 }
 
 // Receive handles the claim writes and verdicts in a batch from a peer. It does
 // not block.
-func (c *ForwardingTable) Receive(from fleet.RouterID, batch *schema.Batch) {
+func (t *ForwardingTable) Receive(from fleet.RouterID, batch *schema.Batch) {
 	for _, verdict := range batch.GetClaimVerdicts() {
-		c.deliver(from, verdict)
+		t.deliver(from, verdict)
 	}
 	for _, write := range batch.GetClaimWrites() {
-		if c.peerWrites.Add(1) > maxPeerWrites {
-			c.peerWrites.Add(-1)
-			c.sendVerdict(from, &schema.ClaimVerdict{Id: write.GetId(), Effect: schema.ClaimEffect_CLAIM_EFFECT_NONE})
+		if t.peerWrites.Add(1) > maxPeerWrites {
+			t.peerWrites.Add(-1)
+			t.sendVerdict(from, &schema.ClaimVerdict{Id: write.GetId(), Effect: schema.ClaimEffect_CLAIM_EFFECT_NONE})
 			continue
 		}
-		go c.commitForPeer(from, write)
+		go t.commitForPeer(from, write)
 	}
 }
 
 // deliver passes a verdict to the write that waits for it, if it comes from the
 // collector that the write was sent to.
-func (c *ForwardingTable) deliver(from fleet.RouterID, verdict *schema.ClaimVerdict) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	write, ok := c.pending[verdict.GetId()]
+func (t *ForwardingTable) deliver(from fleet.RouterID, verdict *schema.ClaimVerdict) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	write, ok := t.pending[verdict.GetId()]
 	if !ok || write.to != from {
 		return
 	}
-	delete(c.pending, verdict.GetId())
+	delete(t.pending, verdict.GetId())
 	write.verdict <- verdict
 }
 
 // commitForPeer commits a write of another router and sends it the verdict.
-func (c *ForwardingTable) commitForPeer(from fleet.RouterID, write *schema.ClaimWrite) {
-	defer c.peerWrites.Add(-1)
+func (t *ForwardingTable) commitForPeer(from fleet.RouterID, write *schema.ClaimWrite) {
+	defer t.peerWrites.Add(-1)
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	key := Prefix + store.Key(hex.EncodeToString(write.GetClaim()))
-	err := c.groupAsCollector().Commit(ctx, store.Txn{
+	err := t.committerAsCollector().Commit(ctx, store.Txn{
 		Checks: []store.Check{{Key: key, Version: store.RowVersion(write.GetVersion())}},
 		Writes: []store.Write{{Key: key, Value: write.GetRow()}},
 	})
 	verdict := newVerdict(err)
 	verdict.Id = write.GetId()
-	c.sendVerdict(from, verdict)
+	t.sendVerdict(from, verdict)
 }
 
-func (c *ForwardingTable) sendVerdict(to fleet.RouterID, verdict *schema.ClaimVerdict) {
-	c.Peers.Send(to, &schema.Batch{ClaimVerdicts: []*schema.ClaimVerdict{verdict}})
+func (t *ForwardingTable) sendVerdict(to fleet.RouterID, verdict *schema.ClaimVerdict) {
+	t.Peers.Send(to, &schema.Batch{ClaimVerdicts: []*schema.ClaimVerdict{verdict}})
 }
 
 // newClaimWrite returns the message for a transaction that only writes the row
@@ -223,7 +223,7 @@
 }
 
 // newVerdict returns the verdict for the result of a commit. Its effect stays
-// unspecified, that is indefinite, for other errors.
+// unspecified for other errors, which means that the outcome is unknown.
 func newVerdict(err error) *schema.ClaimVerdict {
 	var (
 		conflict    *store.ConflictError
@@ -241,8 +241,8 @@
 	}
 }
 
-// verdictError returns the error that a verdict stands for. Effects that this
-// version does not know are indefinite.
+// verdictError returns the error for a verdict. An effect that this version does
+// not know means that the outcome is unknown.
 func verdictError(verdict *schema.ClaimVerdict, check store.Check) error {
 	cause := eris.New("reported by the collecting router")
 	switch verdict.GetEffect() {
@@ -259,30 +259,30 @@
 	}
 }
 
-// groupAsCollector returns the group for the writes that this router commits as
-// a collector.
-func (c *ForwardingTable) groupAsCollector() *GroupCommitter {
-	c.initCollectorGroup.Do(func() {
-		c.collectorGroup.Table, c.collectorGroup.Delay, c.collectorGroup.Timer = c.Table, collectorDelay, c.Timer
+// committerAsCollector returns the GroupCommitter for the writes that this router
+// commits as a collector.
+func (t *ForwardingTable) committerAsCollector() *GroupCommitter {
+	t.initCollectorCommitter.Do(func() {
+		t.collectorCommitter.Table, t.collectorCommitter.Delay, t.collectorCommitter.Timer = t.Table, collectorDelay, t.Timer
 	})
-	return &c.collectorGroup
+	return &t.collectorCommitter
 }
 
 // collector returns the router that commits writes of a claim, or "" in a small
 // fleet.
-func (c *ForwardingTable) collector(claim []byte) fleet.RouterID {
-	routers := append(slices.Clone(c.Peers.Routers()), c.Self)
+func (t *ForwardingTable) collector(claim []byte) fleet.RouterID {
+	routers := append(slices.Clone(t.Peers.Routers()), t.Self)
 	if len(routers) <= smallFleetSize {
 		return ""
 	}
 	slot := uint64(rendezvous.KeyOf("claim", string(claim))) % collectorCount
-	period := uint64(c.now().UnixNano() / int64(rotationPeriod))
+	period := uint64(t.now().UnixNano() / int64(rotationPeriod))
 	return rendezvous.Pick(rendezvous.KeyOfNumber("claim-collector", period*collectorCount+slot), routers)
 }
 
-func (c *ForwardingTable) now() time.Time {
-	if c.Timer == nil {
+func (t *ForwardingTable) now() time.Time {
+	if t.Timer == nil {
 		return time.Now()
 	}
-	return c.Timer.Now()
+	return t.Timer.Now()
 }
--- a/claim/group.go
+++ b/claim/group.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// defaultDelay is the default of Group.Delay.
+	// defaultDelay is the default of GroupCommitter.Delay.
 	defaultDelay = 5 * time.Millisecond
-	// defaultMaxTransactions is the default of Group.MaxTransactions.
+	// defaultMaxTransactions is the default of GroupCommitter.MaxTransactions.
 	defaultMaxTransactions = 128
 	// commitTimeout bounds the commits of one group.
 	commitTimeout = 2 * time.Second
@@ -51,8 +51,8 @@
 }
 
 // Commit applies a transaction together with others. It fails with the errors
-// of store.Table, and with *store.IndefiniteError if ctx ends while its group
-// is being committed.
+// of store.Table, and with *store.UnknownOutcomeError if ctx ends while its
+// group is being committed.
 func (g *GroupCommitter) Commit(ctx context.Context, txn store.Txn) error {
 	pending := &pendingTxn{txn: txn, done: make(chan error, 1)}
 	g.join(pending)
--- a/claim/group_test.go
+++ b/claim/group_test.go
@@ -111,12 +111,12 @@
 	stores := make([]*claim.Store, 0, routers)
 	for i := range routers {
 		id := fleet.RouterID(fmt.Sprintf("router-%03d", i))
-		collected := &claim.ForwardingTable{
+		forwarding := &claim.ForwardingTable{
 			Table: table, Self: id, Peers: networkPeers{n, id},
 			Group: &claim.GroupCommitter{Table: table},
 		}
-		n.routers[id] = collected
-		stores = append(stores, &claim.Store{Table: collected, Router: id})
+		n.routers[id] = forwarding
+		stores = append(stores, &claim.Store{Table: forwarding, Router: id})
 	}
 	return n, stores
 }
@@ -144,10 +144,10 @@
 
 		// With the table down as well, the effect of the collector's commit is unknown.
 		table.Faults.Set(fault.Fault{Kind: fault.Down})
-		collected, ok := stores[0].Table.(*claim.ForwardingTable)
+		forwarding, ok := stores[0].Table.(*claim.ForwardingTable)
 		require.True(t, ok)
-		var indefinite *store.UnknownOutcomeError
-		require.ErrorAs(t, collected.Commit(t.Context(), insertTxn("claims/00")), &indefinite)
+		var unknownOutcome *store.UnknownOutcomeError
+		require.ErrorAs(t, forwarding.Commit(t.Context(), insertTxn("claims/00")), &unknownOutcome)
 	})
 }
 
--- a/claim/keep.go
+++ b/claim/keep.go
@@ -26,9 +26,9 @@
 	objectDigits = 5
 )
 
-// keptFields are the header fields that are stored with an answer. The others
+// storedFields are the header fields that are stored with an answer. The others
 // apply only to one connection or point in time.
-var keptFields = []string{
+var storedFields = []string{
 	"Content-Type", "Content-Encoding", "Content-Language", "Content-Disposition",
 	"Location", "Etag", "Last-Modified", "Link", "Retry-After",
 }
@@ -37,23 +37,23 @@
 
 // storeAnswer stores a large body as an object and returns the answer for the row.
 func (s *Store) storeAnswer(ctx context.Context, c *Claim, answer Answer) (*schema.KeptAnswer, error) {
-	kept := &schema.KeptAnswer{Status: uint32(answer.Status), Header: keptHeader(answer.Header)}
+	stored := &schema.KeptAnswer{Status: uint32(answer.Status), Header: storedHeader(answer.Header)}
 	if len(answer.Body) <= MaxInlineBody {
-		kept.Body = answer.Body
-		return kept, nil
+		stored.Body = answer.Body
+		return stored, nil
 	}
 	if len(answer.Body) > MaxStoredBody || s.Objects == nil {
 		return nil, errTooLarge
 	}
 	sum := sha256.Sum256(answer.Body)
-	kept.BodySha256 = sum[:]
-	kept.Object = "answers/" + strings.TrimPrefix(string(c.key), string(Prefix))[:objectDigits]
-	return kept, s.Objects.Put(ctx, kept.GetObject(), answer.Body)
+	stored.BodySha256 = sum[:]
+	stored.Object = "answers/" + strings.TrimPrefix(string(c.key), string(Prefix))[:objectDigits]
+	return stored, s.Objects.Put(ctx, stored.GetObject(), answer.Body)
 }
 
-func keptHeader(header map[string][]string) []*schema.KeptField {
+func storedHeader(header map[string][]string) []*schema.KeptField {
 	var fields []*schema.KeptField
-	for _, name := range keptFields {
+	for _, name := range storedFields {
 		if values := header[name]; len(values) > 0 {
 			fields = append(fields, &schema.KeptField{Name: name, Values: slices.Clone(values)})
 		}
@@ -62,15 +62,15 @@
 }
 
 // loadAnswer returns the answer of a row in state done, with its body.
-func (s *Store) loadAnswer(ctx context.Context, kept *schema.KeptAnswer) (*Answer, error) {
-	answer := &Answer{Status: int(kept.GetStatus()), Header: map[string][]string{}, Body: kept.GetBody()}
-	for _, field := range kept.GetHeader() {
+func (s *Store) loadAnswer(ctx context.Context, stored *schema.KeptAnswer) (*Answer, error) {
+	answer := &Answer{Status: int(stored.GetStatus()), Header: map[string][]string{}, Body: stored.GetBody()}
+	for _, field := range stored.GetHeader() {
 		answer.Header[field.GetName()] = field.GetValues()
 	}
-	if kept.GetObject() == "" {
+	if stored.GetObject() == "" {
 		return answer, nil
 	}
-	body, err := s.loadBody(ctx, kept)
+	body, err := s.loadBody(ctx, stored)
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 }
 
 // loadBody reads a body from the object store and checks its hash.
-func (s *Store) loadBody(ctx context.Context, kept *schema.KeptAnswer) ([]byte, error) {
+func (s *Store) loadBody(ctx context.Context, stored *schema.KeptAnswer) ([]byte, error) {
 	lost := &refusal.Error{
 		Reason: refusal.OutcomeLost, Outcome: refusal.Run,
 		Detail: "The request with this idempotency key was run; its answer is no longer kept.",
@@ -87,7 +87,7 @@
 	if s.Objects == nil {
 		return nil, lost
 	}
-	body, err := s.Objects.Get(ctx, kept.GetObject())
+	body, err := s.Objects.Get(ctx, stored.GetObject())
 	var notFound *store.NotFoundError
 	if errors.As(err, &notFound) {
 		return nil, lost
@@ -98,7 +98,7 @@
 			Detail: "The request with this idempotency key was run; its answer can't be read now.",
 		}
 	}
-	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], kept.GetBodySha256()) {
+	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], stored.GetBodySha256()) {
 		return nil, lost
 	}
 	return body, nil
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -52,8 +52,8 @@
 	ended    bool
 }
 
-// fleetModel simulates routers that share one table, and records what ran and
-// what callers were told.
+// fleetModel simulates routers that share one table, and records the runs and the
+// outcomes that callers got.
 type fleetModel struct {
 	clock         *timer.Fake
 	table         *faultyTable
@@ -191,7 +191,7 @@
 	m.table.applyPending(rapid.IntRange(0, len(m.table.pending)-1).Draw(t, "txn"))
 }
 
-func (m *fleetModel) settle(t *rapid.T) {
+func (m *fleetModel) retryWrites(t *rapid.T) {
 	m.stores[rapid.IntRange(0, len(m.stores)-1).Draw(t, "router")].RetryWrites(context.Background())
 }
 
@@ -203,20 +203,19 @@
 	m.clock.Advance(rapid.SampledFrom([]time.Duration{time.Second, time.Minute, 10 * time.Minute, 2 * time.Hour}).Draw(t, "time"))
 }
 
-// Guards against a request that runs twice, or that runs although its caller was
-// told not-run and repeats it: both send two crews. Three routers claim, pause,
-// crash, restart, sweep and settle on a table that is down, loses replies,
-// applies writes late and reads stale, while callers repeat requests through any
-// of them.
+// Guards against a request that runs twice, or that runs although its caller got
+// not-run and repeats it. Three routers claim, pause, crash, restart, sweep and
+// retry writes on a table that is down, loses replies, applies writes late and
+// reads stale, while callers repeat requests through any of them.
 func TestAtMostOneRunUnderEveryFault(t *testing.T) {
 	t.Parallel()
 	steps, ran := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"call": m.call, "call again": m.call, "send": m.send, "refused unrun": m.refusedNotRun,
+			"call": m.call, "call again": m.call, "send": m.send, "refused, not run": m.refusedNotRun,
 			"answered": m.answered, "broken": m.answerLost, "router dies": m.killRouter, "late write": m.applyLateWrite,
-			"settle": m.settle, "sweep": m.sweep, "time": m.advanceClock,
+			"settle": m.retryWrites, "sweep": m.sweep, "time": m.advanceClock,
 			"": func(t *rapid.T) {
 				steps++
 				for key, runs := range m.runs {
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -24,15 +24,15 @@
 )
 
 // Finish stores the request's answer, which repeats get from then on. ctx bounds
-// the write; Settle retries it if it fails. If the answer is too large or its
-// object can't be written, Finish records the answer as lost.
+// the write; Store.RetryWrites retries it if it fails. If the answer is too large
+// or its object can't be written, Finish records the answer as lost.
 func (c *Claim) Finish(ctx context.Context, answer Answer) {
-	kept, err := c.store.storeAnswer(ctx, c, answer)
+	stored, err := c.store.storeAnswer(ctx, c, answer)
 	if err != nil {
 		c.MarkLost(ctx)
 		return
 	}
-	c.end(ctx, schema.ClaimState_CLAIM_STATE_DONE, kept)
+	c.end(ctx, schema.ClaimState_CLAIM_STATE_DONE, stored)
 }
 
 // Release makes the key claimable again. The request must certainly not have run.
@@ -66,12 +66,12 @@
 	attempt attemptID
 	// version is the row's version, zero while unknown or if there is no row.
 	version store.RowVersion
-	// indefinite is true if the attempt gave up without knowing whether its claim
+	// outcomeUnknown is true if the attempt gave up without knowing whether its claim
 	// was written.
-	indefinite bool
-	row        *schema.ClaimRow
-	giveUpAt   time.Time
-	size       int
+	outcomeUnknown bool
+	row            *schema.ClaimRow
+	giveUpAt       time.Time
+	size           int
 }
 
 func (s *Store) newFinalWrite(c *Claim, state schema.ClaimState, answer *schema.KeptAnswer) *finalWrite {
@@ -87,7 +87,7 @@
 // tryFinalWrite writes the final row if it may still replace the current one,
 // and reports whether nothing is left to do.
 func (s *Store) tryFinalWrite(ctx context.Context, final *finalWrite) bool {
-	if !final.indefinite && final.version == 0 {
+	if !final.outcomeUnknown && final.version == 0 {
 		row, version, err := s.read(ctx, final.key, 1)
 		if err != nil || attemptID(row.GetAttempt()) != final.attempt {
 			return false
@@ -117,19 +117,19 @@
 
 // mayReplace reports whether the final write may replace a row.
 //
-// A delayed claim of an indefinite attempt expects no row, or one that another
-// attempt released. Writing not-run over either makes the claim fail when it
-// arrives. Otherwise an attempt that never sends would hold the key, and the
-// caller, who was told not-run, would have its repeat refused.
+// A delayed claim of an attempt with an unknown outcome expects no row, or one
+// that another attempt released. Writing not-run over either makes the claim fail
+// when it arrives. Otherwise an attempt that never sends would hold the key, and
+// the repeat of a caller that got not-run would be refused.
 func (f *finalWrite) mayReplace(row *schema.ClaimRow) bool {
 	if row == nil {
-		return f.indefinite
+		return f.outcomeUnknown
 	}
 	switch row.GetState() {
 	case schema.ClaimState_CLAIM_STATE_SENDING:
 		return attemptID(row.GetAttempt()) == f.attempt
 	case schema.ClaimState_CLAIM_STATE_NOT_RUN:
-		return f.indefinite && attemptID(row.GetAttempt()) != f.attempt
+		return f.outcomeUnknown && attemptID(row.GetAttempt()) != f.attempt
 	default:
 		return false
 	}
--- a/claim/store.go
+++ b/claim/store.go
@@ -37,7 +37,7 @@
 )
 
 // Store claims requests. Table must be set. Without Objects, answers larger
-// than MaxInlineBody are not kept. It is safe for concurrent use.
+// than MaxInlineBody are not stored. It is safe for concurrent use.
 type Store struct {
 	Table   store.Table
 	Objects store.ObjectStore
@@ -87,7 +87,7 @@
 }
 
 // Claim returns a claim if this router may send the request, or else the answer
-// that is kept for it. It fails with *refusal.Error: claims-unavailable (not
+// that is stored for it. It fails with *refusal.Error: claims-unavailable (not
 // run) if the table is unavailable, duplicate-in-flight or outcome-lost if
 // another attempt has or had the claim, and idempotency-key-reused.
 func (s *Store) Claim(ctx context.Context, request Request) (*Claim, *Answer, error) {
@@ -108,7 +108,7 @@
 func (s *Store) claim(ctx context.Context, request Request) (*Claim, *Answer, error) {
 	c := s.newClaim(request)
 	expected := store.RowVersion(0)
-	var indefinite bool
+	var outcomeUnknown bool
 	var cause error
 	for range maxTries {
 		var conflict *store.ConflictError
@@ -116,18 +116,18 @@
 		switch {
 		case cause == nil:
 			return c, nil, nil
-		case isIndefinite(cause):
+		case isUnknownOutcome(cause):
 			// The write may have been applied or may yet be. Repeating it is safe:
 			// only one of the two can find the expected version, and both carry
 			// this attempt's id.
-			indefinite = true
+			outcomeUnknown = true
 			continue
 		case !errors.As(cause, &conflict):
-			return nil, nil, s.giveUp(c, indefinite, cause)
+			return nil, nil, s.giveUp(c, outcomeUnknown, cause)
 		}
 		row, version, err := s.read(ctx, c.key, conflict.Found)
 		if err != nil {
-			return nil, nil, s.giveUp(c, indefinite, err)
+			return nil, nil, s.giveUp(c, outcomeUnknown, err)
 		}
 		if row != nil && attemptID(row.GetAttempt()) == c.attempt {
 			c.version = version
@@ -139,7 +139,7 @@
 		}
 		expected = version
 	}
-	return nil, nil, s.giveUp(c, indefinite, cause)
+	return nil, nil, s.giveUp(c, outcomeUnknown, cause)
 }
 
 func (s *Store) newClaim(request Request) *Claim {
@@ -157,11 +157,11 @@
 // claim's writes may yet take effect, its row would make the caller's repeat
 // look like a duplicate of a request that is never sent. The backlog then
 // releases the key later.
-func (s *Store) giveUp(c *Claim, indefinite bool, cause error) error {
-	if indefinite {
+func (s *Store) giveUp(c *Claim, outcomeUnknown bool, cause error) error {
+	if outcomeUnknown {
 		c.ended = true
 		final := s.newFinalWrite(c, schema.ClaimState_CLAIM_STATE_NOT_RUN, nil)
-		final.indefinite = true
+		final.outcomeUnknown = true
 		s.backlog.add(final)
 	}
 	return unavailable(cause)
@@ -174,7 +174,7 @@
 	return refused
 }
 
-// resolveDuplicate returns the kept answer, or the refusal, of a request whose
+// resolveDuplicate returns the stored answer, or the refusal, of a request whose
 // key another attempt has claimed.
 func (s *Store) resolveDuplicate(ctx context.Context, row *schema.ClaimRow, request Request) (*Answer, error) {
 	if !bytes.Equal(row.GetFingerprint(), request.fingerprint()) {
@@ -235,7 +235,7 @@
 	return nil, 0, eris.Errorf("row %s: reads return versions older than %d", key, minVersion)
 }
 
-func isIndefinite(err error) bool {
-	var indefinite *store.UnknownOutcomeError
-	return errors.As(err, &indefinite)
+func isUnknownOutcome(err error) bool {
+	var unknown *store.UnknownOutcomeError
+	return errors.As(err, &unknown)
 }
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -15,8 +15,8 @@
 const (
 	// sweepPageSize is how many rows a scan reads, and thus how many it can remove.
 	sweepPageSize = 100
-	// busyPageDivisor divides sweepPageSize: with at least that many expired rows
-	// on a page the sweeper reads the next page without idle ticks.
+	// busyPageDivisor divides sweepPageSize: with at least sweepPageSize/busyPageDivisor
+	// expired rows on a page, the sweeper reads the next page without idle ticks.
 	busyPageDivisor = 4
 	// idleTicks is the number of ticks per page otherwise. Each row is then
 	// scanned about every half hour, with 460 routers and 2.5 million rows as
@@ -24,9 +24,9 @@
 	idleTicks = 30
 	// sweepInterval is the time between two ticks.
 	sweepInterval = time.Second
-	// settleInterval is the time between two calls of Settle.
-	settleInterval = 2 * time.Second
-	// housekeepingTimeout bounds one tick or call of Settle.
+	// retryInterval is the time between two calls of RetryWrites.
+	retryInterval = 2 * time.Second
+	// housekeepingTimeout bounds one tick or call of RetryWrites.
 	housekeepingTimeout = 5 * time.Second
 )
 
@@ -40,13 +40,13 @@
 	skipTicks int
 }
 
-// Start calls Tick and the store's Settle periodically until stop is called.
+// Start calls Tick and the store's RetryWrites periodically until stop is called.
 func (w *Sweeper) Start(timers timer.Service) (stop func()) {
-	sweeping := timers.Every(sweepInterval, func(time.Time) { runWithTimeout(w.Tick) })
-	settling := timers.Every(settleInterval, func(time.Time) { runWithTimeout(w.Store.RetryWrites) })
+	sweeps := timers.Every(sweepInterval, func(time.Time) { runWithTimeout(w.Tick) })
+	retries := timers.Every(retryInterval, func(time.Time) { runWithTimeout(w.Store.RetryWrites) })
 	return func() {
-		sweeping.Cancel()
-		settling.Cancel()
+		sweeps.Cancel()
+		retries.Cancel()
 	}
 }
 
