--- a/call/call_test.go
+++ b/call/call_test.go
@@ -125,14 +125,14 @@
 	return events.String()
 }
 
-// fakeSource returns slots at its upstreams in turn and records the reports on
-// them.
+// fakeSource returns slots at its upstreams in turn and records the completions
+// and costs reported for them.
 type fakeSource struct {
-	mu        sync.Mutex
-	upstreams []*schema.Upstream
-	next      int
-	done      []dispatch.Completion
-	progress  []fleet.Tokens
+	mu            sync.Mutex
+	upstreams     []*schema.Upstream
+	next          int
+	completions   []dispatch.Completion
+	reportedCosts []fleet.Tokens
 }
 
 func (s *fakeSource) Acquire(context.Context, dispatch.Request) (dispatch.Slot, error) {
@@ -153,13 +153,13 @@
 func (s *fakeSlot) ReportCost(cost fleet.Tokens) {
 	s.source.mu.Lock()
 	defer s.source.mu.Unlock()
-	s.source.progress = append(s.source.progress, cost)
+	s.source.reportedCosts = append(s.source.reportedCosts, cost)
 }
 
-func (s *fakeSlot) Release(done dispatch.Completion) {
+func (s *fakeSlot) Release(completion dispatch.Completion) {
 	s.source.mu.Lock()
 	defer s.source.mu.Unlock()
-	s.source.done = append(s.source.done, done)
+	s.source.completions = append(s.source.completions, completion)
 }
 
 func newSource(addresses ...string) *fakeSource {
@@ -211,16 +211,16 @@
 	require.Empty(t, report.RefusalReason)
 	require.Equal(t, []int64{400, 8}, []int64{report.InputTokens, report.OutputTokens})
 	require.Positive(t, report.TimeToFirstToken)
-	require.Len(t, source.done, 1)
-	require.Equal(t, dispatch.Answered, source.done[0].Result)
-	require.Equal(t, fleet.Tokens(400/4+8), source.done[0].Cost)
-	require.Len(t, source.progress, 9)
+	require.Len(t, source.completions, 1)
+	require.Equal(t, dispatch.Answered, source.completions[0].Result)
+	require.Equal(t, fleet.Tokens(400/4+8), source.completions[0].Cost)
+	require.Len(t, source.reportedCosts, 9)
 }
 
 // An engine sends its header at once, but its first token only when the prompt is
-// processed. FirstToken must be the time to the latter, because it controls the
-// limit of requests in flight.
-func TestFirstTokenIsTimedByTheFirstEvent(t *testing.T) {
+// processed. FirstTokenLatency must be the time to the latter, because it controls
+// the limit of requests in flight.
+func TestFirstTokenLatencyEndsAtTheFirstEvent(t *testing.T) {
 	t.Parallel()
 	const prefill = 20 * time.Millisecond
 	address, _ := plainService(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -233,7 +233,7 @@
 
 	require.NoError(t, newRunner(source).Run(t.Context(), httptest.NewRecorder(), chatRequest()))
 
-	require.GreaterOrEqual(t, source.done[0].FirstTokenLatency, prefill)
+	require.GreaterOrEqual(t, source.completions[0].FirstTokenLatency, prefill)
 }
 
 // The connection to an engine breaks within a stream, more often than the number
@@ -292,7 +292,7 @@
 }
 
 // A caller disconnects within a stream. The stream must be cancelled, because
-// nobody would read it, unless the caller asked for it to be resumable.
+// nobody would read it, unless the caller requested a resumable stream.
 func TestCallerThatGoesAwayCancelsItsStream(t *testing.T) {
 	t.Parallel()
 	for _, resumable := range []bool{false, true} {
@@ -310,7 +310,7 @@
 		runner.Wait()
 		if resumable {
 			require.Empty(t, e.cancelled)
-			require.Equal(t, request.EstimatedCost, source.done[0].Cost)
+			require.Equal(t, request.EstimatedCost, source.completions[0].Cost)
 		} else {
 			require.Equal(t, []string{e.stream}, e.cancelled)
 		}
@@ -335,7 +335,7 @@
 	requireRefused(t, runner.Run(ctx, httptest.NewRecorder(), request), refusal.CallerGone, refusal.Unknown)
 
 	runner.Wait()
-	require.Equal(t, []dispatch.Completion{{Result: dispatch.Answered, Cost: 8000 / 4 / 4}}, source.done)
+	require.Equal(t, []dispatch.Completion{{Result: dispatch.Answered, Cost: 8000 / 4 / 4}}, source.completions)
 }
 
 // A caller requests a long stream and stops reading, but keeps its connection
--- a/call/caller.go
+++ b/call/caller.go
@@ -13,8 +13,8 @@
 // request's deadline.
 //
 // If a caller stops reading but keeps its connection open, writes block once the
-// buffers are full, whatever the request's context says. The request would hold
-// its upstream slot without limit; a few hundred such callers would block a
+// buffers are full, even after the request's context has ended. The request would
+// hold its upstream slot without limit; a few hundred such callers would block a
 // service.
 type deadlineWriter struct {
 	http.ResponseWriter
--- a/call/cancel.go
+++ b/call/cancel.go
@@ -13,8 +13,8 @@
 // itself once nobody has read it for a while.
 const cancelTimeout = 2 * time.Second
 
-// cancelStream tells an engine to stop a stream that nobody will read, so that
-// it does not occupy a slot of the engine. It returns at once: the caller has
+// cancelStream cancels a stream that nobody will read, so that it does not occupy
+// a slot of its engine. It does not wait for the engine, since the caller has
 // disconnected or is served by another upstream.
 func (r *Runner) cancelStream(request fleet.RequestID, address, id string) {
 	r.cancellations.Go(func() {
--- a/call/count.go
+++ b/call/count.go
@@ -6,7 +6,7 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-func (r *Runner) countService(request *Request, cost fleet.Tokens) {
+func (r *Runner) countServiceTokens(request *Request, cost fleet.Tokens) {
 	if r.Metrics != nil {
 		r.Metrics.ServiceTokens.WithLabelValues(request.Account.GetId()).Add(float64(cost))
 	}
--- a/call/event.go
+++ b/call/event.go
@@ -31,8 +31,8 @@
 	return e.controller.Flush()
 }
 
-// writeError writes an error event without an id, which tells the caller why its
-// stream ends early. A caller that ignores it still sees the connection closed
+// writeError writes an error event without an id, which states why the stream
+// ends early. A caller that ignores it still sees the connection closed
 // before the last event.
 func (e *eventWriter) writeError(ctx context.Context, request fleet.RequestID, cause error) {
 	reason := reasonOf(ctx, cause)
--- a/call/failure.go
+++ b/call/failure.go
@@ -18,7 +18,7 @@
 // written. The connection to the caller must be aborted, because a normal end
 // would make the part look complete.
 type BrokenError struct {
-	// Outcome tells whether the request was run, as far as known.
+	// Outcome is whether the request was run, as far as known.
 	Outcome refusal.Outcome
 	// Cause is the error that ended the answer.
 	Cause error
--- a/call/link.go
+++ b/call/link.go
@@ -24,7 +24,7 @@
 	stream  string
 }
 
-// Resume asks the engine for the events after the one with id after.
+// Resume requests the events after the one with id after from the engine.
 func (s *engineSource) Resume(ctx context.Context, after stream.EventID) (*stream.Connection, error) {
 	answer, err := s.client.Do(ctx, s.address, attempt.Request{
 		ID: s.request, Method: http.MethodGet, Idempotent: true,
@@ -64,7 +64,7 @@
 	lastEvent stream.EventID
 }
 
-// allow reports whether to resume a broken stream, after a delay. It asks the
+// allow reports whether to resume a broken stream, after a delay. It consults the
 // retry policy only once per break: further tries repeat a read that did not
 // reach the engine or ended at once, and add no work there. A connection that
 // delivered an event resets the tries, or a long answer over a poor network
--- a/call/once_test.go
+++ b/call/once_test.go
@@ -59,7 +59,7 @@
 	require.Equal(t, first.Body.String(), again.Body.String())
 	require.Empty(t, first.Header().Get(call.ReplayedHeader))
 	require.Equal(t, "true", again.Header().Get(call.ReplayedHeader))
-	require.Equal(t, dispatch.Unused, source.done[1].Result)
+	require.Equal(t, dispatch.Unused, source.completions[1].Result)
 }
 
 // The caller's connection breaks while its order runs. The router must still
@@ -99,7 +99,7 @@
 	require.Equal(t, 1, runs())
 }
 
-// Every upstream refuses the order without running it. The caller must be told
+// Every upstream refuses the order without running it. The caller must get
 // not-run and be able to repeat it.
 func TestOrderThatWasNotRunCanBeRepeated(t *testing.T) {
 	t.Parallel()
@@ -140,9 +140,9 @@
 	table *memory.Platform
 }
 
-func (c *failingSource) Acquire(ctx context.Context, work dispatch.Request) (dispatch.Slot, error) {
-	c.table.Faults.Set(fault.Fault{Kind: fault.Slow, Operation: memory.OperationCommit, Times: 1}, fault.Fault{Kind: fault.Down})
-	return c.fakeSource.Acquire(ctx, work)
+func (s *failingSource) Acquire(ctx context.Context, request dispatch.Request) (dispatch.Slot, error) {
+	s.table.Faults.Set(fault.Fault{Kind: fault.Slow, Operation: memory.OperationCommit, Times: 1}, fault.Fault{Kind: fault.Down})
+	return s.fakeSource.Acquire(ctx, request)
 }
 
 // The router is suspended between its claim and the sending, and resumes after
--- a/call/plain_test.go
+++ b/call/plain_test.go
@@ -63,11 +63,11 @@
 }
 
 // Upstreams fail in different ways. Idempotent requests must be retried; an order
-// that may have been run must not be, and its caller must be told so.
+// that may have been run must not be, and its caller must get that outcome.
 func TestRetriesOnlyWhatMayBeRepeated(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		turns      []http.HandlerFunc
+		handlers   []http.HandlerFunc
 		idempotent bool
 		runs       int
 		reason     refusal.Reason
@@ -79,7 +79,7 @@
 		"draining, order":        {[]http.HandlerFunc{draining, ok}, false, 1, refusal.UpstreamBusy, refusal.NotRun},
 		"broken, then all drain": {[]http.HandlerFunc{cutBeforeAnswer, draining}, true, 4, refusal.RetriesExhausted, refusal.Unknown},
 	} {
-		address, runs := plainService(t, c.turns...)
+		address, runs := plainService(t, c.handlers...)
 		request := orderRequest()
 		request.Idempotent = c.idempotent
 		w := httptest.NewRecorder()
--- a/call/report.go
+++ b/call/report.go
@@ -20,14 +20,14 @@
 	Arrived       time.Time
 	// Timeout is the time from the arrival to the request's deadline.
 	Timeout time.Duration
-	// InputTokens and Output are the tokens of a request to a model so far; zero if
-	// nothing was sent to an upstream.
+	// InputTokens and OutputTokens are the tokens of a request to a model so far; zero
+	// if nothing was sent to an upstream.
 	InputTokens  int64
 	OutputTokens int64
 	// QueueTime is the time from the arrival to the first slot, zero if there was none.
 	QueueTime time.Duration
-	// TimeToFirstToken is the time from the arrival to the first event of a stream, or
-	// to the header of a plain service's answer. It is zero for a model's answer
+	// TimeToFirstToken is the time from the arrival to the first event of a stream,
+	// or to the header of a plain service's answer. It is zero for a model's answer
 	// that is not streamed.
 	TimeToFirstToken time.Duration
 	// UpstreamTime is the duration of the last attempt at its upstream.
--- a/call/request.go
+++ b/call/request.go
@@ -39,7 +39,7 @@
 	IdempotencyKey string
 	// EstimatedCost is the expected cost.
 	EstimatedCost fleet.Tokens
-	// Prefix identifies the beginning of the prompt, for cache affinity.
+	// Prefix holds the ids of the prompt's prefixes, as in dispatch.Request.
 	Prefix   []uint64
 	Deadline time.Time
 }
@@ -54,9 +54,9 @@
 	return strings.EqualFold(r.Header.Get(ResumableHeader), "true")
 }
 
-func (r *Request) dispatchWork(avoid []fleet.UpstreamID) dispatch.Request {
+func (r *Request) dispatchRequest(avoided []fleet.UpstreamID) dispatch.Request {
 	return dispatch.Request{
 		ID: r.ID, Account: r.Account, Service: r.Service, Estimate: r.EstimatedCost,
-		Prefixes: r.Prefix, Deadline: r.Deadline, AvoidedUpstreams: avoid,
+		Prefixes: r.Prefix, Deadline: r.Deadline, AvoidedUpstreams: avoided,
 	}
 }
--- a/call/resume.go
+++ b/call/resume.go
@@ -12,8 +12,8 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// ResumeRequest is a caller's request to resume an interrupted stream that this or
-// another router started.
+// ResumeRequest is a caller's request to resume an interrupted stream that this
+// or another router started.
 type ResumeRequest struct {
 	ID      fleet.RequestID
 	Account *schema.Account
@@ -28,46 +28,46 @@
 // bad-resume-token and resume-expired. It takes no slot, because the stream is
 // already running and was charged by the router that started it. If it is
 // interrupted again, the stream stays resumable while its engine keeps it.
-func (r *Runner) Resume(ctx context.Context, w http.ResponseWriter, resumption ResumeRequest) error {
+func (r *Runner) Resume(ctx context.Context, w http.ResponseWriter, request ResumeRequest) error {
 	if r.Tokens == nil {
 		return refusal.New(refusal.BadResumeToken, "This router issues no resume tokens.", 0)
 	}
-	token, err := r.Tokens.Open(resumption.Token, resumption.Account.GetId(), r.now())
+	token, err := r.Tokens.Open(request.Token, request.Account.GetId(), r.now())
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(ctx, resumption.Deadline)
+	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	backoff := &resumeBackoff{runner: r, deadline: resumption.Deadline, lastEvent: resumption.After}
+	backoff := &resumeBackoff{runner: r, deadline: request.Deadline, lastEvent: request.After}
 	relay := &stream.Relay{
-		Stream: token.GetStream(), After: resumption.After,
-		Source: &engineSource{client: r.Client, request: resumption.ID, address: token.GetAddress(), stream: token.GetStream()},
+		Stream: token.GetStream(), After: request.After,
+		Source: &engineSource{client: r.Client, request: request.ID, address: token.GetAddress(), stream: token.GetStream()},
 	}
 	relay.MayReconnect = func(ctx context.Context, _ error) bool { return backoff.allow(ctx, relay.After) }
-	sink := &resumeSink{out: newEventWriter(newDeadlineWriter(w, resumption.Deadline)), token: resumption.Token}
+	sink := &resumeSink{out: newEventWriter(newDeadlineWriter(w, request.Deadline)), token: request.Token}
 	err = relay.Open(ctx, sink)
 	switch {
 	case err == nil:
 		return nil
 	case sink.started:
-		sink.out.writeError(ctx, resumption.ID, err)
+		sink.out.writeError(ctx, request.ID, err)
 		return &BrokenError{Outcome: refusal.Run, Cause: err}
 	default:
 		return resumeRefusal(ctx, err)
 	}
 }
 
-// resumeRefusal returns the refusal of a resumption that delivered no event. The
-// request itself was run or still is.
+// resumeRefusal returns the refusal of a ResumeRequest for which no event arrived.
+// The request that started the stream was run or still is.
 func resumeRefusal(ctx context.Context, err error) *refusal.Error {
 	refused := &refusal.Error{Outcome: refusal.Run, Cause: err}
 	var (
-		gone   *stream.GoneError
-		splice *stream.WrongStreamError
-		order  *stream.OrderError
+		gone        *stream.GoneError
+		wrongStream *stream.WrongStreamError
+		orderErr    *stream.OrderError
 	)
 	switch {
-	case errors.As(err, &gone), errors.As(err, &splice), errors.As(err, &order):
+	case errors.As(err, &gone), errors.As(err, &wrongStream), errors.As(err, &orderErr):
 		refused.Reason, refused.Detail = refusal.ResumeExpired, "The stream can no longer be resumed."
 	case callerGone(ctx):
 		refused.Reason, refused.Detail = refusal.CallerGone, "The caller closed the connection."
--- a/call/resume_test.go
+++ b/call/resume_test.go
@@ -32,28 +32,28 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	first := &leavingCaller{httptest.NewRecorder(), 3, cancel}
 	require.Error(t, one.Run(ctx, first, request))
-	resumption := call.ResumeRequest{
+	resumeRequest := call.ResumeRequest{
 		ID: "r-9", Account: request.Account, After: 3, Deadline: time.Now().Add(time.Minute),
 		Token: first.Header().Get(call.ResumeTokenHeader),
 	}
 	e.cutsAt = []int{8}
 	rest := httptest.NewRecorder()
 
-	require.NoError(t, two.Resume(t.Context(), rest, resumption))
+	require.NoError(t, two.Resume(t.Context(), rest, resumeRequest))
 
 	require.Equal(t, fullStream(12), first.Body.String()+rest.Body.String())
 	require.Equal(t, "text/event-stream", rest.Header().Get("Content-Type"))
 	require.Equal(t, []string{"3", "7"}, e.resumed)
 	require.Equal(t, 1, e.runs)
 
-	otherAccount := resumption
+	otherAccount := resumeRequest
 	otherAccount.Account = &schema.Account{Id: "kilimanjaro"}
 	w := httptest.NewRecorder()
 	requireRefused(t, two.Resume(t.Context(), w, otherAccount), refusal.BadResumeToken, refusal.NotRun)
 	require.Empty(t, w.Body.String())
 
 	e.stream = "another stream"
-	requireRefused(t, two.Resume(t.Context(), w, resumption), refusal.ResumeExpired, refusal.Run)
+	requireRefused(t, two.Resume(t.Context(), w, resumeRequest), refusal.ResumeExpired, refusal.Run)
 	e.Close()
-	requireRefused(t, two.Resume(t.Context(), w, resumption), refusal.UpstreamFailed, refusal.Run)
+	requireRefused(t, two.Resume(t.Context(), w, resumeRequest), refusal.UpstreamFailed, refusal.Run)
 }
--- a/call/runner.go
+++ b/call/runner.go
@@ -76,8 +76,8 @@
 	// partialReport holds the fields of the report that are known so far.
 	partialReport Report
 	attempts      int
-	// avoid lists the upstreams of failed attempts.
-	avoid []fleet.UpstreamID
+	// avoidedUpstreams lists the upstreams of failed attempts.
+	avoidedUpstreams []fleet.UpstreamID
 	// worstOutcome is the worst outcome of the failed attempts so far.
 	worstOutcome refusal.Outcome
 	// answerStarted is true once the header of an answer was written.
@@ -100,7 +100,7 @@
 	}
 	e.runner.Retry.RecordFirstAttempt(e.arrived)
 	for {
-		slot, err := e.runner.Source.Acquire(ctx, e.request.dispatchWork(e.avoid))
+		slot, err := e.runner.Source.Acquire(ctx, e.request.dispatchRequest(e.avoidedUpstreams))
 		if err != nil {
 			return e.refusalFor(ctx, err)
 		}
@@ -128,7 +128,7 @@
 			return e.refusalFor(ctx, err)
 		}
 		e.worstOutcome = worseOutcome(e.worstOutcome, outcomeOf(err))
-		e.avoid = append(e.avoid, fleet.UpstreamID(slot.Upstream().GetId()))
+		e.avoidedUpstreams = append(e.avoidedUpstreams, fleet.UpstreamID(slot.Upstream().GetId()))
 	}
 }
 
--- a/call/storm_test.go
+++ b/call/storm_test.go
@@ -23,8 +23,8 @@
 // The tests draw the same faults in each run; -rapid.seed changes them.
 func init() { _ = flag.Set("rapid.seed", "3") }
 
-// Guards against an order that runs twice, or that runs although its caller was
-// told not-run. A caller repeats one order through random routers, while the
+// Guards against an order that runs twice, or that runs although its caller got
+// not-run. A caller repeats one order through random routers, while the
 // table and the service fail in every way that their test doubles support. The
 // service counts its runs.
 func TestOrderRunsOnceUnderFaults(t *testing.T) {
@@ -63,7 +63,7 @@
 				require.True(t, first == "" || first == answer, "the answer differs from the first")
 				first = answer
 			}
-			if rapid.Bool().Draw(t, "settle") {
+			if rapid.Bool().Draw(t, "retry writes") {
 				runner.Claims.RetryWrites(context.Background())
 			}
 		}
@@ -72,8 +72,7 @@
 	t.Logf("%d answers", answers)
 }
 
-// sendOrder sends the order and returns the answer, or the outcome that the
-// caller is told.
+// sendOrder sends the order and returns the answer, or the outcome in its refusal.
 func sendOrder(t *rapid.T, runner *call.Runner) (answer string, outcome refusal.Outcome) {
 	request := keyedRequest()
 	request.Header = http.Header{"Idempotency-Key": {"k"}}
--- a/call/streamed.go
+++ b/call/streamed.go
@@ -98,8 +98,8 @@
 	if event.Data == nil || event.IsLast() {
 		return
 	}
-	if s.firstToken == 0 {
-		s.firstToken = s.runner.now().Sub(s.sentAt)
+	if s.firstTokenLatency == 0 {
+		s.firstTokenLatency = s.runner.now().Sub(s.sentAt)
 	}
 	if usage, ok := stream.ReadUsage(event.Data); ok {
 		s.meter.setUsage(usage)
--- a/call/try.go
+++ b/call/try.go
@@ -21,10 +21,10 @@
 	streamID string
 	meter    costMeter
 	sentAt   time.Time
-	// firstToken is the time to the first event of a stream, or to the header of a
-	// plain service's answer. It is zero for a model's answer that is not streamed,
-	// which arrives only with its last token.
-	firstToken time.Duration
+	// firstTokenLatency is the time to the first event of a stream, or to the header
+	// of a plain service's answer. It is zero for a model's answer that is not
+	// streamed, which arrives only with its last token.
+	firstTokenLatency time.Duration
 }
 
 func (e *execution) runAttempt(ctx context.Context, slot dispatch.Slot) error {
@@ -54,7 +54,7 @@
 		return a.relayStream(ctx, answer)
 	}
 	if !a.request.isModel() {
-		a.firstToken = answer.TimeToHeader
+		a.firstTokenLatency = answer.TimeToHeader
 	}
 	return a.relayWhole(ctx, answer)
 }
@@ -62,19 +62,19 @@
 // finish releases the slot, and cancels a stream that still runs at the upstream
 // unless its caller may resume it.
 func (a *upstreamAttempt) finish(ctx context.Context, err error) {
-	done := dispatch.Completion{Result: a.result(ctx, err), FirstTokenLatency: a.firstToken}
-	if done.Result == dispatch.Answered || outcomeOf(err) == refusal.Run {
-		done.Cost = a.meter.cost()
+	completion := dispatch.Completion{Result: a.result(ctx, err), FirstTokenLatency: a.firstTokenLatency}
+	if completion.Result == dispatch.Answered || outcomeOf(err) == refusal.Run {
+		completion.Cost = a.meter.cost()
 	}
 	abandoned := err != nil && a.streamID != "" && outcomeOf(err) != refusal.NotRun
 	switch {
 	case abandoned && a.callerMayResume(ctx):
-		done.Cost = max(done.Cost, a.request.EstimatedCost)
+		completion.Cost = max(completion.Cost, a.request.EstimatedCost)
 	case abandoned:
 		a.runner.cancelStream(a.request.ID, a.address, a.streamID)
 	}
-	a.slot.Release(done)
-	a.runner.countService(a.request, done.Cost)
+	a.slot.Release(completion)
+	a.runner.countServiceTokens(a.request, completion.Cost)
 	a.recordAttempt()
 }
 
@@ -84,8 +84,8 @@
 		return
 	}
 	a.partialReport.UpstreamTime = a.runner.now().Sub(a.sentAt)
-	if a.firstToken > 0 {
-		a.partialReport.TimeToFirstToken = a.sentAt.Add(a.firstToken).Sub(a.arrived)
+	if a.firstTokenLatency > 0 {
+		a.partialReport.TimeToFirstToken = a.sentAt.Add(a.firstTokenLatency).Sub(a.arrived)
 	}
 	if a.request.isModel() {
 		a.partialReport.InputTokens, a.partialReport.OutputTokens = a.meter.input, a.meter.output
