--- a/peer/frame.go
+++ b/peer/frame.go
@@ -28,7 +28,7 @@
 const (
 	maxHelloBytes     = 4 << 10
 	maxHeartbeatBytes = 16
-	// maxBatchBytes fits all that one router may have to tell another at once:
+	// maxBatchBytes fits all that one router may have to report to another at once:
 	// 25,000 requests at 40 bytes each.
 	maxBatchBytes = 1 << 20
 	// maxCallBytes fits a fleet state of 36,000 accounts, about 7 MB in binary form.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -46,7 +46,7 @@
 	Key []byte
 	// Listener accepts the other routers' connections; Run closes it.
 	Listener net.Listener
-	// Seeds are addresses to dial in addition to those set by Target.
+	// Seeds are addresses to dial in addition to those set by SetTargets.
 	Seeds   []string
 	Timer   timer.Service
 	Metrics *metric.Set
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -162,7 +162,7 @@
 // because it does not know which router a seed address belongs to. If the second
 // connection replaced the first, both routers would have to announce everything
 // in flight between them again.
-func TestSecondConnectionIsTurnedAway(t *testing.T) {
+func TestSecondConnectionIsRejected(t *testing.T) {
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
 	wire := newProxy(t, a.address)
@@ -207,7 +207,7 @@
 
 // A process without the fleet key dials a router, or listens at the address of
 // one. If it were accepted, it could send arbitrary grants and reports.
-func TestWrongKeyIsNotLetIn(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
 	stranger := startNode(t, nodeConfig{id: "b", key: "another key altogether"})
@@ -295,7 +295,7 @@
 // A router freezes: its kernel still accepts bytes for a while, but nothing reads
 // them. Sending to it must neither block nor delay other routers, and it must
 // count as lost once its queue is full.
-func TestFrozenRouterHoldsUpNobody(t *testing.T) {
+func TestFrozenRouterDoesNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
 	a := startNode(t, nodeConfig{id: "a", heartbeat: time.Hour})
