--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -19,8 +19,8 @@
 	// Estimate is the expected cost. The actual cost is known only when the
 	// request ends.
 	Estimate fleet.Tokens
-	// Prefixes holds the ids of the prompt's prefixes, each one block longer than the
-	// one before, for cache affinity. It is empty for plain services.
+	// Prefixes holds the ids of the prompt's prefixes, each one block longer than
+	// the one before, for cache affinity. It is empty for plain services.
 	Prefixes []uint64
 	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
@@ -49,8 +49,9 @@
 	Result Result
 	// Cost is the total cost of the request in weighted tokens.
 	Cost fleet.Tokens
-	// FirstTokenLatency is the time from sending the request to the first byte of the
-	// answer, zero if there was no answer.
+	// FirstTokenLatency is the time from sending the request to the first event of a
+	// stream, or to the header of a plain service's answer. It is zero if there was
+	// neither, as with a model's answer that is not streamed.
 	FirstTokenLatency time.Duration
 }
 
@@ -62,7 +63,7 @@
 	// charged while it streams. It does not block.
 	ReportCost(cost fleet.Tokens)
 	// Release releases the slot. It must be called once and does not block.
-	Release(done Completion)
+	Release(completion Completion)
 }
 
 // Source grants slots to requests.
@@ -70,5 +71,5 @@
 	// Acquire waits until the request is granted a slot. It returns a
 	// *refusal.Error at once if the request can't be served in time, and one of
 	// reason caller-gone if ctx ends.
-	Acquire(ctx context.Context, work Request) (Slot, error)
+	Acquire(ctx context.Context, request Request) (Slot, error)
 }
