--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -76,8 +76,8 @@
 }
 
 // Report applies a dispatcher's report and returns the account's total. A report
-// of an older incarnation of the router is ignored; the total returned for it
-// has zero Covered.
+// of an older incarnation of the router is ignored; OwnReported is zero in the
+// total returned for it.
 func (k *Keeper) Report(now time.Time, from fleet.RouterID, incarnation fleet.Incarnation, report share.Report[Key]) share.Total {
 	latest := k.incarnations[from]
 	if incarnation < latest {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -48,7 +48,7 @@
 // A keeper is killed. The new one knows no account. Without the floor it would
 // return a total of almost zero, and an account that was served for hours would
 // be served before all others until it had received as much again.
-func TestNewKeeperGoesOnFromTheFloor(t *testing.T) {
+func TestNewKeeperContinuesFromTheFloor(t *testing.T) {
 	t.Parallel()
 	k := keeper.New(keeper.Options{})
 	// A dispatcher counts from zero again when the account gets another keeper.
