--- a/control/loop_test.go
+++ b/control/loop_test.go
@@ -11,7 +11,7 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-func TestLoopKeepsOrderAndSettlesWhenIdle(t *testing.T) {
+func TestLoopKeepsOrderAndCallsOnIdle(t *testing.T) {
 	t.Parallel()
 	var calls []string
 	loop := control.New(func() { calls = append(calls, "idle") })
