--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -18,10 +18,10 @@
 }
 
 // allExcept returns all routers but one.
-func allExcept(ids []fleet.RouterID, not fleet.RouterID) []fleet.RouterID {
+func allExcept(ids []fleet.RouterID, excluded fleet.RouterID) []fleet.RouterID {
 	var rest []fleet.RouterID
 	for _, id := range ids {
-		if id != not {
+		if id != excluded {
 			rest = append(rest, id)
 		}
 	}
--- a/scheduler/flood_test.go
+++ b/scheduler/flood_test.go
@@ -40,9 +40,9 @@
 	return times
 }
 
-// One account floods all routers with ten times what the upstreams take, another
-// sends one request at a time. The small one must wait only until the next slot is
-// free. First come first served, it would wait behind the flood.
+// One account keeps 600 requests waiting or running, 100 at each router, for 160
+// slots; another sends one request at a time. The small one must wait only until
+// the next slot is free. First come first served, it would wait behind the flood.
 func TestSmallAccountsQueueTimeBesideAFlood(t *testing.T) {
 	t.Parallel()
 	unloaded := queueTimes(t, false, 30, nil)
--- a/scheduler/vms.go
+++ b/scheduler/vms.go
@@ -15,8 +15,8 @@
 // vmListTimeout limits one read of the VM list.
 const vmListTimeout = 2 * time.Second
 
-// pollVMList reads the platform's VM list at intervals until the returned
-// function is called. A failed read changes nothing.
+// pollVMList reads the platform's VM list at intervals until ctx ends or the
+// returned function is called. A failed read changes nothing.
 func (s *Scheduler) pollVMList(ctx context.Context) (stop func()) {
 	if s.vms == nil {
 		return func() {}
