--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -18,7 +18,7 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// The tests make the same 500 runs of about 120 steps each time; -rapid.seed,
+// The tests make the same 500 runs of about 190 steps each time; -rapid.seed,
 // -rapid.checks and -rapid.steps change that.
 func init() {
 	_ = flag.Set("rapid.seed", "11")
