--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -165,12 +165,12 @@
 func TestSecondConnectionIsRejected(t *testing.T) {
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
-	wire := newProxy(t, a.address)
-	wire.cut()
-	b := startNode(t, nodeConfig{id: "b", seeds: []string{wire.address}})
+	link := newProxy(t, a.address)
+	link.cut()
+	b := startNode(t, nodeConfig{id: "b", seeds: []string{link.address}})
 	a.SetTargets(map[fleet.RouterID]string{"b": b.address})
 	waitConnected(t, a, b)
-	wire.restore()
+	link.restore()
 	require.Eventually(t, func() bool { return a.Faults().Duplicate+b.Faults().Duplicate > 0 }, waitTimeout, pollInterval)
 	require.Zero(t, a.disconnects()+b.disconnects())
 	b.Send("a", numberedBatch(3))
@@ -210,16 +210,16 @@
 func TestWrongKeyIsRejected(t *testing.T) {
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
-	stranger := startNode(t, nodeConfig{id: "b", key: "another key altogether"})
-	stranger.SetTargets(map[fleet.RouterID]string{"a": a.address})
+	wrongKey := startNode(t, nodeConfig{id: "b", key: "another key altogether"})
+	wrongKey.SetTargets(map[fleet.RouterID]string{"a": a.address})
 	require.Eventually(t, func() bool {
-		return a.Faults().Rejected+stranger.Faults().Rejected > 0
+		return a.Faults().Rejected+wrongKey.Faults().Rejected > 0
 	}, waitTimeout, pollInterval)
-	// The router also rejects the stranger when it dials the stranger itself.
-	a.SetTargets(map[fleet.RouterID]string{"b": stranger.address})
+	// The router also rejects the process if the router is the one that dials.
+	a.SetTargets(map[fleet.RouterID]string{"b": wrongKey.address})
 	before := a.Faults().Rejected
 	require.Eventually(t, func() bool { return a.Faults().Rejected > before }, waitTimeout, pollInterval)
-	for _, n := range []*testNode{a, stranger} {
+	for _, n := range []*testNode{a, wrongKey} {
 		n.mu.Lock()
 		require.Empty(t, n.changes)
 		n.mu.Unlock()
@@ -348,13 +348,13 @@
 	const heartbeat = 50 * time.Millisecond
 	a := startNode(t, nodeConfig{id: "a", heartbeat: heartbeat})
 	b := startNode(t, nodeConfig{id: "b", heartbeat: heartbeat})
-	wire := newProxy(t, a.address)
-	b.SetTargets(map[fleet.RouterID]string{"a": wire.address})
+	link := newProxy(t, a.address)
+	b.SetTargets(map[fleet.RouterID]string{"a": link.address})
 	waitConnected(t, a, b)
-	wire.cut()
+	link.cut()
 	require.Eventually(t, func() bool { return a.disconnects() == 1 && b.disconnects() >= 1 }, waitTimeout, pollInterval)
 	require.Positive(t, a.Faults().Silent+b.Faults().Silent)
-	wire.restore()
+	link.restore()
 	waitConnected(t, a, b)
 	b.Send("a", numberedBatch(5))
 	require.Eventually(t, func() bool { return len(a.received()) == 1 }, waitTimeout, pollInterval)
