--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -162,15 +162,15 @@
 // because it does not know which router a seed address belongs to. If the second
 // connection replaced the first, both routers would have to announce everything
 // in flight between them again.
-func TestSecondConnectionIsTurnedAway(t *testing.T) {
+func TestSecondConnectionIsRejected(t *testing.T) {
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
-	wire := newProxy(t, a.address)
-	wire.cut()
-	b := startNode(t, nodeConfig{id: "b", seeds: []string{wire.address}})
+	link := newProxy(t, a.address)
+	link.cut()
+	b := startNode(t, nodeConfig{id: "b", seeds: []string{link.address}})
 	a.SetTargets(map[fleet.RouterID]string{"b": b.address})
 	waitConnected(t, a, b)
-	wire.restore()
+	link.restore()
 	require.Eventually(t, func() bool { return a.Faults().Duplicate+b.Faults().Duplicate > 0 }, waitTimeout, pollInterval)
 	require.Zero(t, a.disconnects()+b.disconnects())
 	b.Send("a", numberedBatch(3))
@@ -207,19 +207,19 @@
 
 // A process without the fleet key dials a router, or listens at the address of
 // one. If it were accepted, it could send arbitrary grants and reports.
-func TestWrongKeyIsNotLetIn(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	t.Parallel()
 	a := startNode(t, nodeConfig{id: "a"})
-	stranger := startNode(t, nodeConfig{id: "b", key: "another key altogether"})
-	stranger.SetTargets(map[fleet.RouterID]string{"a": a.address})
+	wrongKey := startNode(t, nodeConfig{id: "b", key: "another key altogether"})
+	wrongKey.SetTargets(map[fleet.RouterID]string{"a": a.address})
 	require.Eventually(t, func() bool {
-		return a.Faults().Rejected+stranger.Faults().Rejected > 0
+		return a.Faults().Rejected+wrongKey.Faults().Rejected > 0
 	}, waitTimeout, pollInterval)
-	// The router also rejects the stranger when it dials the stranger itself.
-	a.SetTargets(map[fleet.RouterID]string{"b": stranger.address})
+	// The router also rejects the process if the router is the one that dials.
+	a.SetTargets(map[fleet.RouterID]string{"b": wrongKey.address})
 	before := a.Faults().Rejected
 	require.Eventually(t, func() bool { return a.Faults().Rejected > before }, waitTimeout, pollInterval)
-	for _, n := range []*testNode{a, stranger} {
+	for _, n := range []*testNode{a, wrongKey} {
 		n.mu.Lock()
 		require.Empty(t, n.changes)
 		n.mu.Unlock()
@@ -295,7 +295,7 @@
 // A router freezes: its kernel still accepts bytes for a while, but nothing reads
 // them. Sending to it must neither block nor delay other routers, and it must
 // count as lost once its queue is full.
-func TestFrozenRouterHoldsUpNobody(t *testing.T) {
+func TestFrozenRouterDoesNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	gate := make(chan struct{})
 	a := startNode(t, nodeConfig{id: "a", heartbeat: time.Hour})
@@ -348,13 +348,13 @@
 	const heartbeat = 50 * time.Millisecond
 	a := startNode(t, nodeConfig{id: "a", heartbeat: heartbeat})
 	b := startNode(t, nodeConfig{id: "b", heartbeat: heartbeat})
-	wire := newProxy(t, a.address)
-	b.SetTargets(map[fleet.RouterID]string{"a": wire.address})
+	link := newProxy(t, a.address)
+	b.SetTargets(map[fleet.RouterID]string{"a": link.address})
 	waitConnected(t, a, b)
-	wire.cut()
+	link.cut()
 	require.Eventually(t, func() bool { return a.disconnects() == 1 && b.disconnects() >= 1 }, waitTimeout, pollInterval)
 	require.Positive(t, a.Faults().Silent+b.Faults().Silent)
-	wire.restore()
+	link.restore()
 	waitConnected(t, a, b)
 	b.Send("a", numberedBatch(5))
 	require.Eventually(t, func() bool { return len(a.received()) == 1 }, waitTimeout, pollInterval)
--- a/scheduler/flood_test.go
+++ b/scheduler/flood_test.go
@@ -15,12 +15,12 @@
 
 // queueTimes returns the queue times of an account that sends one request at a
 // time, to each router in turn.
-func queueTimes(t *testing.T, flood bool, requests int, order func() share.Policy[fleet.ShortID]) []time.Duration {
+func queueTimes(t *testing.T, flood bool, requests int, sharePolicy func() share.Policy[fleet.ShortID]) []time.Duration {
 	t.Helper()
 	var times []time.Duration
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, newView(2, 10, 16))
-		f.order = order
+		f.sharePolicy = sharePolicy
 		ids := f.startAll(6)
 		defer f.stopAll()
 		random := rand.New(rand.NewPCG(5, 5))
@@ -40,9 +40,9 @@
 	return times
 }
 
-// One account floods all routers with ten times what the upstreams take, another
-// sends one request at a time. The small one must wait only until the next slot is
-// free. First come first served, it would wait behind the flood.
+// One account keeps 600 requests waiting or running, 100 at each router, for 160
+// slots; another sends one request at a time. The small one must wait only until
+// the next slot is free. First come first served, it would wait behind the flood.
 func TestSmallAccountsQueueTimeBesideAFlood(t *testing.T) {
 	t.Parallel()
 	unloaded := queueTimes(t, false, 30, nil)
