--- a/note/apply.go
+++ b/note/apply.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// applyEntries returns the entries of one kind after a record. In replacements, a
-// nil value stands for a withdrawn entry.
+// applyEntries returns the entries of one kind after a record. A nil value in
+// replacements means that the entry is withdrawn.
 func applyEntries[D definition](a *applier, kind EntryKind, entries, added, changed []D, withdrawn []string) []D {
 	if len(added)+len(changed)+len(withdrawn) == 0 {
 		return entries
--- a/note/bench_test.go
+++ b/note/bench_test.go
@@ -28,8 +28,8 @@
 	return state
 }
 
-// BenchmarkApplyNote measures what one accepted note costs each router. At
-// 17,000 notes a day that is a fifth of a note a second.
+// BenchmarkApplyNote measures the cost of one accepted note at each router. At
+// 17,000 notes a day, a router applies a fifth of a note a second.
 func BenchmarkApplyNote(b *testing.B) {
 	state := largeState(b)
 	record := &schema.NoteRecord{Version: 2, FirstNumber: state.GetLastNumber() + 1, Note: addAccount("new")}
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkCheck measures what checking one note costs the router that publishes
-// it.
+// BenchmarkCheck measures the cost of checking one note at the router that
+// publishes it.
 func BenchmarkCheck(b *testing.B) {
 	state := largeState(b)
 	for b.Loop() {
--- a/note/check.go
+++ b/note/check.go
@@ -202,7 +202,7 @@
 }
 
 // checkServiceKinds rejects changing a model into a plain service or back: its
-// upstreams would go on speaking the other protocol.
+// upstreams would still use the protocol of the old kind.
 func (c *checker) checkServiceKinds() {
 	for i, s := range c.doc.Message.GetChanged().GetServices() {
 		if kind, ok := c.before.serviceKinds[s.GetId()]; ok && kind != s.GetKind() {
@@ -211,8 +211,8 @@
 	}
 }
 
-// checkKeys rejects a key of two accounts: a caller presenting it could be taken
-// for either.
+// checkKeys rejects a key of two accounts: a caller with this key could be
+// authenticated as either.
 func (c *checker) checkKeys() {
 	c.forEachAccount(func(path string, a *schema.Account) {
 		for j, key := range a.GetKeySha256() {
@@ -234,9 +234,8 @@
 	}
 }
 
-// checkAddresses rejects two upstreams with one address: each would be sent its
-// full number of requests, so that the server behind them gets twice what it can
-// take.
+// checkAddresses rejects two upstreams with one address: the server there would
+// get as many requests as both have slots, twice its capacity.
 func (c *checker) checkAddresses() {
 	check := func(path string, upstreams []*schema.Upstream) {
 		for i, u := range upstreams {
--- a/note/fetch.go
+++ b/note/fetch.go
@@ -25,9 +25,9 @@
 type Method func(ctx context.Context, params json.RawMessage) (any, error)
 
 // Methods returns the methods that peers call to fetch release notes from this
-// router. They are to be registered with the peer package.
-func (h *Replica) Methods() map[string]Method {
-	return map[string]Method{FetchMethod: h.handleFetch, SnapshotMethod: h.handleSnapshot}
+// router, to be registered with the peer package.
+func (r *Replica) Methods() map[string]Method {
+	return map[string]Method{FetchMethod: r.handleFetch, SnapshotMethod: r.handleSnapshot}
 }
 
 // protoJSON encodes a message in its standard JSON form, with the field names of
@@ -52,16 +52,16 @@
 	snapshotPartBytes = 128 << 10
 )
 
-func (h *Replica) handleFetch(_ context.Context, params json.RawMessage) (any, error) {
+func (r *Replica) handleFetch(_ context.Context, params json.RawMessage) (any, error) {
 	request := protoJSON[*schema.NoteFetch]{&schema.NoteFetch{}}
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, eris.Wrap(err, "note.fetch")
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	answer := &schema.NoteFetched{Version: h.state().GetVersion()}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	answer := &schema.NoteFetched{Version: r.state().GetVersion()}
 	size := 0
-	for _, record := range h.recent {
+	for _, record := range r.recent {
 		if record.GetVersion() != request.message.GetAfter()+uint64(len(answer.GetRecords()))+1 {
 			continue
 		}
@@ -81,38 +81,38 @@
 // router.
 const peerCallTimeout = 500 * time.Millisecond
 
-func (h *Replica) callPeer(ctx context.Context, router fleet.RouterID, method string, params, result any) error {
+func (r *Replica) callPeer(ctx context.Context, router fleet.RouterID, method string, params, result any) error {
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	return h.peers.Call(callCtx, router, method, params, result)
+	return r.peers.Call(callCtx, router, method, params, result)
 }
 
-// fetchFrom fetches and applies everything that a peer holds beyond the local
-// version.
-func (h *Replica) fetchFrom(ctx context.Context, router fleet.RouterID) error {
+// fetchFrom fetches and applies all records of a peer that are newer than the
+// local version.
+func (r *Replica) fetchFrom(ctx context.Context, router fleet.RouterID) error {
 	for {
-		held := h.Version()
+		held := r.Version()
 		answer := protoJSON[*schema.NoteFetched]{&schema.NoteFetched{}}
 		request := protoJSON[*schema.NoteFetch]{&schema.NoteFetch{After: uint64(held)}}
-		if err := h.callPeer(ctx, router, FetchMethod, request, &answer); err != nil {
+		if err := r.callPeer(ctx, router, FetchMethod, request, &answer); err != nil {
 			return eris.Wrapf(err, "note.fetch from %s", router)
 		}
 		version := fleet.Version(answer.message.GetVersion())
 		if version <= held {
 			return nil
 		}
-		h.ApplyRecords(answer.message.GetRecords()...)
-		if h.Version() >= version {
+		r.ApplyRecords(answer.message.GetRecords()...)
+		if r.Version() >= version {
 			return nil
 		}
-		if h.Version() > held {
+		if r.Version() > held {
 			continue
 		}
 		// The peer no longer keeps the next record: fetch its whole state instead.
-		if err := h.fetchState(ctx, router); err != nil {
+		if err := r.fetchState(ctx, router); err != nil {
 			return err
 		}
-		if h.Version() == held {
+		if r.Version() == held {
 			return eris.Errorf("router %s announced version %d but did not send it", router, version)
 		}
 	}
@@ -124,17 +124,17 @@
 	data    []byte
 }
 
-func (h *Replica) handleSnapshot(_ context.Context, params json.RawMessage) (any, error) {
+func (r *Replica) handleSnapshot(_ context.Context, params json.RawMessage) (any, error) {
 	request := protoJSON[*schema.SnapshotFetch]{&schema.SnapshotFetch{}}
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, eris.Wrap(err, "note.snapshot")
 	}
-	encoded, isNew, err := h.encodeState(request.message.GetVersion())
+	encoded, isNew, err := r.encodeState(request.message.GetVersion())
 	if err != nil {
 		return nil, err
 	}
 	if isNew {
-		h.timer.After(encodedStateTTL, func(time.Time) { h.dropEncodedState(encoded.version) })
+		r.timer.After(encodedStateTTL, func(time.Time) { r.dropEncodedState(encoded.version) })
 	}
 	part := &schema.SnapshotPart{Version: encoded.version, Size: uint64(len(encoded.data))}
 	if offset := request.message.GetOffset(); offset < part.GetSize() {
@@ -146,19 +146,19 @@
 // encodeState returns the encoded state for a reader, and whether it was encoded
 // by this call. A reader in the middle of an earlier version continues with that
 // one, unless a new reader has replaced it.
-func (h *Replica) encodeState(version uint64) (encodedState, bool, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	state := h.state()
-	if (version != 0 && version == h.encoded.version) || h.encoded.version == state.GetVersion() {
-		return h.encoded, false, nil
+func (r *Replica) encodeState(version uint64) (encodedState, bool, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.state()
+	if (version != 0 && version == r.encoded.version) || r.encoded.version == state.GetVersion() {
+		return r.encoded, false, nil
 	}
 	data, err := proto.Marshal(state)
 	if err != nil {
 		return encodedState{}, false, eris.Wrap(err, "encode the fleet state")
 	}
-	h.encoded = encodedState{version: state.GetVersion(), data: data}
-	return h.encoded, true, nil
+	r.encoded = encodedState{version: state.GetVersion(), data: data}
+	return r.encoded, true, nil
 }
 
 // encodedStateTTL is how long an encoded state of up to 4 MB stays in memory for
@@ -166,11 +166,11 @@
 // time between restarts. A slower reader starts again.
 const encodedStateTTL = time.Minute
 
-func (h *Replica) dropEncodedState(version uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.encoded.version == version {
-		h.encoded = encodedState{}
+func (r *Replica) dropEncodedState(version uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.encoded.version == version {
+		r.encoded = encodedState{}
 	}
 }
 
@@ -179,13 +179,13 @@
 const maxSnapshotBytes = 64 << 20
 
 // fetchState fetches and applies the whole state of a peer.
-func (h *Replica) fetchState(ctx context.Context, router fleet.RouterID) error {
+func (r *Replica) fetchState(ctx context.Context, router fleet.RouterID) error {
 	var version uint64
 	var data []byte
 	for {
 		answer := protoJSON[*schema.SnapshotPart]{&schema.SnapshotPart{}}
 		request := protoJSON[*schema.SnapshotFetch]{&schema.SnapshotFetch{Version: version, Offset: uint64(len(data))}}
-		if err := h.callPeer(ctx, router, SnapshotMethod, request, &answer); err != nil {
+		if err := r.callPeer(ctx, router, SnapshotMethod, request, &answer); err != nil {
 			return eris.Wrapf(err, "note.snapshot from %s", router)
 		}
 		part := answer.message
@@ -208,6 +208,6 @@
 	if err := proto.Unmarshal(data, state); err != nil {
 		return eris.Wrapf(err, "note.snapshot from %s", router)
 	}
-	h.ApplyState(state)
+	r.ApplyState(state)
 	return nil
 }
--- a/note/fleet_test.go
+++ b/note/fleet_test.go
@@ -29,7 +29,7 @@
 	id        fleet.RouterID
 	table     *interceptedTable
 	store     *note.Store
-	holder    *note.Replica
+	replica   *note.Replica
 	publisher *note.Publisher
 }
 
@@ -48,13 +48,13 @@
 	router := r.routers[i]
 	router.table = &interceptedTable{Table: r.platform}
 	router.store = note.NewStore(router.table, r.platform)
-	router.holder = note.NewReplica(note.ReplicaOptions{
+	router.replica = note.NewReplica(note.ReplicaOptions{
 		Self: router.id, Store: router.store, Peers: fleetPeers{r, router.id}, Timer: r.clock,
 		Announce: func(to []fleet.RouterID, version fleet.Version) { r.announce(router.id, to, version) },
 		Log:      slog.New(slog.DiscardHandler),
 	})
 	router.publisher = note.NewPublisher(note.PublisherOptions{
-		Store: router.store, Replica: router.holder, Timer: advancingClock{r.clock}, SnapshotInterval: 4,
+		Store: router.store, Replica: router.replica, Timer: advancingClock{r.clock}, SnapshotInterval: 4,
 	})
 }
 
@@ -62,7 +62,7 @@
 	for _, router := range r.routers {
 		for _, id := range to {
 			if router.id == id && !r.isolated[from] && !r.isolated[id] {
-				router.holder.HandleAnnouncement(from, version)
+				router.replica.HandleAnnouncement(from, version)
 			}
 		}
 	}
@@ -99,7 +99,8 @@
 	return rows, nil
 }
 
-// advancingClock is a clock that advances by the time that is waited.
+// advancingClock is a fake clock on which a wait advances the time and ends at
+// once.
 type advancingClock struct{ *timer.Fake }
 
 func (a advancingClock) After(delay time.Duration, fn func(time.Time)) timer.Subscription {
@@ -131,19 +132,19 @@
 	}
 	for _, router := range p.testFleet.routers {
 		if router.id == to {
-			return call(ctx, router.holder, method, params, result)
+			return call(ctx, router.replica, method, params, result)
 		}
 	}
 	return errUnreachable
 }
 
-// call calls a method of a holder with JSON-encoded parameters and results.
-func call(ctx context.Context, holder *note.Replica, method string, params, result any) error {
+// call calls a method of a replica with JSON-encoded parameters and results.
+func call(ctx context.Context, replica *note.Replica, method string, params, result any) error {
 	encoded, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	answer, err := holder.Methods()[method](ctx, encoded)
+	answer, err := replica.Methods()[method](ctx, encoded)
 	if err != nil {
 		return err
 	}
--- a/note/holder.go
+++ b/note/holder.go
@@ -15,7 +15,7 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-// Peers gives a Holder access to the other routers.
+// Peers gives a Replica access to the other routers.
 type Peers interface {
 	// Routers returns the live routers without this one.
 	Routers() []fleet.RouterID
@@ -23,7 +23,7 @@
 	Call(ctx context.Context, router fleet.RouterID, method string, params, result any) error
 }
 
-// ReplicaOptions are the dependencies of a Holder.
+// ReplicaOptions are the dependencies of a Replica.
 type ReplicaOptions struct {
 	Self  fleet.RouterID
 	Store *Store
@@ -65,26 +65,26 @@
 	pollSignal  chan struct{}
 }
 
-// NewReplica returns a Holder without any notes.
+// NewReplica returns a Replica without any notes.
 func NewReplica(options ReplicaOptions) *Replica {
-	h := &Replica{
+	r := &Replica{
 		self: options.Self, store: options.Store, peers: options.Peers, timer: options.Timer,
 		announce: options.Announce, log: options.Log,
 		pending: map[fleet.RouterID]fleet.Version{}, peerVersions: map[fleet.RouterID]fleet.Version{}, fetchSignal: make(chan struct{}, 1), pollSignal: make(chan struct{}, 1),
 	}
-	if h.peers == nil {
-		h.peers = noPeers{}
+	if r.peers == nil {
+		r.peers = noPeers{}
 	}
-	if h.timer == nil {
-		h.timer = timer.System{}
+	if r.timer == nil {
+		r.timer = timer.System{}
 	}
-	if h.log == nil {
-		h.log = slog.Default()
+	if r.log == nil {
+		r.log = slog.Default()
 	}
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(h.self))
-	h.random = rand.New(rand.NewPCG(seed.Sum64(), uint64(h.timer.Now().UnixNano())))
-	return h
+	_, _ = seed.Write([]byte(r.self))
+	r.random = rand.New(rand.NewPCG(seed.Sum64(), uint64(r.timer.Now().UnixNano())))
+	return r
 }
 
 // noPeers is the Peers of a router without peers.
@@ -97,17 +97,17 @@
 }
 
 // Current returns the current view, or nil before the first one.
-func (h *Replica) Current() *View { return h.view.Load() }
+func (r *Replica) Current() *View { return r.view.Load() }
 
 // Ready reports whether any version is held.
-func (h *Replica) Ready() bool { return h.view.Load() != nil }
+func (r *Replica) Ready() bool { return r.view.Load() != nil }
 
 // Version returns the current version, or zero before the first one.
-func (h *Replica) Version() fleet.Version { return fleet.Version(h.state().GetVersion()) }
+func (r *Replica) Version() fleet.Version { return fleet.Version(r.state().GetVersion()) }
 
 // state returns the current state, or an empty one before the first.
-func (h *Replica) state() *schema.FleetState {
-	if view := h.view.Load(); view != nil {
+func (r *Replica) state() *schema.FleetState {
+	if view := r.view.Load(); view != nil {
 		return view.State()
 	}
 	return &schema.FleetState{}
@@ -122,9 +122,9 @@
 // stale read or a peer that was cut off never lowers the version. It returns
 // false when a record could not be applied, usually because an earlier one is
 // missing.
-func (h *Replica) ApplyRecords(records ...*schema.NoteRecord) bool {
-	h.mu.Lock()
-	before := h.state()
+func (r *Replica) ApplyRecords(records ...*schema.NoteRecord) bool {
+	r.mu.Lock()
+	before := r.state()
 	state := before
 	complete := true
 	for _, record := range records {
@@ -134,53 +134,53 @@
 		next, err := Apply(state, record)
 		if err != nil {
 			complete = false
-			h.logApplyError(err)
+			r.logApplyError(err)
 			break
 		}
 		state = next
-		h.recent = append(h.recent, record)
+		r.recent = append(r.recent, record)
 	}
-	h.trimRecent()
+	r.trimRecent()
 	changed := state != before
 	if changed {
-		h.view.Store(NewView(state))
+		r.view.Store(NewView(state))
 	}
-	h.mu.Unlock()
+	r.mu.Unlock()
 	if changed {
-		h.announceVersion(fleet.Version(state.GetVersion()))
+		r.announceVersion(fleet.Version(state.GetVersion()))
 	}
 	return complete
 }
 
-// logApplyError logs a record that could not be applied. A gap is filled later;
-// a record of another history is a fault that an operator must know of.
-func (h *Replica) logApplyError(err error) {
+// logApplyError logs a record that could not be applied. A gap is filled later,
+// but a record of another history needs the attention of an operator.
+func (r *Replica) logApplyError(err error) {
 	var gap *GapError
 	if errors.As(err, &gap) {
-		h.log.Debug("earlier release notes are missing", "reason", err)
+		r.log.Debug("earlier release notes are missing", "reason", err)
 		return
 	}
-	h.log.Error("release note does not match the state", "reason", err)
+	r.log.Error("release note does not match the state", "reason", err)
 }
 
-func (h *Replica) trimRecent() {
-	if excess := len(h.recent) - maxRecentRecords; excess > 0 {
-		h.recent = append([]*schema.NoteRecord(nil), h.recent[excess:]...)
+func (r *Replica) trimRecent() {
+	if excess := len(r.recent) - maxRecentRecords; excess > 0 {
+		r.recent = append([]*schema.NoteRecord(nil), r.recent[excess:]...)
 	}
 }
 
 // ApplyState makes a whole state the current one when its version is higher, and
 // announces it.
-func (h *Replica) ApplyState(state *schema.FleetState) {
-	h.mu.Lock()
-	if state.GetVersion() <= h.state().GetVersion() {
-		h.mu.Unlock()
+func (r *Replica) ApplyState(state *schema.FleetState) {
+	r.mu.Lock()
+	if state.GetVersion() <= r.state().GetVersion() {
+		r.mu.Unlock()
 		return
 	}
-	h.view.Store(NewView(state))
-	h.recent = nil
-	h.mu.Unlock()
-	h.announceVersion(fleet.Version(state.GetVersion()))
+	r.view.Store(NewView(state))
+	r.recent = nil
+	r.mu.Unlock()
+	r.announceVersion(fleet.Version(state.GetVersion()))
 }
 
 const (
@@ -191,7 +191,7 @@
 	// every router within five seconds.
 	pollInterval = 4 * time.Second
 	// bootPollInterval is the interval while no version is held. A data centre
-	// that comes back starts 42 routers at once: 84 reads a second.
+	// that recovers starts 42 routers at once: 84 reads a second.
 	bootPollInterval = 500 * time.Millisecond
 	// pollJitter is the fraction of the interval by which a poll is early or
 	// late, so that routers that started together do not read together.
@@ -200,46 +200,46 @@
 	catchUpTimeout = 10 * time.Second
 )
 
-// Run keeps the Holder up to date until the context ends, and returns the
+// Run keeps the Replica up to date until the context ends, and returns the
 // context's error. It polls the table and follows announcements concurrently:
 // otherwise a table that takes a minute for a read would block updates from
 // peers, and callers would be served by an old note.
-func (h *Replica) Run(ctx context.Context) error {
+func (r *Replica) Run(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.followAnnouncements(ctx)
+		r.followAnnouncements(ctx)
 	}()
-	h.pollTable(ctx)
+	r.pollTable(ctx)
 	<-done
 	return ctx.Err()
 }
 
 // pollTable reads the table at each interval, and at once when fetching from a
 // peer failed.
-func (h *Replica) pollTable(ctx context.Context) {
+func (r *Replica) pollTable(ctx context.Context) {
 	for ctx.Err() == nil {
-		h.runWithTimeout(ctx, h.Refresh)
+		r.runWithTimeout(ctx, r.Refresh)
 		due := make(chan struct{})
-		subscription := h.timer.After(h.nextPollDelay(), func(time.Time) { close(due) })
+		subscription := r.timer.After(r.nextPollDelay(), func(time.Time) { close(due) })
 		select {
 		case <-ctx.Done():
 		case <-due:
-		case <-h.pollSignal:
+		case <-r.pollSignal:
 		}
 		subscription.Cancel()
 	}
 }
 
 // followAnnouncements fetches the versions that peers announce.
-func (h *Replica) followAnnouncements(ctx context.Context) {
+func (r *Replica) followAnnouncements(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.fetchSignal:
-			if !h.runWithTimeout(ctx, h.FetchAnnounced) {
-				notify(h.pollSignal)
+		case <-r.fetchSignal:
+			if !r.runWithTimeout(ctx, r.FetchAnnounced) {
+				notify(r.pollSignal)
 			}
 		}
 	}
@@ -254,68 +254,68 @@
 }
 
 // runWithTimeout runs one catch-up step and reports whether it succeeded.
-func (h *Replica) runWithTimeout(ctx context.Context, step func(context.Context) error) bool {
+func (r *Replica) runWithTimeout(ctx context.Context, step func(context.Context) error) bool {
 	stepCtx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	err := step(stepCtx)
 	if err != nil && ctx.Err() == nil {
-		h.log.Warn("updating release notes failed", "version", h.Version(), "reason", err)
+		r.log.Warn("updating release notes failed", "version", r.Version(), "reason", err)
 	}
 	return err == nil
 }
 
 // nextPollDelay returns the interval with jitter.
-func (h *Replica) nextPollDelay() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (r *Replica) nextPollDelay() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	interval := pollInterval
-	if !h.Ready() {
+	if !r.Ready() {
 		interval = bootPollInterval
 	}
-	jitter := (2*h.random.Float64() - 1) * pollJitter
+	jitter := (2*r.random.Float64() - 1) * pollJitter
 	return interval + time.Duration(jitter*float64(interval))
 }
 
 // Refresh catches up once, from the table or, when that fails, from peers, so
 // that a router is updated even while the platform is down.
-func (h *Replica) Refresh(ctx context.Context) error {
-	h.forgetDepartedPeers()
-	err := h.refreshFromTable(ctx)
+func (r *Replica) Refresh(ctx context.Context) error {
+	r.forgetDepartedPeers()
+	err := r.refreshFromTable(ctx)
 	if err == nil {
 		return nil
 	}
-	for _, router := range h.randomPeers() {
-		if peerErr := h.fetchFrom(ctx, router); peerErr == nil && h.Ready() {
+	for _, router := range r.randomPeers() {
+		if peerErr := r.fetchFrom(ctx, router); peerErr == nil && r.Ready() {
 			return nil
 		}
 	}
 	return err
 }
 
-func (h *Replica) refreshFromTable(ctx context.Context) error {
-	head, err := h.store.Head(ctx)
+func (r *Replica) refreshFromTable(ctx context.Context) error {
+	head, err := r.store.Head(ctx)
 	if err != nil {
 		return err
 	}
-	state, records, err := h.store.ReadUpdates(ctx, h.Version(), head)
+	state, records, err := r.store.ReadUpdates(ctx, r.Version(), head)
 	if err != nil {
 		return err
 	}
 	if state != nil {
-		h.ApplyState(state)
+		r.ApplyState(state)
 	}
-	h.ApplyRecords(records...)
+	r.ApplyRecords(records...)
 	return nil
 }
 
-// maxFallbackPeers bounds how many peers are asked in turn when the table is
-// down. More would gain little: the next poll asks others.
+// maxFallbackPeers bounds how many peers are tried in turn while the table is
+// down. More would gain little: the next poll tries others.
 const maxFallbackPeers = 3
 
-func (h *Replica) randomPeers() []fleet.RouterID {
-	routers := append([]fleet.RouterID(nil), h.peers.Routers()...)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
+func (r *Replica) randomPeers() []fleet.RouterID {
+	routers := append([]fleet.RouterID(nil), r.peers.Routers()...)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.random.Shuffle(len(routers), func(i, j int) { routers[i], routers[j] = routers[j], routers[i] })
 	return routers[:min(len(routers), maxFallbackPeers)]
 }
--- a/note/holder_test.go
+++ b/note/holder_test.go
@@ -32,37 +32,36 @@
 	return fleet.Version(accepted.Record.GetVersion())
 }
 
-// A router restarts while the table and the object store are down. Without the
-// accounts, which it has to fetch from a peer, it would refuse every caller as
-// unknown.
-func TestARouterThatStartsInAnOutageLearnsFromPeers(t *testing.T) {
+// A router that restarts while the table and the object store are down must fetch
+// the accounts from a peer. Without them it would refuse every caller as unknown.
+func TestRouterStartingInOutageFetchesFromPeers(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(2)
 	r.publish(t, 0, addAccount("a"))
 	r.publish(t, 0, addAccount("b"))
 	r.start(1)
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
-	require.False(t, r.routers[1].holder.Ready())
-	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
-	require.True(t, r.routers[1].holder.Ready())
-	require.Equal(t, fleet.Version(2), r.routers[1].holder.Version())
+	require.False(t, r.routers[1].replica.Ready())
+	require.NoError(t, r.routers[1].replica.Refresh(t.Context()))
+	require.True(t, r.routers[1].replica.Ready())
+	require.Equal(t, fleet.Version(2), r.routers[1].replica.Version())
 }
 
-// In an outage a router asks a peer that started from a snapshot and so has no
-// records. It must fall back to the peer's whole state, or it would stay without
-// notes.
+// In an outage a router fetches from a peer that has no records, because it
+// started from a snapshot. The router must then fetch the peer's whole state, or
+// it would stay without notes.
 func TestFullStateIsFetchedWhenPeerLacksRecords(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(2)
 	for i := range 6 {
 		r.publish(t, 0, addAccount(fmt.Sprint("a", i)))
 	}
-	state := r.routers[0].holder.Current().State()
+	state := r.routers[0].replica.Current().State()
 	r.start(0)
-	r.routers[0].holder.ApplyState(state)
+	r.routers[0].replica.ApplyState(state)
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
-	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
-	require.Equal(t, fleet.Version(6), r.routers[1].holder.Version())
+	require.NoError(t, r.routers[1].replica.Refresh(t.Context()))
+	require.Equal(t, fleet.Version(6), r.routers[1].replica.Version())
 }
 
 // A state larger than one part is transferred whole.
@@ -75,12 +74,12 @@
 		n.Added.Accounts = append(n.Added.Accounts, &schema.Account{Id: id, KeySha256: []string{note.HashKey(id)}})
 	}
 	r.publish(t, 0, n)
-	state := r.routers[0].holder.Current().State()
+	state := r.routers[0].replica.Current().State()
 	r.start(0)
-	r.routers[0].holder.ApplyState(state)
+	r.routers[0].replica.ApplyState(state)
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
-	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
-	require.Len(t, r.routers[1].holder.Current().State().GetAccounts(), 3000)
+	require.NoError(t, r.routers[1].replica.Refresh(t.Context()))
+	require.Len(t, r.routers[1].replica.Current().State().GetAccounts(), 3000)
 }
 
 // A peer that was cut off, or a slow read, delivers an older state. A router
@@ -90,10 +89,10 @@
 	t.Parallel()
 	r := newTestFleet(1)
 	r.publish(t, 0, addAccount("a"))
-	old := r.routers[0].holder.Current().State()
+	old := r.routers[0].replica.Current().State()
 	r.publish(t, 0, addAccount("b"))
-	r.routers[0].holder.ApplyState(old)
-	require.Equal(t, fleet.Version(2), r.routers[0].holder.Version())
+	r.routers[0].replica.ApplyState(old)
+	require.Equal(t, fleet.Version(2), r.routers[0].replica.Version())
 }
 
 // The table returns rows from before the last notes.
@@ -103,56 +102,56 @@
 	r.publish(t, 0, addAccount("a"))
 	r.publish(t, 0, addAccount("b"))
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Stale, CommitsBehind: 1})
-	require.NoError(t, r.routers[0].holder.Refresh(t.Context()))
-	require.Equal(t, fleet.Version(2), r.routers[0].holder.Version())
-	require.NoError(t, r.routers[1].holder.Refresh(t.Context()))
-	require.Equal(t, fleet.Version(1), r.routers[1].holder.Version())
+	require.NoError(t, r.routers[0].replica.Refresh(t.Context()))
+	require.Equal(t, fleet.Version(2), r.routers[0].replica.Version())
+	require.NoError(t, r.routers[1].replica.Refresh(t.Context()))
+	require.Equal(t, fleet.Version(1), r.routers[1].replica.Version())
 }
 
 // With announcements, a note reaches every router without a read of the table;
-// without them, the next poll finds it within five seconds.
+// without them, by the next poll, within five seconds.
 func TestNoteReachesEveryRouterWithinFiveSeconds(t *testing.T) {
 	t.Parallel()
-	for _, quiet := range []bool{false, true} {
-		t.Run(fmt.Sprint("quiet ", quiet), func(t *testing.T) {
+	for _, dropAnnouncements := range []bool{false, true} {
+		t.Run(fmt.Sprint("drop announcements ", dropAnnouncements), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { testPropagation(t, quiet) })
+			synctest.Test(t, func(t *testing.T) { testPropagation(t, dropAnnouncements) })
 		})
 	}
 }
 
-func testPropagation(t *testing.T, quiet bool) {
+func testPropagation(t *testing.T, dropAnnouncements bool) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	p := memory.New(timer.System{})
 	store := note.NewStore(p, p)
-	holders := map[fleet.RouterID]*note.Replica{}
+	replicas := map[fleet.RouterID]*note.Replica{}
 	for i := range 3 {
 		self := fleet.RouterID(fmt.Sprint("r", i))
-		holders[self] = note.NewReplica(note.ReplicaOptions{
-			Self: self, Store: store, Peers: localPeers{holders, self},
+		replicas[self] = note.NewReplica(note.ReplicaOptions{
+			Self: self, Store: store, Peers: localPeers{replicas, self},
 			Announce: func(to []fleet.RouterID, version fleet.Version) {
 				for _, id := range to {
-					if !quiet {
-						holders[id].HandleAnnouncement(self, version)
+					if !dropAnnouncements {
+						replicas[id].HandleAnnouncement(self, version)
 					}
 				}
 			},
 		})
 	}
-	for _, holder := range holders {
-		go func() { _ = holder.Run(ctx) }()
+	for _, replica := range replicas {
+		go func() { _ = replica.Run(ctx) }()
 	}
-	publisher := note.NewPublisher(note.PublisherOptions{Store: store, Replica: holders["r0"]})
+	publisher := note.NewPublisher(note.PublisherOptions{Store: store, Replica: replicas["r0"]})
 	for version := range fleet.Version(10) {
 		_, err := publisher.Publish(ctx, addAccount(fmt.Sprint("a", version)), "aino", note.NewPublishID())
 		require.NoError(t, err)
-		if quiet {
+		if dropAnnouncements {
 			time.Sleep(5 * time.Second)
 		}
 		synctest.Wait()
-		for id, holder := range holders {
-			require.Equal(t, version+1, holder.Version(), id)
+		for id, replica := range replicas {
+			require.Equal(t, version+1, replica.Version(), id)
 		}
 		time.Sleep(10 * time.Second)
 	}
@@ -160,9 +159,9 @@
 	synctest.Wait()
 }
 
-// A router is frozen right after it announced a note: its connection stays open,
-// but it does not answer. The others have to get the note elsewhere within five
-// seconds instead of waiting for it.
+// A router that froze right after announcing a note keeps its connection open but
+// does not answer. The others must get the note elsewhere within five seconds
+// instead of waiting for it.
 func TestFrozenPeerDoesNotDelayUpdates(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -175,14 +174,14 @@
 			require.NoError(t, err)
 		}
 		publish("a")
-		holder := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store, Peers: frozenPeers{}})
-		go func() { _ = holder.Run(ctx) }()
+		replica := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store, Peers: frozenPeers{}})
+		go func() { _ = replica.Run(ctx) }()
 		time.Sleep(10 * time.Second)
 		publish("b")
-		holder.HandleAnnouncement("frozen", 2)
+		replica.HandleAnnouncement("frozen", 2)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		require.Equal(t, fleet.Version(2), holder.Version())
+		require.Equal(t, fleet.Version(2), replica.Version())
 		cancel()
 		synctest.Wait()
 	})
@@ -196,20 +195,20 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		p := memory.New(timer.System{})
 		store := note.NewStore(p, p)
-		holders := map[fleet.RouterID]*note.Replica{"a": note.NewReplica(note.ReplicaOptions{Self: "a", Store: store})}
-		holders["b"] = note.NewReplica(note.ReplicaOptions{Self: "b", Store: store, Peers: localPeers{holders, "b"}})
-		holders["b"].ApplyRecords(&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")})
+		replicas := map[fleet.RouterID]*note.Replica{"a": note.NewReplica(note.ReplicaOptions{Self: "a", Store: store})}
+		replicas["b"] = note.NewReplica(note.ReplicaOptions{Self: "b", Store: store, Peers: localPeers{replicas, "b"}})
+		replicas["b"].ApplyRecords(&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")})
 		p.Faults.Set(fault.Fault{Kind: fault.Slow, DelayMs: 60_000})
-		go func() { _ = holders["b"].Run(ctx) }()
+		go func() { _ = replicas["b"].Run(ctx) }()
 		time.Sleep(20 * time.Millisecond)
-		holders["a"].ApplyRecords(
+		replicas["a"].ApplyRecords(
 			&schema.NoteRecord{Version: 1, FirstNumber: 1, Note: addAccount("x")},
 			&schema.NoteRecord{Version: 2, FirstNumber: 2, Note: addAccount("y")},
 		)
-		holders["b"].HandleAnnouncement("a", 2)
+		replicas["b"].HandleAnnouncement("a", 2)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		require.Equal(t, fleet.Version(2), holders["b"].Version())
+		require.Equal(t, fleet.Version(2), replicas["b"].Version())
 		cancel()
 		synctest.Wait()
 	})
@@ -225,15 +224,15 @@
 	return ctx.Err()
 }
 
-// localPeers connects holders within one process.
+// localPeers connects replicas within one process.
 type localPeers struct {
-	holders map[fleet.RouterID]*note.Replica
-	self    fleet.RouterID
+	replicas map[fleet.RouterID]*note.Replica
+	self     fleet.RouterID
 }
 
 func (a localPeers) Routers() []fleet.RouterID {
 	var ids []fleet.RouterID
-	for id := range a.holders {
+	for id := range a.replicas {
 		if id != a.self {
 			ids = append(ids, id)
 		}
@@ -242,11 +241,11 @@
 }
 
 func (a localPeers) Call(ctx context.Context, to fleet.RouterID, method string, params, result any) error {
-	return call(ctx, a.holders[to], method, params, result)
+	return call(ctx, a.replicas[to], method, params, result)
 }
 
-// The table is down. The operator has to be told at once that nothing was
-// accepted, instead of waiting for the outage to end.
+// While the table is down, Publish must fail at once with an error that means that
+// nothing was accepted, instead of waiting for the outage to end.
 func TestPublishingInAnOutageFailsAtOnce(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(1)
@@ -321,8 +320,9 @@
 	require.Equal(t, uint64(1), head.GetVersion())
 }
 
-// Two operators change the same account at the same time. The second is told
-// exactly what the first changed; a note on other entries is accepted after it.
+// Two operators change the same account at the same time. The error of the second
+// must list exactly the change of the first. A note on other entries must be
+// accepted nevertheless.
 func TestRacingOperators(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(2)
@@ -344,21 +344,21 @@
 	require.Equal(t, fleet.Version(4), r.publish(t, 1, addAccount("b")))
 }
 
-func TestHeardIsIgnoredWhenItIsOld(t *testing.T) {
+func TestOldAnnouncementIsIgnored(t *testing.T) {
 	t.Parallel()
 	r := newTestFleet(2)
 	r.publish(t, 0, addAccount("a"))
 	r.platform.Faults.Set(fault.Fault{Kind: fault.Down})
 	r.isolated["r1"] = true
-	r.routers[0].holder.HandleAnnouncement("r1", 1)
-	require.NoError(t, r.routers[0].holder.FetchAnnounced(t.Context()))
-	require.Equal(t, fleet.Version(1), r.routers[0].holder.PeerVersion("r1"))
-	r.routers[0].holder.HandleAnnouncement("r1", 2)
-	require.Error(t, r.routers[0].holder.FetchAnnounced(t.Context()))
+	r.routers[0].replica.HandleAnnouncement("r1", 1)
+	require.NoError(t, r.routers[0].replica.FetchAnnounced(t.Context()))
+	require.Equal(t, fleet.Version(1), r.routers[0].replica.PeerVersion("r1"))
+	r.routers[0].replica.HandleAnnouncement("r1", 2)
+	require.Error(t, r.routers[0].replica.FetchAnnounced(t.Context()))
 }
 
-// Whatever parameters a peer of another version, or a broken one, sends, the
-// methods answer or fail, and the router's state is unchanged.
+// A peer of another version, or a faulty one, may send any parameters. The methods
+// must return a result or an error, and must not change the router's state.
 func FuzzMethods(f *testing.F) {
 	for _, seed := range []string{`{}`, `{"after":"1"}`, `{"version":"1","offset":"131072"}`, `{"offset":"18446744073709551615"}`, `[]`, `null`, `"`} {
 		f.Add([]byte(seed))
@@ -367,12 +367,12 @@
 	_, err := r.routers[0].publisher.Publish(f.Context(), addAccount("a"), "aino", note.NewPublishID())
 	require.NoError(f, err)
 	f.Fuzz(func(t *testing.T, params []byte) {
-		for _, method := range r.routers[0].holder.Methods() {
+		for _, method := range r.routers[0].replica.Methods() {
 			if answer, err := method(t.Context(), params); err == nil {
 				_, err = json.Marshal(answer)
 				require.NoError(t, err)
 			}
 		}
-		require.Equal(t, fleet.Version(1), r.routers[0].holder.Version())
+		require.Equal(t, fleet.Version(1), r.routers[0].replica.Version())
 	})
 }
--- a/note/model_test.go
+++ b/note/model_test.go
@@ -46,20 +46,17 @@
 	sent bool
 	// refused is true while the last answer means that nothing was accepted.
 	refused bool
-	// version is the accepted version, once the operator was told.
+	// version is the accepted version, once Publish has returned it.
 	version uint64
 	// acceptedBefore is the length of the history when the request was last sent.
 	// A note without a base version is compared with what is accepted meanwhile.
 	acceptedBefore int
 }
 
-// Operators and the platform act in any order, under several faults at once.
-//
-// An operator publishes while the platform loses the reply, returns old rows,
-// delays the write or goes down; another operator publishes during it; routers
-// restart without state, are cut off and come back. Users would see a fault here
-// as a setting that reverts after it was changed, an accepted note that does not
-// take effect, an account that exists twice, or routers that treat one caller
+// Operators publish concurrently while the platform loses replies, returns old
+// rows, delays writes or is down, and while routers restart without state or are
+// isolated for a time. A bug here would revert a changed setting, ignore an
+// accepted note, duplicate an account, or make routers treat one caller
 // differently.
 func TestNotesUnderEveryFault(t *testing.T) {
 	t.Parallel()
@@ -185,7 +182,7 @@
 	m.send(t, router, rapid.SampledFrom(m.requests).Draw(t, "request"))
 }
 
-// send publishes and checks the answer to the operator.
+// send publishes and checks the result.
 func (m *model) send(t *rapid.T, router *testRouter, request *publishRequest) {
 	request.acceptedBefore = len(m.accepted)
 	accepted, err := router.publisher.Publish(m.testing.Context(), request.note, "operator", request.id)
@@ -217,7 +214,7 @@
 		m.checkFaultsWereReal(t, request)
 	case errors.As(err, &busy):
 		m.outcomes["busy"]++
-		request.refused = request.refused || first // A retry without effect says nothing about earlier attempts.
+		request.refused = request.refused || first // A failed retry leaves the outcome of earlier attempts open.
 	case errors.As(err, &unavailable):
 		m.outcomes["unavailable"]++
 		request.refused = request.refused || first
@@ -270,13 +267,13 @@
 func (m *model) poll(t *rapid.T) {
 	_, router := m.randomRouter(t)
 	m.injectFaults(t)
-	_ = router.holder.Refresh(m.testing.Context()) // Failures are expected under faults.
+	_ = router.replica.Refresh(m.testing.Context()) // Failures are expected under faults.
 }
 
 func (m *model) fetchAnnounced(t *rapid.T) {
 	_, router := m.randomRouter(t)
 	m.injectFaults(t)
-	_ = router.holder.FetchAnnounced(m.testing.Context()) // Failures are expected under faults.
+	_ = router.replica.FetchAnnounced(m.testing.Context()) // Failures are expected under faults.
 }
 
 func (m *model) restart(t *rapid.T) {
@@ -366,12 +363,12 @@
 		}
 	}
 	for i, router := range m.routers {
-		version := router.holder.Version()
+		version := router.replica.Version()
 		require.GreaterOrEqual(t, version, m.heldVersions[i], "a router went back to an older version")
 		require.LessOrEqual(t, int(version), len(m.accepted), "a router is ahead of the accepted history")
-		require.Equal(t, version > 0, router.holder.Ready())
+		require.Equal(t, version > 0, router.replica.Ready())
 		m.heldVersions[i] = version
-		if view := router.holder.Current(); view != nil {
+		if view := router.replica.Current(); view != nil {
 			m.states[version].requireEqual(t, view.State())
 		}
 	}
--- a/note/plan.go
+++ b/note/plan.go
@@ -55,7 +55,7 @@
 	// more. Each router that receives a version announces it to this many, so at
 	// 460 routers a version takes 2,760 messages, 6 a router; at 17,000 notes a
 	// day that is 1.2 messages a second for each. One router in four hundred (e
-	// to the power of -6) receives none and finds the version at its next poll.
+	// to the power of -6) receives none and gets the version at its next poll.
 	gossipFanout = 6
 )
 
--- a/note/publisher.go
+++ b/note/publisher.go
@@ -35,8 +35,8 @@
 func (id PublishID) Valid() bool { return publishIDPattern.MatchString(string(id)) }
 
 // UnsettledError reports a publish whose outcome is unknown: it may have been
-// accepted, or may still be. Publishing again with the same id finds out, and
-// never publishes twice.
+// accepted, or may still be. Publishing again with the same id determines the
+// outcome, and never publishes twice.
 type UnsettledError struct {
 	PublishID PublishID
 	Cause     error
@@ -50,8 +50,8 @@
 // Unwrap returns the cause.
 func (e *UnsettledError) Unwrap() error { return e.Cause }
 
-// BusyError reports a publish that kept losing to other notes, or kept reading a
-// stale table. It was not accepted.
+// BusyError reports a publish that was not accepted, because each attempt either
+// conflicted with another note or read stale rows.
 type BusyError struct{ Attempts int }
 
 // Error names the number of attempts.
@@ -62,7 +62,8 @@
 // PublishResult is the result of a successful publish.
 type PublishResult struct {
 	Record *schema.NoteRecord
-	// AlreadyAccepted is true when an earlier attempt with the same id had been accepted.
+	// AlreadyAccepted is true when an earlier attempt with the same id had been
+	// accepted.
 	AlreadyAccepted bool
 }
 
@@ -81,14 +82,14 @@
 // Publisher publishes release notes. It is safe for concurrent use.
 type Publisher struct {
 	store            *Store
-	holder           *Replica
+	replica          *Replica
 	timer            timer.Service
 	snapshotInterval uint64
 }
 
 // NewPublisher returns a Publisher.
 func NewPublisher(options PublisherOptions) *Publisher {
-	p := &Publisher{store: options.Store, holder: options.Replica, timer: options.Timer, snapshotInterval: options.SnapshotInterval}
+	p := &Publisher{store: options.Store, replica: options.Replica, timer: options.Timer, snapshotInterval: options.SnapshotInterval}
 	if p.timer == nil {
 		p.timer = timer.System{}
 	}
@@ -100,8 +101,8 @@
 
 const (
 	// publishAttempts bounds the attempts of one publish. Two hundred notes a day
-	// almost never coincide; the scripts of a dozen operators at once do, a few
-	// times.
+	// almost never conflict; the scripts of a dozen operators that run at once do,
+	// a few times each.
 	publishAttempts = 8
 	// publishBackoff is the wait after the first attempt; it doubles up to
 	// maxBackoff. The waits add up to 3.5 s, within the five seconds that a note
@@ -117,7 +118,7 @@
 // *document.FaultsError, *ClashError, *BusyError or *store.UnavailableError when
 // this call was not accepted, and with *UnsettledError when the outcome is
 // unknown. The first two also rule out that an earlier call with the same id was
-// or will be accepted; the other two say nothing about earlier calls.
+// or will be accepted; the other two leave the outcome of earlier calls open.
 //
 // The transaction checks the head row, so that only one of several concurrent
 // notes is accepted. It also creates the row of the publish id, so that an
@@ -169,10 +170,10 @@
 func (t *publication) shouldRetry(err error) bool {
 	var conflict *store.ConflictError
 	var stale *staleError
-	var indefinite *store.UnknownOutcomeError
+	var unknownOutcome *store.UnknownOutcomeError
 	var unavailable *store.UnavailableError
 	switch {
-	case errors.As(err, &indefinite):
+	case errors.As(err, &unknownOutcome):
 		t.replyLost = true
 		return true
 	case errors.As(err, &conflict), errors.As(err, &stale):
@@ -226,7 +227,7 @@
 	if record == nil {
 		return PublishResult{}, &staleError{"an accepted note"}
 	}
-	t.holder.ApplyRecords(record)
+	t.replica.ApplyRecords(record)
 	return PublishResult{Record: record, AlreadyAccepted: true}, nil
 }
 
@@ -272,7 +273,7 @@
 
 // stateAt returns the fleet state at exactly the head's version.
 func (t *publication) stateAt(ctx context.Context, head Head) (*schema.FleetState, error) {
-	state := t.holder.state()
+	state := t.replica.state()
 	if state.GetVersion() > head.GetVersion() {
 		return nil, &staleError{"the head"}
 	}
@@ -297,16 +298,16 @@
 	return state, nil
 }
 
-// confirmRefusal returns the refusal if it still holds for the newest head, and
-// otherwise the error of a stale read. Without it, an operator whose note refers
-// to an entry of the note before could be told that the entry does not exist. It
+// confirmRefusal returns the refusal if it still applies at the newest head, and
+// otherwise the error of a stale read. Without it, a note that refers to an entry
+// of the previous note could be refused because that entry does not exist. It
 // also settles a lost reply: if the head is unchanged since the refusal and the
-// publish id is unused, no earlier attempt was accepted; and none can be any
+// publish id is unused, no earlier attempt was accepted. None can be accepted any
 // more, since a refusal after a lost reply is due to a later head.
 func (t *publication) confirmRefusal(ctx context.Context, head Head, refusal error) error {
 	if err := t.store.table.Commit(ctx, store.Txn{Checks: t.preconditions(head)}); err != nil {
-		var indefinite *store.UnknownOutcomeError
-		if errors.As(err, &indefinite) && !t.replyLost {
+		var unknownOutcome *store.UnknownOutcomeError
+		if errors.As(err, &unknownOutcome) && !t.replyLost {
 			return &staleError{"the head"} // The transaction writes nothing, so its lost reply does not matter.
 		}
 		return err
@@ -333,7 +334,7 @@
 	if err := t.store.table.Commit(ctx, txn); err != nil {
 		return PublishResult{}, err
 	}
-	t.holder.ApplyRecords(record)
+	t.replica.ApplyRecords(record)
 	t.storeSnapshot(ctx, state, record)
 	return PublishResult{Record: record}, nil
 }
--- a/note/refuse.go
+++ b/note/refuse.go
@@ -46,11 +46,11 @@
 	ClashesUnchecked bool
 }
 
-// Check returns what Publish would return for a note at this router's current
-// version, without publishing it. It fails with *document.FaultsError or
+// Check checks a note as Publish would at this router's current version, without
+// publishing it. It fails with *document.FaultsError or
 // *ClashError.
 func (p *Publisher) Check(ctx context.Context, d *Document) (CheckResult, error) {
-	state := p.holder.state()
+	state := p.replica.state()
 	result := CheckResult{Version: fleet.Version(state.GetVersion())}
 	if err := CheckDocument(state, d); err != nil {
 		return result, err
--- a/note/snapshot.go
+++ b/note/snapshot.go
@@ -33,11 +33,11 @@
 	}
 	version := fleet.Version(state.GetVersion())
 	if err := p.store.objects.Put(ctx, snapshotName(version), data); err != nil {
-		p.holder.log.Warn("snapshot not stored", "version", version, "reason", err)
+		p.replica.log.Warn("snapshot not stored", "version", version, "reason", err)
 		return
 	}
 	if err := p.setHeadSnapshot(ctx, version); err != nil {
-		p.holder.log.Warn("head not moved to snapshot", "version", version, "reason", err)
+		p.replica.log.Warn("head not moved to snapshot", "version", version, "reason", err)
 	}
 }
 
