--- a/router/answer.go
+++ b/router/answer.go
@@ -75,7 +75,7 @@
 	if refused.RetryAfter > 0 {
 		c.Response().Header().Set(echo.HeaderRetryAfter, ceilSeconds(refused.RetryAfter))
 	}
-	// The error is ignored: the caller has disconnected.
+	// The error is ignored, because it means that the caller has disconnected.
 	_ = c.Blob(refused.Reason.Status(), echo.MIMEApplicationJSON, text)
 }
 
--- a/router/caller.go
+++ b/router/caller.go
@@ -17,7 +17,7 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// HTTP headers between callers and routers.
+// HTTP headers of the API for callers.
 const (
 	HeaderRequestID      = "nutmeglock-request-id"
 	HeaderTimeout        = "nutmeglock-timeout-ms"
--- a/router/chat.go
+++ b/router/chat.go
@@ -22,25 +22,25 @@
 
 // handleChat serves a chat completion, streamed or not.
 func (r *Router) handleChat(c echo.Context) error {
-	in, refused := r.readRequest(c)
+	parsed, refused := r.readRequest(c)
 	if refused != nil {
 		return refused
 	}
 	var chat chatRequest
-	if err := json.Unmarshal(in.body, &chat); err != nil {
+	if err := json.Unmarshal(parsed.body, &chat); err != nil {
 		return refusal.New(refusal.BadRequest, "the body is no chat-completions JSON: "+err.Error(), 0)
 	}
 	if refused := chat.validate(); refused != nil {
 		return refused
 	}
-	service, refused := r.authorisedService(c, in.account, fleet.ServiceID(chat.Model), fleet.Model)
+	service, refused := r.authorisedService(c, parsed.account, fleet.ServiceID(chat.Model), fleet.Model)
 	if refused != nil {
 		return refused
 	}
-	request := in.callRequest(c, service)
+	request := parsed.callRequest(c, service)
 	request.Idempotent = c.Request().Header.Get(HeaderNonIdempotent) != "true"
 	request.Prefix = prefixHashes(chat.Messages)
-	request.EstimatedCost = r.Estimator.EstimateChat(in.account, service, len(in.body), chat.maxOutputTokens())
+	request.EstimatedCost = r.Estimator.EstimateChat(parsed.account, service, len(parsed.body), chat.maxOutputTokens())
 	return r.passToRunner(c, request)
 }
 
--- a/router/intake.go
+++ b/router/intake.go
@@ -19,7 +19,8 @@
 // contextAccount is the echo context key of the client account's id.
 const contextAccount = "account"
 
-// parsedRequest holds the parts that chat completions and plain calls share.
+// parsedRequest holds the parts of a request that chat completions and plain
+// calls have in common.
 type parsedRequest struct {
 	account        *schema.Account
 	idempotencyKey string
@@ -52,18 +53,18 @@
 }
 
 // callRequest returns the request to run at the service.
-func (in parsedRequest) callRequest(c echo.Context, service *schema.Service) call.Request {
+func (parsed parsedRequest) callRequest(c echo.Context, service *schema.Service) call.Request {
 	req := c.Request()
 	return call.Request{
 		ID:             requestID(c),
-		Account:        in.account,
+		Account:        parsed.account,
 		Service:        service,
 		Method:         req.Method,
 		Path:           req.URL.RequestURI(),
 		Header:         forwardedHeader(req.Header),
-		Body:           in.body,
-		IdempotencyKey: in.idempotencyKey,
-		Deadline:       in.deadline,
+		Body:           parsed.body,
+		IdempotencyKey: parsed.idempotencyKey,
+		Deadline:       parsed.deadline,
 	}
 }
 
@@ -88,7 +89,7 @@
 	HeaderTimeout, HeaderNonIdempotent,
 }
 
-// passToRunner runs a validated request. From here on the Runner reports its end.
+// passToRunner runs a validated request. The Runner reports the end of the request.
 func (r *Router) passToRunner(c echo.Context, request call.Request) error {
 	c.Set(contextPassedToRunner, true)
 	return r.Runner.Run(c.Request().Context(), c.Response(), request)
@@ -96,15 +97,15 @@
 
 // handlePlainCall serves a call to a plain service.
 func (r *Router) handlePlainCall(c echo.Context) error {
-	in, refused := r.readRequest(c)
+	parsed, refused := r.readRequest(c)
 	if refused != nil {
 		return refused
 	}
-	service, refused := r.authorisedService(c, in.account, fleet.ServiceID(c.Param("service")), fleet.Plain)
+	service, refused := r.authorisedService(c, parsed.account, fleet.ServiceID(c.Param("service")), fleet.Plain)
 	if refused != nil {
 		return refused
 	}
-	request := in.callRequest(c, service)
+	request := parsed.callRequest(c, service)
 	request.Path = plainPath(c)
 	request.Idempotent = isIdempotent(c.Request(), service)
 	request.EstimatedCost = estimate.CallCost(service.GetCallCost())
--- a/router/resume.go
+++ b/router/resume.go
@@ -11,7 +11,8 @@
 	"nutmeglock.example/nutmeglock/stream"
 )
 
-// HeaderLastEventID is the header that a browser's EventSource sends when it reconnects.
+// HeaderLastEventID is the header that a browser's EventSource sends when it
+// reconnects.
 const HeaderLastEventID = "Last-Event-ID"
 
 // handleResume resumes a stream after the loss of its connection or router.
--- a/router/router.go
+++ b/router/router.go
@@ -20,8 +20,8 @@
 
 // Limits bounds the requests of a caller. The zero value allows nothing.
 type Limits struct {
-	// MaxBodyBytes and HeaderBytes limit the sizes of the body and of the header,
-	// which counts names and values.
+	// MaxBodyBytes limits the size of the body, and MaxHeaderBytes that of the
+	// header as headerSize computes it.
 	MaxBodyBytes   int64
 	MaxHeaderBytes int
 	// BodyTimeout limits the time to read a body.
@@ -39,7 +39,7 @@
 	// response was cut off. ctx is cancelled when the caller disconnects.
 	Run(ctx context.Context, w http.ResponseWriter, request call.Request) error
 	// Resume writes the rest of a stream to w. It returns the same errors as Run.
-	Resume(ctx context.Context, w http.ResponseWriter, resumption call.ResumeRequest) error
+	Resume(ctx context.Context, w http.ResponseWriter, request call.ResumeRequest) error
 }
 
 // Options holds the dependencies of a Router. All except Observers are required.
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -163,7 +163,7 @@
 }
 
 // The upstream's response ends after a part of it was forwarded. If the router
-// closed the connection cleanly, the caller would take that part for the whole.
+// closed the connection cleanly, that part would look complete to the caller.
 func TestBrokenAnswerIsSeenByTheCaller(t *testing.T) {
 	t.Parallel()
 	r, runner := newRouter(note.NewView(fleetState))
