--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -27,12 +27,12 @@
 	if err != nil {
 		return err
 	}
-	collected := &claim.ForwardingTable{
+	table := &claim.ForwardingTable{
 		Table: p.Platform, Self: p.Self, Peers: p.Peers,
 		Group: &claim.GroupCommitter{Table: p.Platform, Delay: claimBatchDelay},
 	}
-	p.Peers.OnBatch(collected.Receive)
-	store := &claim.Store{Table: collected, Objects: p.Platform, Router: p.Self, Timer: p.Timer}
+	p.Peers.OnBatch(table.Receive)
+	store := &claim.Store{Table: table, Objects: p.Platform, Router: p.Self, Timer: p.Timer}
 	p.Estimator = &estimate.Estimator{}
 	p.Runner = &call.Runner{
 		Source: p.SlotSource, Retry: &retry.Budget{}, Client: &attempt.Client{},
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -22,7 +22,7 @@
 
 // Options configures a Daemon.
 type Options struct {
-	// Settings must have been validated, as settings.Read does.
+	// Settings must have been validated, as settings.Parse does.
 	Settings *schema.RouterSettings
 	// Timer defaults to the system clock.
 	Timer timer.Service
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -40,13 +40,13 @@
 	}
 }
 
-func TestStopThatIsAskedForIsNoError(t *testing.T) {
+func TestRequestedStopReturnsNoError(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	d := newDaemon(t, time.Millisecond, actorExtension(func(ctx context.Context) error {
 		cancel()
 		<-ctx.Done()
-		return errors.New("ended because it was told to")
+		return errors.New("ended because its context ended")
 	}))
 	require.NoError(t, d.Run(ctx))
 }
--- a/daemon/notes.go
+++ b/daemon/notes.go
@@ -33,8 +33,8 @@
 	})
 	// A router that was disconnected or has just started may have missed
 	// announcements. Both sides of a new connection therefore announce their
-	// versions. Otherwise they would learn of a newer one only at the next read
-	// of the table, which may be down.
+	// versions. Otherwise they would get a newer one only by the next read of the
+	// table, which may be down.
 	p.Peers.OnChange(func(change peer.Change) {
 		if version := p.Notes.Version(); change.Connected && version > 0 {
 			p.Peers.Send(change.Router, &schema.Batch{NoteVersion: uint64(version)})
--- a/daemon/parts.go
+++ b/daemon/parts.go
@@ -68,9 +68,8 @@
 	// replace it to share capacity by another policy.
 	SlotSource dispatch.Source
 	Estimator  *estimate.Estimator
-	// Runner runs requests. An extension that adds observers to it needs a
-	// priority below PriorityCallers for them to get the refusals of
-	// CallerHandler too.
+	// Runner runs requests. Observers added to it get the refusals of
+	// CallerHandler too if their extension has a priority below PriorityCallers.
 	Runner *call.Runner
 	// State provides the router's state to the administration API.
 	State operator.State
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -26,7 +26,7 @@
 const traceFileMode = 0o600
 
 // Extend opens and truncates the trace file. It fails if it can't, so that a
-// wrong path is noticed at the start and not after a day without a trace.
+// wrong path is detected at the start and not after a day without a trace.
 func (traceExtension) Extend(p *Parts) error {
 	name := p.Settings.GetTraceFile()
 	if name == "" {
@@ -62,8 +62,8 @@
 
 	headerOnce  sync.Once
 	headerReady chan struct{}
-	// header and routerIndex are set before headerReady is closed, at the end of the
-	// first request: earlier, the release note and the other routers may be
+	// header and routerIndex are set before headerReady is closed, at the end of
+	// the first request. Earlier, the release note and the other routers may be
 	// unknown.
 	header      trace.Header
 	routerIndex int
