--- a/operator/client.go
+++ b/operator/client.go
@@ -75,10 +75,11 @@
 }
 
 // Publish publishes the release note in data. It tries each router with the same
-// publish id, so that the next router can find out about an attempt whose reply
-// was lost, and nothing is published twice. It fails with *AnswerError or
-// *UnreachableError when nothing was accepted, and with *note.UnsettledError
-// when the outcome is unknown; a later Publish with the same id finds it out.
+// publish id, so that the next router can determine the outcome of an attempt
+// whose reply was lost, and nothing is published twice. It fails with
+// *ResponseError or *UnreachableError when nothing was accepted, and with
+// *note.UnsettledError when the outcome is unknown; a later Publish with the same
+// id determines it.
 func (c *Client) Publish(ctx context.Context, data []byte, id note.PublishID) (*schema.PublishAnswer, error) {
 	answer := &schema.PublishAnswer{}
 	header := http.Header{}
@@ -127,14 +128,14 @@
 	if err == nil {
 		return true
 	}
-	var answered *ResponseError
-	if !errors.As(err, &answered) {
+	var responseErr *ResponseError
+	if !errors.As(err, &responseErr) {
 		return false
 	}
-	switch answered.Reason() {
+	switch responseErr.Reason() {
 	case Invalid:
-		// A router reports faults of the text without checking the outcome of
-		// earlier attempts; but a note with these cannot have been accepted.
+		// A router reports faults of the document without checking the outcome of
+		// earlier attempts, but a note with such faults cannot have been accepted.
 		return true
 	case Clashing:
 		return true
@@ -147,9 +148,9 @@
 // mayHaveArrived reports whether a router may have received and accepted the
 // note.
 func mayHaveArrived(err error) bool {
-	var answered *ResponseError
-	if errors.As(err, &answered) {
-		return answered.Reason() == Unsettled || answered.Reason() == Internal
+	var responseErr *ResponseError
+	if errors.As(err, &responseErr) {
+		return responseErr.Reason() == Unsettled || responseErr.Reason() == Internal
 	}
 	var opErr *net.OpError
 	return !errors.As(err, &opErr) || opErr.Op != "dial"
@@ -159,9 +160,9 @@
 // *UnreachableError when none answered.
 func lastResponseError(causes []error) error {
 	for i := len(causes) - 1; i >= 0; i-- {
-		var answered *ResponseError
-		if errors.As(causes[i], &answered) {
-			return answered
+		var responseErr *ResponseError
+		if errors.As(causes[i], &responseErr) {
+			return responseErr
 		}
 	}
 	return &UnreachableError{Causes: causes}
@@ -233,8 +234,8 @@
 	var causes []error
 	for _, base := range c.urls {
 		err := c.doWithTimeout(ctx, method, base, path, body, answer)
-		var answered *ResponseError
-		if err == nil || (errors.As(err, &answered) && answered.Status < http.StatusInternalServerError) {
+		var responseErr *ResponseError
+		if err == nil || (errors.As(err, &responseErr) && responseErr.Status < http.StatusInternalServerError) {
 			return err
 		}
 		causes = append(causes, err)
@@ -252,12 +253,12 @@
 	return c.do(request, base, answer)
 }
 
-// maxResponseBytes bounds a response: the list of 36,000 accounts with their
-// load has less than 20 MB.
+// maxResponseBytes bounds a response. The list of 36,000 accounts with their load
+// is smaller than 20 MB.
 const maxResponseBytes = 64 << 20
 
-// do sends one request and decodes the response. It fails with *AnswerError when
-// the router does not answer with success.
+// do sends one request and decodes the response. It fails with *ResponseError
+// when the router responds with an error.
 func (c *Client) do(request *http.Request, base string, answer proto.Message) error {
 	request.Header.Set(echo.HeaderAuthorization, bearerPrefix+c.key)
 	response, err := c.http.Do(request)
--- a/operator/failure.go
+++ b/operator/failure.go
@@ -14,7 +14,7 @@
 	"nutmeglock.example/nutmeglock/store"
 )
 
-// Reason is why the API did not fulfil a request.
+// Reason identifies why the API returned an error.
 type Reason string
 
 // The reasons.
@@ -28,8 +28,8 @@
 	// Clashing is a release note that clashes with accepted ones. No part of it
 	// was accepted.
 	Clashing Reason = "clash"
-	// Busy is a release note that kept losing to other notes. No part of it was
-	// accepted.
+	// Busy is a release note that was not accepted, because each attempt either
+	// conflicted with another note or read stale rows.
 	Busy Reason = "busy"
 	// Unavailable means that the platform's table is down. Nothing was changed.
 	Unavailable Reason = "unavailable"
@@ -161,5 +161,5 @@
 		seconds := (time.Duration(ms)*time.Millisecond + time.Second - 1) / time.Second
 		c.Response().Header().Set(echo.HeaderRetryAfter, strconv.FormatInt(int64(seconds), 10))
 	}
-	_ = writeJSON(c, f.status, &schema.OperatorErrorBody{Error: f.detail}) // A failed write means that the connection is gone.
+	_ = writeJSON(c, f.status, &schema.OperatorErrorBody{Error: f.detail}) // A failed write means that the connection was closed.
 }
--- a/operator/key.go
+++ b/operator/key.go
@@ -25,16 +25,16 @@
 	for _, key := range keys {
 		hash, err := hex.DecodeString(key.GetKeySha256())
 		if err != nil || len(hash) != sha256.Size {
-			continue // Reading the settings rejects such a key.
+			continue // Parsing the settings rejects such a key.
 		}
 		ring = append(ring, keyOwner{key.GetName(), hash})
 	}
 	return ring
 }
 
-// owner returns the name of the operator with a key, or nothing. Its time
-// depends neither on how much of a hash matches nor on which key does: otherwise
-// a caller could work out a hash piece by piece by timing.
+// owner returns the name of the operator with a key, or "". Its time depends
+// neither on how much of a hash matches nor on which key does; otherwise a caller
+// could determine a hash piece by piece by timing.
 func (r keyring) owner(key string) string {
 	presented := sha256.Sum256([]byte(key))
 	name := ""
--- a/operator/notes.go
+++ b/operator/notes.go
@@ -27,7 +27,8 @@
 	return c.Blob(status, echo.MIMEApplicationJSON, data)
 }
 
-// documentName is the file name in faults. The sender knows which file it is.
+// documentName is the file name in faults. The operator's command shows the real
+// file name instead.
 const documentName = "release note"
 
 // readNote reads the request body as a release note with its faults.
@@ -73,8 +74,8 @@
 	if err := setBasedOn(c, d.Message); err != nil {
 		return err
 	}
-	// The publish continues when the operator's command disconnects, so that its
-	// outcome is found out here as far as possible.
+	// The publish continues when the operator's command disconnects, so that this
+	// router determines its outcome if possible.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Request().Context()), publishTimeout)
 	defer cancel()
 	accepted, err := a.Publisher.Publish(ctx, d.Message, author(c), id)
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -17,8 +17,7 @@
 
 // State provides the state of the router that the administration API reports.
 type State interface {
-	// Ready returns why the router does not accept requests, or nothing when it
-	// does.
+	// Ready returns why the router does not accept requests, or "" when it does.
 	Ready() (reason string)
 	// Router returns the state of this router.
 	Router() *schema.RouterState
@@ -27,7 +26,7 @@
 	// Accounts returns the load of accounts at this router. Accounts without load
 	// may be omitted.
 	Accounts() map[fleet.AccountID]*schema.AccountLoad
-	// Upstreams returns the load of upstreams as known to this router.
+	// Upstreams returns the load of the upstreams that this router knows.
 	Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad
 }
 
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -25,11 +25,11 @@
 const key = "the key of aino"
 
 // fakeState is a State with fixed values.
-type fakeState struct{ holder *note.Replica }
+type fakeState struct{ replica *note.Replica }
 
 func (fakeState) Ready() string { return "" }
 func (s fakeState) Router() *schema.RouterState {
-	return &schema.RouterState{Id: "r", NoteVersion: uint64(s.holder.Version())}
+	return &schema.RouterState{Id: "r", NoteVersion: uint64(s.replica.Version())}
 }
 func (fakeState) Routers() []*schema.RouterState { return []*schema.RouterState{{Id: "r"}} }
 func (fakeState) Accounts() map[fleet.AccountID]*schema.AccountLoad {
@@ -54,13 +54,13 @@
 func (f *fixture) startRouter(t *testing.T) string {
 	t.Helper()
 	store := note.NewStore(f.platform, f.platform)
-	holder := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store})
+	replica := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store})
 	server := httptest.NewServer(operator.New(operator.Options{
 		Keys: []*schema.OperatorKey{
 			{Name: "juma", KeySha256: note.HashKey("another key")}, {Name: "aino", KeySha256: note.HashKey(key)},
 		},
-		Store: store, Replica: holder, State: fakeState{holder},
-		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Replica: holder}),
+		Store: store, Replica: replica, State: fakeState{replica},
+		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Replica: replica}),
 		Registry:  f.registry,
 		Log:       slog.New(slog.DiscardHandler),
 	}))
@@ -108,11 +108,11 @@
 	require.Equal(t, uint32(3), accounts.GetAccounts()[0].GetLoad().GetWaiting())
 }
 
-func requireAnswerError(t *testing.T, err error) *operator.ResponseError {
+func requireResponseError(t *testing.T, err error) *operator.ResponseError {
 	t.Helper()
-	var answered *operator.ResponseError
-	require.ErrorAs(t, err, &answered)
-	return answered
+	var responseErr *operator.ResponseError
+	require.ErrorAs(t, err, &responseErr)
+	return responseErr
 }
 
 func TestFaultsIncludePositions(t *testing.T) {
@@ -124,17 +124,17 @@
 		func() error { _, err := client.Publish(t.Context(), text, note.NewPublishID()); return err },
 		func() error { _, err := client.Check(t.Context(), text); return err },
 	} {
-		answered := requireAnswerError(t, do())
-		require.Equal(t, http.StatusUnprocessableEntity, answered.Status)
-		require.NotEmpty(t, answered.Detail.GetFaults())
-		require.Equal(t, uint32(2), answered.Detail.GetFaults()[0].GetLine())
+		responseErr := requireResponseError(t, do())
+		require.Equal(t, http.StatusUnprocessableEntity, responseErr.Status)
+		require.NotEmpty(t, responseErr.Detail.GetFaults())
+		require.Equal(t, uint32(2), responseErr.Detail.GetFaults()[0].GetLine())
 	}
 	_, err := client.Publish(t.Context(), []byte("{\"summary\": \"x\",\n  \"withdrawn\": {\"accounts\": [\"a\"]}}"), note.NewPublishID())
-	require.Equal(t, uint32(2), requireAnswerError(t, err).Detail.GetFaults()[0].GetLine())
+	require.Equal(t, uint32(2), requireResponseError(t, err).Detail.GetFaults()[0].GetLine())
 }
 
-// Two operators change one account from the same version. The second is told of
-// the entry, the first operator and the version.
+// Two operators change one account from the same version. The error of the second
+// must name the entry, the first operator and the version.
 func TestClashesIncludeTheirAuthor(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -149,10 +149,10 @@
 		},
 		func() error { _, err := operator.NewClient(key, f.url).Check(t.Context(), weightNote("3")); return err },
 	} {
-		answered := requireAnswerError(t, do())
-		require.Equal(t, http.StatusConflict, answered.Status)
-		require.Equal(t, operator.Clashing, answered.Reason())
-		clash := answered.Detail.GetClashes()[0]
+		responseErr := requireResponseError(t, do())
+		require.Equal(t, http.StatusConflict, responseErr.Status)
+		require.Equal(t, operator.Clashing, responseErr.Reason())
+		clash := responseErr.Detail.GetClashes()[0]
 		require.Equal(t, "account a by juma in 2", clash.GetKind()+" "+clash.GetId()+" by "+clash.GetAuthor()+" in "+string(rune('0'+clash.GetVersion())))
 	}
 }
@@ -209,7 +209,7 @@
 	t.Cleanup(droppingServer.Close)
 	retried := []byte(strings.Replace(string(weightNote("3")), `"based-on": 1,`, "", 1))
 	_, err = operator.NewClient(key, droppingServer.URL, next).Publish(t.Context(), retried, note.NewPublishID())
-	require.Equal(t, operator.Clashing, requireAnswerError(t, err).Reason())
+	require.Equal(t, operator.Clashing, requireResponseError(t, err).Reason())
 }
 
 func TestOutageIsReportedImmediately(t *testing.T) {
@@ -218,12 +218,12 @@
 	f.platform.Faults.Set(fault.Fault{Kind: fault.Down})
 	client := operator.NewClient(key, "http://127.0.0.1:1", f.url)
 	_, err := client.Publish(t.Context(), accountNote("a"), note.NewPublishID())
-	require.Equal(t, operator.Unavailable, requireAnswerError(t, err).Reason())
-	require.NotZero(t, requireAnswerError(t, err).Detail.GetRetryAfterMs())
+	require.Equal(t, operator.Unavailable, requireResponseError(t, err).Reason())
+	require.NotZero(t, requireResponseError(t, err).Detail.GetRetryAfterMs())
 	_, err = client.History(t.Context(), 0, 0)
-	require.Equal(t, operator.Unavailable, requireAnswerError(t, err).Reason())
+	require.Equal(t, operator.Unavailable, requireResponseError(t, err).Reason())
 	_, err = client.Accounts(t.Context())
-	require.Equal(t, operator.NotReady, requireAnswerError(t, err).Reason())
+	require.Equal(t, operator.NotReady, requireResponseError(t, err).Reason())
 	var unreachable *operator.UnreachableError
 	_, err = operator.NewClient(key, "http://127.0.0.1:1").Publish(t.Context(), accountNote("a"), note.NewPublishID())
 	require.ErrorAs(t, err, &unreachable)
