--- a/settings/contradiction.go
+++ b/settings/contradiction.go
@@ -98,7 +98,7 @@
 
 // checkOperatorKeys finds operators with the same name, whose changes the
 // history could not tell apart, and operators with the same key, of which only
-// one would be found.
+// one could be authenticated.
 func checkOperatorKeys(d *settingsDocument) {
 	names, keys := map[string]int{}, map[string]int{}
 	for i, operator := range d.Message.GetOperatorKeys() {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,13 +10,13 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// Defaults of optional values. Bodies and headers are in bytes.
+// Defaults of optional values.
 const (
 	defaultStopGrace       = time.Minute
 	defaultStopNotice      = 2 * time.Second
 	defaultPlatformTimeout = time.Second
-	defaultMaxBody         = 1 << 20
-	defaultMaxHeader       = 16 << 10
+	defaultMaxBodyBytes    = 1 << 20
+	defaultMaxHeaderBytes  = 16 << 10
 	defaultBodyTimeout     = 10 * time.Second
 	defaultDeadline        = 2 * time.Minute
 	defaultMaxDeadline     = 10 * time.Minute
@@ -54,12 +54,12 @@
 
 // MaxBodyBytes returns the maximum size of a request body in bytes.
 func MaxBodyBytes(s *schema.RouterSettings) int64 {
-	return int64(orDefault(s.GetCallers().GetMaxBodyBytes(), defaultMaxBody))
+	return int64(orDefault(s.GetCallers().GetMaxBodyBytes(), defaultMaxBodyBytes))
 }
 
 // MaxHeaderBytes returns the maximum size of a request header in bytes.
 func MaxHeaderBytes(s *schema.RouterSettings) int {
-	return int(orDefault(s.GetCallers().GetMaxHeaderBytes(), defaultMaxHeader))
+	return int(orDefault(s.GetCallers().GetMaxHeaderBytes(), defaultMaxHeaderBytes))
 }
 
 // BodyTimeout returns the time limit for a caller to send its request body.
