--- a/document/document.go
+++ b/document/document.go
@@ -52,8 +52,8 @@
 	return d.Message, nil
 }
 
-// Parse is Read for callers that have further checks: they can Add faults to
-// the document before they call Err.
+// Parse is like Read for callers with checks of their own: they can call AddFault
+// on the document before they call Err.
 func Parse[M proto.Message](file string, data []byte) *Document[M] {
 	var none M
 	message, _ := none.ProtoReflect().New().Interface().(M)
@@ -215,8 +215,8 @@
 	return Position{Line: r.lineIndex + 1, Column: offset - r.lineStart + 1}
 }
 
-// LocateFaults fills in the file and position of faults that have none, because they
-// were found in the message alone.
+// LocateFaults fills in the file and position of faults that were found without
+// the document and therefore have none.
 func (d *Document[M]) LocateFaults(faults []Fault) []Fault {
 	located := slices.Clone(faults)
 	for i, f := range located {
