--- a/command/admin.go
+++ b/command/admin.go
@@ -28,7 +28,7 @@
 	keyVariable = "NUTMEGLOCK_OPERATOR_KEY"
 )
 
-// adminFlags returns the flags that all commands of the administration API have,
+// adminFlags returns the common flags of the commands of the administration API,
 // followed by the command's own.
 func adminFlags(own ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
@@ -104,14 +104,14 @@
 // exitError prints why a request failed and returns an error with the exit code
 // for it. file is the file of the release note, if any.
 func exitError(c *cli.Command, file string, err error) error {
-	var answerErr *operator.ResponseError
+	var responseErr *operator.ResponseError
 	var unreachable *operator.UnreachableError
 	var unsettled *note.UnsettledError
 	var faults *document.FaultsError
 	switch {
-	case errors.As(err, &answerErr):
-		printAnswerError(c, file, answerErr)
-		return cli.Exit("", exitCode(answerErr.Reason()))
+	case errors.As(err, &responseErr):
+		printResponseError(c, file, responseErr)
+		return cli.Exit("", exitCode(responseErr.Reason()))
 	case errors.As(err, &unreachable):
 		printError(c, unreachable.Error())
 		printError(c, "Check --"+adminFlag+": it must be the administration URL of a running router, such as http://127.0.0.1:8082.")
@@ -127,7 +127,7 @@
 	return cli.Exit(err.Error(), ExitFailed)
 }
 
-// reasonHints tells operators how to resolve an error, by its reason.
+// reasonHints holds a hint for the resolution of an error, by its reason.
 var reasonHints = map[operator.Reason]string{
 	operator.Denied:      "The key is that of --" + keyFileFlag + ", else that of " + keyVariable + "; its hash must be one of the operator-keys in the router's settings.",
 	operator.Invalid:     "Correct the file and publish it again.",
@@ -154,8 +154,8 @@
 	return ExitFailed
 }
 
-// printAnswerError prints a router's error, its faults or clashes, and a hint.
-func printAnswerError(c *cli.Command, file string, err *operator.ResponseError) {
+// printResponseError prints a router's error, its faults or clashes, and a hint.
+func printResponseError(c *cli.Command, file string, err *operator.ResponseError) {
 	printError(c, err.Error())
 	for _, f := range err.Detail.GetFaults() {
 		printError(c, document.Fault{
--- a/command/edge.go
+++ b/command/edge.go
@@ -9,7 +9,8 @@
 	"nutmeglock.example/nutmeglock/platform"
 )
 
-// Edge returns the command that runs one router on the platform of the users.
+// Edge returns the command that runs one router on the platform described in the
+// environment variable platform.SettingsVariable.
 func Edge() *cli.Command {
 	return &cli.Command{
 		Name:  "edge",
--- a/command/list.go
+++ b/command/list.go
@@ -108,7 +108,7 @@
 	})
 }
 
-// lastHeard returns how long ago the router was heard from.
+// lastHeard returns the time since the last message from the router.
 func lastHeard(r *schema.RouterState) string {
 	switch {
 	case r.GetSelf():
--- a/command/note.go
+++ b/command/note.go
@@ -165,7 +165,7 @@
 	if n.GetBasedOn() > 0 {
 		basedOn = fmt.Sprintf(", based on version %d", n.GetBasedOn())
 	}
-	n.BasedOn = 0                                          // Published again, it is based on the version in force then.
+	n.BasedOn = 0                                          // If published again, it is based on the version in force then.
 	text, err := indentJSON(protojson.MarshalOptions{}, n) // Omits unset fields.
 	if err != nil {
 		return err.Error()
--- a/command/operator_test.go
+++ b/command/operator_test.go
@@ -48,11 +48,11 @@
 	t.Helper()
 	p := memory.New(timer.System{})
 	store := note.NewStore(p, p)
-	holder := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store})
+	replica := note.NewReplica(note.ReplicaOptions{Self: "r", Store: store})
 	server := httptest.NewServer(operator.New(operator.Options{
 		Keys:  []*schema.OperatorKey{{Name: "aino", KeySha256: note.HashKey(operatorKey)}},
-		Store: store, Replica: holder, State: fakeState{},
-		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Replica: holder}),
+		Store: store, Replica: replica, State: fakeState{},
+		Publisher: note.NewPublisher(note.PublisherOptions{Store: store, Replica: replica}),
 	}))
 	t.Cleanup(server.Close)
 	keyFile := filepath.Join(t.TempDir(), "key")
