--- a/schema/duration.go
+++ b/schema/duration.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Millis returns a duration as messages carry it, in whole milliseconds; one below
-// zero counts as zero.
+// Millis converts a duration to the whole milliseconds of a message field. A
+// negative duration becomes zero.
 func Millis(d time.Duration) uint32 { return uint32(max(d.Milliseconds(), 0)) }
 
-// Duration is the inverse of Millis.
+// Duration converts the milliseconds of a message field to a duration.
 func Duration(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/schema/rule.go
+++ b/schema/rule.go
@@ -1,5 +1,5 @@
 // Package schema holds the messages that nutmeglock writes and reads, generated
-// from the .proto files beside it, and the rules of their fields.
+// from the .proto files in this directory, and the rules of their fields.
 package schema
 
 import (
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// RuleOf returns the rule of a field, nil when it has none. A nil rule answers
-// each getter with the zero value.
+// RuleOf returns the rule of a field, or nil when it has none. The getters of a
+// nil rule return zero values.
 func RuleOf(field protoreflect.FieldDescriptor) *Rule {
 	rule, _ := proto.GetExtension(field.Options(), E_Rule).(*Rule)
 	return rule
