--- a/docs/operator/pages_test.go
+++ b/docs/operator/pages_test.go
@@ -17,10 +17,9 @@
 // pageTimeout bounds all pages together.
 const pageTimeout = 90 * time.Second
 
-// TestCommandsOfThePages runs the commands of the operators' pages one after
-// the other in one shell, as an operator would, and fails with the first that
-// fails. The loopback addresses are moved to a network of the test's own, so
-// that it can run beside another fleet.
+// TestCommandsOfThePages runs the commands of the operators' pages in sequence in
+// one shell, as an operator would, and fails at the first one that fails. It uses
+// a loopback network of its own, so that it can run beside another fleet.
 func TestCommandsOfThePages(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -32,7 +31,7 @@
 	first := commands(t, "first-day.md")
 	require.Greater(t, len(first), 2)
 	script := []string{"set -eu", "export PATH=\"$PWD:$PATH\""}
-	script = append(script, first[1:len(first)-1]...) // the build is done, the end comes last
+	script = append(script, first[1:len(first)-1]...) // The binary is built above, and the last block runs after the other pages.
 	for _, page := range []string{"notes.md", "accounts.md", "upstreams.md", "restart.md", "outage.md"} {
 		script = append(script, commands(t, page)...)
 	}
@@ -54,8 +53,8 @@
 	return blocks
 }
 
-// relocate gives the test a loopback network of its own, and shortens the time
-// that a stopping router gives the balancer, which has no part in the test.
+// relocate moves the addresses to a loopback network of the test's own. It also
+// shortens stop-notice-ms, because the test has no load balancer.
 func relocate(text string) string {
 	pid := os.Getpid()
 	network := fmt.Sprintf("127.%d.%d.", 64+pid/250%64, 1+pid%250)
@@ -76,7 +75,8 @@
 	}
 }
 
-// runScript runs a script in a process group of its own and ends what it leaves behind.
+// runScript runs a script in its own process group and kills the processes that
+// it leaves running.
 func runScript(t *testing.T, dir, script string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), pageTimeout)
@@ -90,9 +90,9 @@
 	shell.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	shell.Cancel = func() error { return syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) }
 	err = shell.Run()
-	_ = syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) // What a failed script left running.
+	_ = syscall.Kill(-shell.Process.Pid, syscall.SIGKILL) // Kills what a failed script left running.
 	if err != nil {
-		said, _ := os.ReadFile(output.Name())
-		require.NoError(t, err, string(said))
+		text, _ := os.ReadFile(output.Name())
+		require.NoError(t, err, string(text))
 	}
 }
--- a/docs/operator/reasons_test.go
+++ b/docs/operator/reasons_test.go
@@ -14,7 +14,7 @@
 	"nutmeglock.example/nutmeglock/retry"
 )
 
-// An operator looks a reason up by the word in an answer or in a counter.
+// Operators look up a reason by its name in a response or in a counter's label.
 func TestEachReasonIsOnItsPage(t *testing.T) {
 	t.Parallel()
 	page, err := os.ReadFile("refusals.md")
--- a/docs/promises_test.go
+++ b/docs/promises_test.go
@@ -12,8 +12,8 @@
 
 var testName = regexp.MustCompile("`([a-z/]+)/(Test[A-Za-z]+)(?:/([a-z-]+))?`")
 
-// A page that names a test which was renamed or removed would promise what
-// nobody proves.
+// A page that cites a renamed or removed test would promise something that no test
+// checks.
 func TestPromisesNameTestsThatExist(t *testing.T) {
 	t.Parallel()
 	page, err := os.ReadFile("PROMISES.md")
@@ -44,8 +44,9 @@
 
 var link = regexp.MustCompile(`\]\(([^)#:]+)\)`)
 
-// A dead link costs an operator who comes a few times a year more than anyone.
-func TestLinksOfThePagesLeadSomewhere(t *testing.T) {
+// Each relative link must lead to an existing file. A dead link costs operators
+// most, who use the pages only a few times a year.
+func TestLinksOfPagesResolve(t *testing.T) {
 	t.Parallel()
 	pages := []string{"../README.md"}
 	for _, pattern := range []string{"*.md", "*/*.md"} {
