--- a/document/describe.go
+++ b/document/describe.go
@@ -62,8 +62,8 @@
 	return text
 }
 
-// withUnsignedMin adds the lower bound zero to the rule of an unsigned field
-// that sets no other.
+// withUnsignedMin returns the rule, or for an unsigned field without a lower bound
+// a rule with the lower bound zero and the same upper bound.
 func withUnsignedMin(field protoreflect.FieldDescriptor, rule *schema.Rule) *schema.Rule {
 	unsigned := field.Kind() == protoreflect.Uint32Kind || field.Kind() == protoreflect.Uint64Kind
 	if !unsigned || rule.GetSetMin() {
--- a/note/publisher.go
+++ b/note/publisher.go
@@ -105,8 +105,8 @@
 	// a few times each.
 	publishAttempts = 8
 	// publishBackoff is the wait after the first attempt; it doubles up to
-	// maxBackoff. The waits add up to 3.5 s, within the five seconds that a note
-	// may take.
+	// maxBackoff. The waits between the attempts add up to 3.5 s, within the five
+	// seconds that a note may take.
 	publishBackoff = 50 * time.Millisecond
 	maxBackoff     = time.Second
 	// maxRecordsBehind bounds the records that a note is compared with, about 300
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -54,7 +54,8 @@
 )
 
 const (
-	// publishTimeout bounds a publish. Its retries wait at most 3.5 s in total.
+	// publishTimeout bounds a publish. The waits between its attempts add up to
+	// 3.5 s.
 	publishTimeout = 10 * time.Second
 	// bodyTimeout bounds the time for an operator's command to send a note of up
 	// to 8 MB.
