--- a/operator/operator.go
+++ b/operator/operator.go
@@ -17,8 +17,7 @@
 
 // State provides the state of the router that the administration API reports.
 type State interface {
-	// Ready returns why the router does not accept requests, or nothing when it
-	// does.
+	// Ready returns why the router does not accept requests, or "" when it does.
 	Ready() (reason string)
 	// Router returns the state of this router.
 	Router() *schema.RouterState
@@ -27,7 +26,7 @@
 	// Accounts returns the load of accounts at this router. Accounts without load
 	// may be omitted.
 	Accounts() map[fleet.AccountID]*schema.AccountLoad
-	// Upstreams returns the load of upstreams as known to this router.
+	// Upstreams returns the load of the upstreams that this router knows.
 	Upstreams() map[fleet.UpstreamID]*schema.UpstreamLoad
 }
 
@@ -55,7 +54,8 @@
 )
 
 const (
-	// publishTimeout bounds a publish. Its retries wait at most 3.5 s in total.
+	// publishTimeout bounds a publish. The waits between its attempts add up to
+	// 3.5 s.
 	publishTimeout = 10 * time.Second
 	// bodyTimeout bounds the time for an operator's command to send a note of up
 	// to 8 MB.
