--- a/socket/arrived_linux.go
+++ b/socket/arrived_linux.go
@@ -5,13 +5,13 @@
 	"syscall"
 )
 
-// Readable reports whether the next read on a connection would return at once, with data, the end of
-// the connection or a reset. Unlike Pending it may be called during a read.
+// Readable reports whether the next read on a connection would return at once, with data, the end
+// of the connection or a reset. Unlike IdleReadable it may be called during a read.
 func Readable(raw syscall.RawConn) bool {
-	arrived := false
+	readable := false
 	err := raw.Control(func(fd uintptr) {
 		_, err := peek(fd)
-		arrived = !errors.Is(err, syscall.EAGAIN)
+		readable = !errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && arrived
+	return err == nil && readable
 }
--- a/socket/arrived_other.go
+++ b/socket/arrived_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Arrived always returns false: this system has no check without reading.
-func Arrived(syscall.RawConn) bool { return false }
+// Readable always returns false: this system has no check without reading.
+func Readable(syscall.RawConn) bool { return false }
--- a/socket/ended_linux.go
+++ b/socket/ended_linux.go
@@ -5,13 +5,13 @@
 	"syscall"
 )
 
-// PeerClosed reports whether the peer has closed a connection and everything that it sent was read, or
-// has reset it. It doesn't read or block, and may be called during a read.
+// PeerClosed reports whether the peer has reset a connection, or has closed it and everything that
+// it sent was read. It doesn't read or block, and may be called during a read.
 func PeerClosed(raw syscall.RawConn) bool {
-	ended := false
+	closed := false
 	err := raw.Control(func(fd uintptr) {
 		n, err := peek(fd)
-		ended = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
+		closed = n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 	})
-	return err == nil && ended
+	return err == nil && closed
 }
--- a/socket/ended_other.go
+++ b/socket/ended_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Ended always returns false: this system has no check without reading.
-func Ended(syscall.RawConn) bool { return false }
+// PeerClosed always returns false: this system has no check without reading.
+func PeerClosed(syscall.RawConn) bool { return false }
--- a/socket/pending_linux.go
+++ b/socket/pending_linux.go
@@ -5,16 +5,16 @@
 	"syscall"
 )
 
-// IdleReadable reports whether anything has arrived on an idle connection: data, its end or a reset. It
+// IdleReadable reports whether data, the end or a reset has arrived on an idle connection. It
 // doesn't read or block.
 func IdleReadable(raw syscall.RawConn) bool {
-	pending := true
+	readable := true
 	err := raw.Read(func(fd uintptr) bool {
 		_, err := peek(fd)
-		pending = !errors.Is(err, syscall.EAGAIN)
+		readable = !errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err != nil || pending
+	return err != nil || readable
 }
 
 // peek checks for the next byte without reading it. It returns 1 if there is one, 0 if the peer has
--- a/socket/pending_other.go
+++ b/socket/pending_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Pending always returns false: this system has no check without reading.
-func Pending(syscall.RawConn) bool { return false }
+// IdleReadable always returns false: this system has no check without reading.
+func IdleReadable(syscall.RawConn) bool { return false }
--- a/socket/silence_linux.go
+++ b/socket/silence_linux.go
@@ -9,14 +9,14 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7).
 const tcpUserTimeout = 0x12
 
-// SetUserTimeout makes the system close a connection whose sent data stays unacknowledged for this
-// long. Without it TCP resends a request that is lost in a network partition for a quarter of an
-// hour, while its caller waits until the deadline; keep-alive probes aren't sent while data is
+// SetUserTimeout makes the system close a connection whose sent data stays unacknowledged for
+// timeout. Without it TCP resends a request that is lost in a network partition for a quarter of an
+// hour, and its caller waits until the deadline; keep-alive probes aren't sent while data is
 // unacknowledged.
-func SetUserTimeout(raw syscall.RawConn, silence time.Duration) error {
+func SetUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silence.Milliseconds()))
+		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/socket/silence_other.go
+++ b/socket/silence_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// BoundSilence does nothing: this system has no such option and keeps its own limit.
-func BoundSilence(syscall.RawConn, time.Duration) error { return nil }
+// SetUserTimeout does nothing: this system has no such option and keeps its own limit.
+func SetUserTimeout(syscall.RawConn, time.Duration) error { return nil }
--- a/socket/waiting_linux.go
+++ b/socket/waiting_linux.go
@@ -8,11 +8,11 @@
 
 // AcceptPending reports whether a listener has a connection to accept.
 func AcceptPending(raw syscall.RawConn) bool {
-	waiting := false
+	pending := false
 	err := raw.Control(func(fd uintptr) {
 		entries := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		n, err := unix.Poll(entries, 0)
-		waiting = err == nil && n > 0
+		pending = err == nil && n > 0
 	})
-	return err == nil && waiting
+	return err == nil && pending
 }
--- a/socket/waiting_other.go
+++ b/socket/waiting_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// Waiting always returns false: this system has no check.
-func Waiting(syscall.RawConn) bool { return false }
+// AcceptPending always returns false: this system has no check.
+func AcceptPending(syscall.RawConn) bool { return false }
