--- a/stream/event.go
+++ b/stream/event.go
@@ -56,9 +56,9 @@
 // Error states the maximum size.
 func (e *TooLargeError) Error() string { return fmt.Sprintf("event of more than %d bytes", e.Size) }
 
-// Next returns the next complete event. Its error is io.EOF at an end between events, ErrPartial at
-// an end within one, *TooLargeError, *IDError or the error of the body. The bytes of an incomplete
-// event are never returned.
+// Next returns the next complete event. Its error is io.EOF at an end between events,
+// ErrPartialEvent at an end within one, *TooLargeError, *InvalidIDError or the error of the body.
+// The bytes of an incomplete event are never returned.
 func (r *Reader) Next() (Event, error) {
 	r.event = r.event[:0]
 	for {
@@ -73,10 +73,11 @@
 	}
 }
 
-// HasBuffered reports whether another complete event is buffered, so that output needn't be flushed yet.
+// HasBuffered reports whether another complete event is buffered, so that output needn't be flushed
+// yet.
 func (r *Reader) HasBuffered() bool {
-	waiting, err := r.in.Peek(r.in.Buffered())
-	return err == nil && (bytes.Contains(waiting, []byte("\n\n")) || bytes.Contains(waiting, []byte("\n\r\n")))
+	buffered, err := r.in.Peek(r.in.Buffered())
+	return err == nil && (bytes.Contains(buffered, []byte("\n\n")) || bytes.Contains(buffered, []byte("\n\r\n")))
 }
 
 // readLine appends the next line, including its end, to the event.
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -35,8 +35,8 @@
 	After EventID
 	// Source opens further connections; nil if the stream can't be resumed.
 	Source Source
-	// MayReconnect decides whether to reconnect after an error. It waits for as long as the retry should
-	// be delayed.
+	// MayReconnect reports whether to reconnect after an error. It waits for the
+	// delay before the reconnect.
 	MayReconnect func(ctx context.Context, cause error) bool
 
 	finished bool
@@ -66,9 +66,9 @@
 func (e *SinkError) Unwrap() error { return e.Cause }
 
 // Run passes events from connection to sink until the last one, and resumes after each break while
-// Again returns true. It returns nil after the last event; *SinkError, *OrderError, *SpliceError,
-// *IDError, *TooLargeError or *GoneError, after which a retry can't help; or the error of the last
-// break. It closes every connection.
+// MayReconnect returns true. It returns nil after the last event; *SinkError, *OrderError,
+// *WrongStreamError, *InvalidIDError, *TooLargeError or *GoneError, after which a retry can't help;
+// or the error of the last break. It closes every connection.
 func (r *Relay) Run(ctx context.Context, connection *Connection, sink Sink) error {
 	for {
 		err := r.relayConnection(connection, sink)
@@ -133,7 +133,7 @@
 }
 
 // sendEvent checks the order of an event before it is passed on. Otherwise an engine that loses or
-// repeats an event when it resumes would leave the caller with missing or duplicated words that it
+// repeats an event when it resumes would leave the caller with missing or duplicated text, which it
 // can't detect.
 func (r *Relay) sendEvent(event Event, more bool, sink Sink) error {
 	if event.ID == 0 && event.Data == nil {
@@ -159,13 +159,13 @@
 
 func isFinal(err error) bool {
 	var (
-		sink     *SinkError
-		order    *OrderError
-		splice   *WrongStreamError
-		id       *InvalidIDError
-		tooLarge *TooLargeError
-		gone     *GoneError
+		sink        *SinkError
+		order       *OrderError
+		wrongStream *WrongStreamError
+		invalidID   *InvalidIDError
+		tooLarge    *TooLargeError
+		gone        *GoneError
 	)
-	return errors.As(err, &sink) || errors.As(err, &order) || errors.As(err, &splice) ||
-		errors.As(err, &id) || errors.As(err, &tooLarge) || errors.As(err, &gone)
+	return errors.As(err, &sink) || errors.As(err, &order) || errors.As(err, &wrongStream) ||
+		errors.As(err, &invalidID) || errors.As(err, &tooLarge) || errors.As(err, &gone)
 }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -93,22 +93,23 @@
 }
 
 // Guards against a resumed connection that carries another caller's stream, or begins too late or
-// too early. The relay must fail, or the caller would read a stranger's answer or miss words.
+// too early. The relay must fail, or the caller would get another caller's answer, or one with
+// missing or repeated text.
 func TestRelayRejectsAnotherStreamAndWrongIDs(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		spoil func(e *fakeEngine)
-		want  any
+		modify func(e *fakeEngine)
+		want   any
 	}{
 		"other stream": {func(e *fakeEngine) { e.name = "other" }, new(*stream.WrongStreamError)},
 		"unnamed":      {func(e *fakeEngine) { e.name = "" }, new(*stream.WrongStreamError)},
-		"hole":         {func(e *fakeEngine) { e.skip = 1 }, new(*stream.OrderError)},
+		"gap":          {func(e *fakeEngine) { e.skip = 1 }, new(*stream.OrderError)},
 		"repeat":       {func(e *fakeEngine) { e.skip = -1 }, new(*stream.OrderError)},
 		"gone":         {func(e *fakeEngine) { e.gone = true }, new(*stream.GoneError)},
 	} {
 		e := &fakeEngine{events: eventTexts(9), name: "s", cutOffsets: []int{60}}
 		first := e.open(0)
-		c.spoil(e)
+		c.modify(e)
 		got := &recordingSink{}
 
 		err := newRelay(e).Run(t.Context(), first, got)
--- a/stream/usage.go
+++ b/stream/usage.go
@@ -19,14 +19,14 @@
 	if !bytes.Contains(data, usageKey) {
 		return Usage{}, false
 	}
-	var holder struct {
+	var answer struct {
 		Usage *Usage `json:"usage"`
 	}
-	if json.Unmarshal(data, &holder) != nil || holder.Usage == nil {
+	if json.Unmarshal(data, &answer) != nil || answer.Usage == nil {
 		return Usage{}, false
 	}
-	if holder.Usage.PromptTokens < 0 || holder.Usage.CompletionTokens < 0 {
+	if answer.Usage.PromptTokens < 0 || answer.Usage.CompletionTokens < 0 {
 		return Usage{}, false
 	}
-	return *holder.Usage, true
+	return *answer.Usage, true
 }
--- a/timer/fake.go
+++ b/timer/fake.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fake is a Service whose time is moved only by Advance. Its zero value starts at the zero time.
+// Fake is a Service whose time changes only by Advance. Its zero value starts at the zero time.
 type Fake struct {
 	mu            sync.Mutex
 	now           time.Time
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,4 +1,5 @@
-// Package timer is the clock of a router's parts. Tests replace it by one that they move by hand.
+// Package timer provides the current time and delayed or periodic calls. Tests use Fake, whose time
+// they advance themselves.
 package timer
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// Service tells the time and calls functions at set times.
+// Service returns the current time and calls functions at set times.
 type Service interface {
 	// Now returns the current time.
 	Now() time.Time
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -2,10 +2,10 @@
 // and pools idle connections.
 //
 // It defends against upstreams that violate the protocol. Each exchange reports whether a byte of
-// the request may have been sent, so that "not run" is said only when it is true; nothing is ever
-// sent twice. An answer to another request, left over on a pooled connection, is skipped instead of
-// given to the wrong caller. A connection is reused only if its last exchange was complete in both
-// directions and nothing has arrived since.
+// the request may have been sent, so that a request is reported as not run only when that is true;
+// nothing is ever sent twice. An answer to another request, left over on a pooled connection, is
+// skipped instead of given to the wrong caller. A connection is reused only if its last exchange was
+// complete in both directions and nothing has arrived since.
 package upstream
 
 import (
@@ -31,9 +31,9 @@
 	// maxUnacknowledged bounds how long sent bytes may stay unacknowledged. TCP resends a lost
 	// packet after 200 ms and doubles the delay each time, so three losses in a row are tolerated.
 	maxUnacknowledged = 1800 * time.Millisecond
-	// A connection without traffic is probed every probeInterval, and closed after probeCount unanswered
-	// probes. Waiting for an answer sends nothing, so without probes a dead machine would look like
-	// a slow one.
+	// A connection without traffic is probed every probeInterval, and closed after probeCount
+	// unanswered probes. Waiting for an answer sends nothing, so without probes a dead machine
+	// would look like a slow one.
 	probeInterval = time.Second
 	probeCount    = 2
 	// maxIdle is the maximum number of idle connections per upstream.
@@ -44,7 +44,7 @@
 	// idleFraction is the part of the announced keep-alive timeout that is used, so that a request
 	// doesn't cross the upstream's close.
 	idleFraction = 0.75
-	// checkIdleTime is how long a connection is kept that was only opened by Check.
+	// checkIdleTime is how long a connection is kept that was only opened by CheckReachable.
 	checkIdleTime = time.Second
 	// readBufferSize, in bytes, is enough for the header of an answer and several events of a
 	// stream.
@@ -135,7 +135,8 @@
 	return &conn{Conn: opened, raw: raw, reader: bufio.NewReaderSize(opened, readBufferSize), isNew: true}, nil
 }
 
-// CheckReachable returns an error if no connection to an upstream can be opened. It sends no request.
+// CheckReachable returns an error if no connection to an upstream can be opened. It sends no
+// request.
 func (c *Client) CheckReachable(ctx context.Context, address string) error {
 	connection, err := c.connect(ctx, address)
 	if err != nil {
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -223,8 +223,8 @@
 	return n, &Error{Address: b.exchange.address, Sent: true, Answered: true, Cause: err}
 }
 
-// Close ends the exchange. If the body wasn't read to its end, the connection is closed, which
-// tells the upstream to stop.
+// Close ends the exchange. If the body wasn't read to its end, the connection is closed, so that
+// the upstream stops.
 func (b *body) Close() error {
 	b.endExchange(false)
 	return nil
--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -7,8 +7,8 @@
 )
 
 // Probe reports whether unread data has arrived from an upstream. A router short of processor time
-// uses it to tell its own delay from the upstream's. The zero value is attached to no connection.
-// It is safe for concurrent use.
+// uses it to distinguish its own delay from the upstream's. The zero value is attached to no
+// connection. It is safe for concurrent use.
 type Probe struct{ conn atomic.Pointer[conn] }
 
 // HasUnread reports whether data, the end or a reset of the connection is waiting to be read.
