--- a/deployment/crashes.go
+++ b/deployment/crashes.go
@@ -42,7 +42,7 @@
 	// saveVerdict stores a verdict of this router at the platform.
 	saveVerdict func(v quarantine.Verdict)
 	log         *slog.Logger
-	// guard contains panics; nil lets them pass.
+	// guard recovers from panics; nil lets them propagate.
 	guard *recovery.Guard
 
 	mu sync.Mutex
@@ -50,7 +50,7 @@
 	pendingChecks map[turn.Instance][]brokenRequest
 }
 
-// brokenRequest is a request during whose run the upstream closed the connection.
+// brokenRequest is a request whose upstream closed the connection while it ran the request.
 type brokenRequest struct {
 	request             quarantine.Fingerprint
 	startedAt, brokenAt time.Time
@@ -58,8 +58,8 @@
 
 var _ forward.Quarantine = (*crashMonitor)(nil)
 
-// Refuses returns for how long a request is refused, zero if it isn't.
-func (c *crashMonitor) Refuses(now time.Time, request quarantine.Fingerprint) time.Duration {
+// RefusedFor returns how long a request will still be refused, zero if it isn't refused.
+func (c *crashMonitor) RefusedFor(now time.Time, request quarantine.Fingerprint) time.Duration {
 	return c.tracker.RefusedFor(now, request)
 }
 
@@ -68,17 +68,17 @@
 	return c.tracker.IsOnProbation(now, request)
 }
 
-// Served records that an upstream has answered a request.
-func (c *crashMonitor) Served(now time.Time, request quarantine.Fingerprint) {
+// RecordServed records that an upstream has answered a request.
+func (c *crashMonitor) RecordServed(now time.Time, request quarantine.Fingerprint) {
 	if v, ok := c.tracker.RecordServed(now, request); ok {
 		c.broadcast(v)
 	}
 }
 
-// Broken records that an upstream closed its connection while it ran a request. That is a
+// RecordBroken records that an upstream closed its connection while it ran a request. That is a
 // crash only if the upstream's process has ended: a faulty upstream may reset connections and
 // keep running.
-func (c *crashMonitor) Broken(request quarantine.Fingerprint, upstream registry.Upstream, startedAt time.Time) {
+func (c *crashMonitor) RecordBroken(request quarantine.Fingerprint, upstream registry.Upstream, startedAt time.Time) {
 	instance := turn.InstanceOf(upstream)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +138,7 @@
 	return ok && known.Upstream.StartTime == instance.StartTime && (known.Removed || known.Upstream.Draining)
 }
 
-// isDownOrRestarted reports whether an upstream can't be reached or has started anew.
+// isDownOrRestarted reports whether an upstream can't be reached or has restarted.
 func (c *crashMonitor) isDownOrRestarted(upstream registry.Upstream) bool {
 	if known, ok := c.upstreamEntry(upstream.ID); ok && known.Upstream.StartTime != upstream.StartTime {
 		return true
--- a/deployment/crashes_test.go
+++ b/deployment/crashes_test.go
@@ -20,7 +20,7 @@
 )
 
 func (n *node) refusesCrashingRequest() bool {
-	return n.mesh.Quarantine().Refuses(time.Now(), crashingRequest) > 0
+	return n.mesh.Quarantine().RefusedFor(time.Now(), crashingRequest) > 0
 }
 
 // breakConnections reports broken connections of count upstreams during crashingRequest, one after
@@ -35,7 +35,7 @@
 func (n *node) breakConnection(i int) {
 	startedAt := time.Now()
 	time.Sleep(time.Millisecond)
-	n.mesh.Quarantine().Broken(crashingRequest, testUpstream(i), startedAt)
+	n.mesh.Quarantine().RecordBroken(crashingRequest, testUpstream(i), startedAt)
 }
 
 func testUpstream(i int) registry.Upstream {
@@ -60,7 +60,7 @@
 }
 
 // Guards against refusing a harmless request because faulty upstreams reset its connections.
-func TestUpstreamThatLivesOnHasNotCrashed(t *testing.T) {
+func TestReachableUpstreamHasNotCrashed(t *testing.T) {
 	t.Parallel()
 	n := newNode(t, "one")
 	n.reachable = make(map[string]bool)
@@ -74,7 +74,7 @@
 
 // Guards against overlooking the crash of an upstream that restarts before it is checked, and so
 // can be reached.
-func TestUpstreamWithANewLifeHasCrashed(t *testing.T) {
+func TestUpstreamWithANewStartTimeHasCrashed(t *testing.T) {
 	t.Parallel()
 	n := newNode(t, "one")
 	n.reachable = make(map[string]bool)
--- a/deployment/export_test.go
+++ b/deployment/export_test.go
@@ -32,7 +32,7 @@
 // AnnounceUpdate announces an update that has taken effect at this router.
 func (m *mesh) AnnounceUpdate(source string) { m.announceUpdate(source) }
 
-// Quarantine returns the mesh's detection of requests that crash upstreams.
+// Quarantine returns the detector of requests that crash upstreams.
 func (m *mesh) Quarantine() forward.Quarantine { return &m.crashMonitor }
 
 // AnswerKnowledgeRequest answers another router's request for newer versions.
--- a/deployment/knowledge.go
+++ b/deployment/knowledge.go
@@ -13,14 +13,14 @@
 	"nutmeglock.example/nutmeglock/schema"
 )
 
-// knowledgeMethod is the method by which a router asks another one for newer versions.
+// knowledgeMethod is the method of calls to other routers that returns newer versions.
 const knowledgeMethod = "deployment.knowledge"
 
 // notRequested in place of a version in a request excludes this kind of knowledge from the
 // answer.
 const notRequested = math.MaxUint64
 
-// knowledgeRequest asks for what is newer than the versions that the requesting router holds.
+// knowledgeRequest requests the updates after the versions that the requesting router holds.
 type knowledgeRequest struct {
 	ConfigurationVersion uint64 `json:"configuration-version"`
 	UpstreamRevision     uint64 `json:"upstream-revision"`
@@ -81,7 +81,7 @@
 	return knowledge.GetConfiguration(), eris.Wrap(err, "decoding another router's knowledge")
 }
 
-// answerKnowledgeRequest returns what is newer here than the versions in another router's request.
+// answerKnowledgeRequest returns the updates after the versions in another router's request.
 func (m *mesh) answerKnowledgeRequest(_ context.Context, params json.RawMessage) (any, error) {
 	var request knowledgeRequest
 	if err := json.Unmarshal(params, &request); err != nil {
--- a/deployment/listener.go
+++ b/deployment/listener.go
@@ -11,7 +11,7 @@
 )
 
 // yieldingListener yields to all other runnable goroutines before it accepts a caller's
-// connection. When processor time is short, new connections so wait in the kernel's queue, and
+// connection. When processor time is short, new connections then wait in the kernel's queue, and
 // requests in flight, answers of homes and callers that disconnect are handled first.
 type yieldingListener struct {
 	net.Listener
--- a/deployment/listener_test.go
+++ b/deployment/listener_test.go
@@ -28,7 +28,7 @@
 )
 
 // Guards against a flood of new connections that delays the requests in flight.
-func TestRequestsInHandGoBeforeNewConnections(t *testing.T) {
+func TestRequestsInFlightGoBeforeNewConnections(t *testing.T) {
 	t.Parallel()
 	if os.Getenv(singleProcessorEnv) != "" {
 		t.Log("accepted", acceptedBeforeAnswer(t))
--- a/deployment/mesh.go
+++ b/deployment/mesh.go
@@ -21,8 +21,8 @@
 
 const (
 	// followerPullDelay is how long a router that follows the store waits for an announced
-	// update to arrive from there before it asks another router. The store normally delivers
-	// within a few milliseconds, so no router has to ask.
+	// update to arrive from there before it pulls it from another router. The store normally
+	// delivers within a few milliseconds, so no pull is needed.
 	followerPullDelay = 150 * time.Millisecond
 	// maxNonFollowerPullDelay bounds the same delay for a router that doesn't follow the store.
 	maxNonFollowerPullDelay = 30 * time.Millisecond
@@ -44,10 +44,10 @@
 // mesh synchronises a router's state with the other routers, so that an update reaches
 // all of them even if the store serves only some.
 type mesh struct {
-	state *State
-	peers *peer.Peers
-	homes *home.Coordinator
-	// group decides whether this router follows the store on behalf of others.
+	state       *State
+	peers       *peer.Peers
+	coordinator *home.Coordinator
+	// group determines whether this router follows the store on behalf of others.
 	group *follow.Group
 	// overload detects a shortage of processor time by how long goroutines wait to run.
 	overload   overload.Detector
@@ -82,7 +82,7 @@
 // newMesh returns a mesh. checkReachable returns an error if an upstream can't be reached.
 func newMesh(state *State, options peer.Options, checkReachable func(ctx context.Context, address string) error) *mesh {
 	m := &mesh{state: state, peers: peer.New(options), log: options.Logger}
-	m.homes = &home.Coordinator{Self: options.Self, Send: m.peers.Send, Pool: state.Pool, Log: options.Logger, Guard: options.Guard}
+	m.coordinator = &home.Coordinator{Self: options.Self, Send: m.peers.Send, Pool: state.Pool, Log: options.Logger, Guard: options.Guard}
 	m.group = &follow.Group{Self: options.Self}
 	m.crashMonitor = crashMonitor{
 		self: options.Self, otherRouters: m.peers.Routers, send: m.peers.Send, upstreamEntry: state.Upstream, checkReachable: checkReachable,
@@ -96,7 +96,7 @@
 		name: "upstreams", heldVersion: m.upstreamRevision, fetch: m.fetchUpstreams, timer: timer.System{}, log: options.Logger,
 		guard: options.Guard,
 	}
-	state.homes = m.homes
+	state.coordinator = m.coordinator
 	m.peers.Handle(knowledgeMethod, m.answerKnowledgeRequest)
 	m.peers.OnBatch(m.receive)
 	m.peers.OnChange(m.handleConnectionChange)
@@ -169,11 +169,11 @@
 func (m *mesh) handleConnectionChange(c peer.Change) {
 	m.log.Info("router connection changed", "other", c.Router, "address", c.Address, "incarnation", c.Incarnation, "connected", c.Connected)
 	routers := m.peers.Routers()
-	m.homes.SetRouters(routers)
+	m.coordinator.SetRouters(routers)
 	m.group.SetRouters(routers)
-	m.state.setGrouped(m.homes.IsActive())
+	m.state.setGrouped(m.coordinator.IsActive())
 	if !c.Connected {
-		m.homes.HandleDisconnect(c.Router)
+		m.coordinator.HandleDisconnect(c.Router)
 		m.configurationPuller.forget(c.Router)
 		m.upstreamPuller.forget(c.Router)
 		return
@@ -187,12 +187,12 @@
 
 // receive handles a batch of messages from another router.
 func (m *mesh) receive(from fleet.RouterID, batch *schema.Batch) {
-	m.homes.HandleBatch(from, batch)
+	m.coordinator.HandleBatch(from, batch)
 	m.crashMonitor.receive(from, batch)
 	if a := batch.GetAnnouncement(); a != nil {
 		m.handleAnnouncement(from, a)
 	}
-	if m.homes.IsActive() {
+	if m.coordinator.IsActive() {
 		return // the reports were sent before the fleet became large
 	}
 	for _, work := range batch.GetLoads() {
@@ -214,13 +214,13 @@
 // announceIfGrouped announces newer versions to a router that announced older ones. In a
 // small fleet, each router has already announced them to all.
 func (m *mesh) announceIfGrouped(router fleet.RouterID, own *schema.Announcement) {
-	if m.homes.IsActive() {
+	if m.coordinator.IsActive() {
 		m.peers.Send(router, &schema.Batch{Announcement: own})
 	}
 }
 
 // pullDelay returns how long to wait for an announced update to arrive from the store. A
-// router that doesn't follow the store asks another router after a short random delay.
+// router that doesn't follow the store pulls from another router after a short random delay.
 func (m *mesh) pullDelay() time.Duration {
 	if m.group.PollInterval() > 0 {
 		return rand.N(maxNonFollowerPullDelay)
@@ -243,12 +243,12 @@
 		select {
 		case <-gossipTicker.C:
 			m.logAdmission()
-			if m.homes.IsActive() {
+			if m.coordinator.IsActive() {
 				m.gossip()
 			}
 		case now := <-reportTimer.C:
 			m.checkOverload(now)
-			if !m.homes.IsActive() {
+			if !m.coordinator.IsActive() {
 				m.report(now, m.peers.Routers())
 			}
 			reportTimer.Reset(reportInterval)
--- a/deployment/mesh_test.go
+++ b/deployment/mesh_test.go
@@ -25,7 +25,7 @@
 	// maxUpdateTime is the strictest bound of the users on the time until a change is in force.
 	maxUpdateTime = 2 * time.Second
 	// propagationTime is enough for an announcement over loopback. It is shorter than the time
-	// that a router waits for the store before it asks another router.
+	// that a router waits for the store before it pulls from another router.
 	propagationTime = 50 * time.Millisecond
 )
 
--- a/deployment/puller.go
+++ b/deployment/puller.go
@@ -22,12 +22,12 @@
 	name string
 	// heldVersion returns the version that this router has.
 	heldVersion func() uint64
-	// fetch requests what is newer than a version from another router, applies it, and
+	// fetch requests the updates after a version from another router, applies them, and
 	// returns the size of the answer in bytes.
 	fetch func(ctx context.Context, from fleet.RouterID, heldVersion uint64) (int, error)
 	timer timer.Service
 	log   *slog.Logger
-	// guard contains panics; nil lets them pass.
+	// guard recovers from panics; nil lets them propagate.
 	guard *recovery.Guard
 
 	sources follow.Sources
--- a/deployment/quarantines.go
+++ b/deployment/quarantines.go
@@ -8,8 +8,8 @@
 	"nutmeglock.example/nutmeglock/quarantine"
 )
 
-// QuarantineStore stores at the platform which requests are refused because they crash upstreams,
-// so that they are still refused after all routers have restarted.
+// QuarantineStore persists the requests that are refused because they crash upstreams, so that they
+// are still refused after all routers have restarted.
 type QuarantineStore interface {
 	// Load returns the stored entries.
 	Load(ctx context.Context) ([]quarantine.Entry, error)
--- a/deployment/router.go
+++ b/deployment/router.go
@@ -56,7 +56,7 @@
 	maxPeerBackoff = time.Second
 )
 
-// Options configure a Router. All are required but Recovery.
+// Options configure a Router. All are required but RecoveryTime.
 type Options struct {
 	Self       fleet.RouterID
 	DataCenter fleet.DataCenterID
@@ -100,7 +100,7 @@
 	handler *forward.Handler
 	client  *upstream.Client
 	metrics *metric.Set
-	// guard contains panics, and failures receives those after which the router has to stop.
+	// guard recovers from panics, and failures receives those after which the router has to stop.
 	guard          *recovery.Guard
 	failures       chan error
 	metricsHandler http.Handler
@@ -143,7 +143,7 @@
 	}
 	r.mesh.requestsInFlight = r.handler.InFlight
 	r.handler.HasCapacity = r.mesh.shedder.Admit
-	r.handler.OnShed = r.mesh.homes.AddShed
+	r.handler.OnShed = r.mesh.coordinator.AddShed
 	r.handler.SchedulingLatency = r.mesh.schedulingLatency
 	r.handler.Quarantine = &r.mesh.crashMonitor
 	r.addFollowers()
@@ -168,7 +168,7 @@
 	}
 }
 
-// handleStateChange announces an update that has taken effect here to the other routers.
+// handleStateChange announces to the other routers an update that has taken effect here.
 func (r *Router) handleStateChange(source string) {
 	r.metrics.NoteVersion.Set(float64(r.state.Table().Version()))
 	r.mesh.announceUpdate(source)
@@ -188,7 +188,7 @@
 	r.mesh.quarantinePersister.setUp(r.options.QuarantineStore, &r.mesh.crashMonitor.tracker, r.options.Log)
 	members := &memberSink{self: r.options.Self, peers: r.mesh.peers, state: r.state}
 	r.mesh.peers.OnChange(members.handleConnectionChange)
-	memberList := &memberFollower{startedAt: r.startedAt, isLarge: r.mesh.homes.IsActive, registered: r.registered}
+	memberList := &memberFollower{startedAt: r.startedAt, isLarge: r.mesh.coordinator.IsActive, registered: r.registered}
 	memberList.Follower = follow.Follower[Member, registry.Revision]{
 		Name: "routers", Feed: r.options.MemberStore, Sink: members, Log: r.options.Log,
 		Wait: memberPollWait, PollInterval: memberList.pollInterval,
--- a/deployment/sink.go
+++ b/deployment/sink.go
@@ -45,7 +45,7 @@
 	s.mesh.setStoreLost(true)
 }
 
-// Regained ends the state that Lost began, and announces it too.
+// Regained reverts the effect of Lost, and announces it too.
 func (s upstreamSink) Regained() {
 	s.state.SetUpstreamsAvailable()
 	s.mesh.setStoreLost(false)
--- a/deployment/state.go
+++ b/deployment/state.go
@@ -24,8 +24,8 @@
 // service without a known upstream; a router reads the list within about 100 ms.
 const unknownServiceRetryAfter = 250 * time.Millisecond
 
-// defaultRouterCount is the assumed number of routers in the fleet until the list is known. A
-// router that assumed to be alone would use the retry bound of the whole fleet.
+// defaultRouterCount is the assumed number of routers in the fleet until the list is known. With an
+// assumed count of one, a router would use the retry bound of the whole fleet.
 const defaultRouterCount = 6
 
 // State is a router's view of the deployment. Create it with NewState. It is safe for
@@ -38,12 +38,12 @@
 	configuration route.Configuration
 	directory     registry.Directory
 	pools         map[fleet.ServiceID]*turn.Pool
-	// homes grant the turns in a large fleet; nil until the mesh is created.
-	homes *home.Coordinator
+	// coordinator requests turns from homes in a large fleet; nil until the mesh is created.
+	coordinator *home.Coordinator
 	// grouped is set while homes grant the turns, for which upstreams are divided into groups.
 	grouped      bool
 	retryBudgets map[fleet.ServiceID]*retry.Budget
-	// routerCount is the number of routers in the fleet, as far as known.
+	// routerCount is the known number of routers in the fleet, or defaultRouterCount.
 	routerCount int
 	// readyAddresses are the addresses of the upstreams that take requests.
 	readyAddresses map[string]bool
@@ -57,7 +57,7 @@
 	RetryRatio float64
 	RetryBurst float64
 	Log        *slog.Logger
-	// Guard contains panics; nil lets them pass.
+	// Guard recovers from panics; nil lets them propagate.
 	Guard *recovery.Guard
 	// OnChange is called, unless it is nil, with the source of each configuration or change of
 	// the list of upstreams that has taken effect.
@@ -86,15 +86,15 @@
 
 // Turn waits for a request's turn at a service. It returns *turn.RefusedError if the turn
 // can't come in time, or the error of ctx.
-func (s *State) Turn(ctx context.Context, service fleet.ServiceID, demand turn.Request) (home.Ticket, error) {
+func (s *State) Turn(ctx context.Context, service fleet.ServiceID, request turn.Request) (home.Ticket, error) {
 	pool := s.Pool(service)
 	switch {
 	case pool == nil:
 		return nil, &turn.RefusedError{NoUpstream: true, RetryAfter: unknownServiceRetryAfter}
-	case s.homes == nil:
-		return home.AwaitLocal(ctx, pool, demand)
+	case s.coordinator == nil:
+		return home.AwaitLocal(ctx, pool, request)
 	}
-	return s.homes.RequestTurn(ctx, service, pool, demand)
+	return s.coordinator.RequestTurn(ctx, service, pool, request)
 }
 
 // setGrouped sets whether homes grant the turns.
--- a/deployment/state_test.go
+++ b/deployment/state_test.go
@@ -35,7 +35,7 @@
 // Versions arrive from the store's changes, from complete reads and from other routers, in any
 // order and more than once. A withdrawn key must not become valid again, so the version in
 // force must only increase.
-func TestConfigurationsNeverGoBack(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState()
--- a/deployment/stop.go
+++ b/deployment/stop.go
@@ -20,8 +20,8 @@
 	lastAnswerDelay = 60 * time.Millisecond
 )
 
-// stop shuts the router down in steps. It reports that it isn't ready, asks its callers to
-// connect elsewhere while it still serves them, then refuses new requests as not run, and
+// stop shuts the router down in steps. It reports that it isn't ready, closes callers'
+// connections after their answers so that they connect elsewhere, then refuses new requests as not run, and
 // waits for the requests in flight.
 //
 // The listener and idle connections stay open until the end. If the listener closed at once,
--- a/forward/admit.go
+++ b/forward/admit.go
@@ -36,7 +36,7 @@
 	if h.shutdown.isRefusing() {
 		return refusal.New(refusal.Stopping, "this router is stopping", stoppingRetryAfter)
 	}
-	j.intake = h.Codec.ParseRequest(j.request.Header)
+	j.info = h.Codec.ParseRequest(j.request.Header)
 	table := h.State.Table()
 	if table == nil {
 		return refusal.New(refusal.NotReady, "this router has no configuration yet", notReadyRetryAfter)
@@ -85,10 +85,10 @@
 		return refusal.New(refusal.UnknownRoute, "no route for this host and path", 0)
 	}
 	j.route = found
-	j.service = found.ServiceOf(j.intake.ID)
+	j.service = found.ServiceOf(j.info.ID)
 	j.deadline = j.arrived.Add(found.Timeout)
-	if j.intake.Timeout > 0 && j.intake.Timeout < found.Timeout {
-		j.deadline = j.arrived.Add(j.intake.Timeout)
+	if j.info.Timeout > 0 && j.info.Timeout < found.Timeout {
+		j.deadline = j.arrived.Add(j.info.Timeout)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 	if !table.RequiresKey() {
 		return nil
 	}
-	account, ok := table.AccountOf(j.intake.Key)
+	account, ok := table.AccountOf(j.info.Key)
 	if ok {
 		j.account = account
 		return nil
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -11,8 +11,8 @@
 	"nutmeglock.example/nutmeglock/refusal"
 )
 
-// maxRetryAfterFraction is the largest part of the caller's remaining time that it is told to wait
-// before a retry.
+// maxRetryAfterFraction is the largest part of the caller's remaining time that Retry-After may
+// take.
 const maxRetryAfterFraction = 0.3
 
 // sendHeader sends the status and header of an upstream's answer, unless that was done already.
@@ -37,15 +37,15 @@
 }
 
 // writeAnswer sends a buffered answer to the caller.
-func (j *job) writeAnswer(w *bufferedAnswer) {
-	length := int64(len(w.body))
+func (j *job) writeAnswer(buffered *bufferedAnswer) {
+	length := int64(len(buffered.body))
 	if j.request.Method == http.MethodHead {
 		length = -1
 	}
-	j.sendHeader(w.status, w.header, length)
-	_, err := j.writer.Write(w.body)
+	j.sendHeader(buffered.status, buffered.header, length)
+	_, err := j.writer.Write(buffered.body)
 	if err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		j.handler.Log.Info("answer not delivered", "request", j.intake.ID, "error", err)
+		j.handler.Log.Info("answer not delivered", "request", j.info.ID, "error", err)
 	}
 }
 
@@ -77,7 +77,7 @@
 	j.writer.WriteHeader(status)
 	_, err := j.writer.Write([]byte(string(e.Reason) + "\n"))
 	if err != nil {
-		h.routine().Info("refusal not delivered", "request", j.intake.ID, "error", err)
+		h.routineLogger().Info("refusal not delivered", "request", j.info.ID, "error", err)
 	}
 }
 
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -41,7 +41,7 @@
 	plainSilenceFactor = 1.5
 )
 
-// failure describes an attempt that brought no answer to relay.
+// failure describes an attempt that produced no answer to relay.
 type failure struct {
 	reason retry.Reason
 	// sent is true when a byte of the request may have left this machine; notRun when the upstream
@@ -88,14 +88,14 @@
 		return j.failSend(ctx, ticket, err)
 	}
 	defer answer.Body.Close()
-	verdict := j.handler.Codec.ParseAnswer(answer.Status, answer.Header)
-	if verdict.NotRun {
+	info := j.handler.Codec.ParseAnswer(answer.Status, answer.Header)
+	if info.NotRun {
 		ticket.End(time.Now(), turn.Refused)
 		_, _ = io.CopyN(io.Discard, answer.Body, maxBuffered) // read so that the connection can be used again
 		return &failure{reason: retry.UpstreamRefused, sent: true, notRun: true, retryAfter: retryAfter(answer.Header)}
 	}
 	j.possibleRuns++
-	if isNotFromUpstream(answer.Status, verdict) {
+	if isNotFromUpstream(answer.Status, info) {
 		f := &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: errNotFromUpstream}
 		ticket.End(time.Now(), turn.Failed)
 		return f
@@ -108,8 +108,8 @@
 
 // isNotFromUpstream reports whether an answer can't come from the upstream itself: a success
 // without its signature, or a status that implies "not run" though the upstream didn't state it.
-func isNotFromUpstream(status int, verdict AnswerInfo) bool {
-	return impliesNotRun(status) || (status >= 200 && status < 300 && !verdict.Signed)
+func isNotFromUpstream(status int, info AnswerInfo) bool {
+	return impliesNotRun(status) || (status >= 200 && status < 300 && !info.Signed)
 }
 
 func (j *job) isStream(answer *upstream.Answer) bool {
@@ -118,18 +118,18 @@
 
 func (j *job) send(ctx context.Context, ticket home.Ticket, probe *upstream.Probe) (*upstream.Answer, error) {
 	to := ticket.Upstream()
-	passing := AttemptInfo{TimeLeft: time.Until(j.deadline), Account: j.account, Upstream: to, FetchFrom: ticket.FetchFrom()}
+	info := AttemptInfo{TimeLeft: time.Until(j.deadline), Account: j.account, Upstream: to, FetchFrom: ticket.FetchFrom()}
 	if j.headerSent && j.lastEventID > 0 {
-		passing.LastEventID = strconv.FormatUint(j.lastEventID, 10)
+		info.LastEventID = strconv.FormatUint(j.lastEventID, 10)
 	}
-	j.handler.Codec.SetUpstreamHeader(j.header, passing)
+	j.handler.Codec.SetUpstreamHeader(j.header, info)
 	return j.handler.Client.Do(ctx, to.Address, upstream.Request{
-		ID: j.intake.ID, Method: j.request.Method, URI: j.request.RequestURI,
+		ID: j.info.ID, Method: j.request.Method, URI: j.request.RequestURI,
 		Host: j.request.Host, Header: j.header, Body: j.body, Probe: probe,
 	})
 }
 
-// failSend classifies the failure of an exchange that brought no answer and ends the ticket.
+// failSend classifies the failure of an exchange that returned no answer and ends the ticket.
 func (j *job) failSend(ctx context.Context, ticket home.Ticket, err error) *failure {
 	f := &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: err}
 	var failed *upstream.Error
@@ -153,7 +153,7 @@
 	return f
 }
 
-// upstreamOutcome returns the outcome of a failed attempt that its upstream is judged by.
+// upstreamOutcome returns the outcome that is recorded for the upstream of a failed attempt.
 func (j *job) upstreamOutcome(ctx context.Context, f *failure) turn.Outcome {
 	cause := context.Cause(ctx)
 	var sink *stream.SinkError
@@ -192,34 +192,35 @@
 		return j.fail(ctx, ticket, &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: err})
 	}
 	ticket.RecordFirstEvent(time.Now())
-	w := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
+	buffered := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) > maxBuffered {
 		if !watch.keepUpstream() {
 			ticket.End(time.Now(), turn.Failed)
 			return &failure{reason: retry.BrokenBeforeAnswer, sent: true, cause: errUpstreamSilent}
 		}
-		return j.relayUnbuffered(ctx, ticket, w, answer)
+		return j.relayUnbuffered(ctx, ticket, buffered, answer)
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		j.recordServed()
 		ticket.End(time.Now(), turn.Failed)
-		return &failure{reason: retry.AnsweredError, sent: true, errorAnswer: w}
+		return &failure{reason: retry.AnsweredError, sent: true, errorAnswer: buffered}
 	}
 	ticket.End(time.Now(), turn.Served)
 	if j.headerSent {
 		return &failure{reason: retry.StreamBroken, sent: true, final: true, cause: errNotResumed}
 	}
-	j.writeAnswer(w)
+	j.writeAnswer(buffered)
 	return nil
 }
 
-// relayUnbuffered relays an answer that is too long to be buffered. w holds what was read so far.
-func (j *job) relayUnbuffered(ctx context.Context, ticket home.Ticket, w *bufferedAnswer, answer *upstream.Answer) *failure {
+// relayUnbuffered relays an answer that is too long to be buffered. buffered holds the
+// part that was already read.
+func (j *job) relayUnbuffered(ctx context.Context, ticket home.Ticket, buffered *bufferedAnswer, answer *upstream.Answer) *failure {
 	if j.headerSent {
 		return &failure{reason: retry.StreamBroken, sent: true, final: true, cause: errNotResumed}
 	}
-	j.sendHeader(w.status, w.header, answer.Length)
-	_, _ = j.writer.Write(w.body) // a caller that left ends ctx
+	j.sendHeader(buffered.status, buffered.header, answer.Length)
+	_, _ = j.writer.Write(buffered.body) // if the caller has disconnected, ctx ends
 	_, err := io.Copy(j.writer, answer.Body)
 	if err != nil {
 		return j.fail(ctx, ticket, &failure{reason: retry.StreamBroken, sent: true, final: true, cause: err})
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -21,7 +21,7 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-func BenchmarkWhole(b *testing.B) {
+func BenchmarkPlain(b *testing.B) {
 	f := startBenchmark(b, answersOK)
 	for b.Loop() {
 		f(b, "/order/1")
@@ -50,7 +50,7 @@
 	pool := &turn.Pool{Placement: turn.LeastLoaded{}}
 	pool.SetUpstreams(time.Now(), []registry.Upstream{{ID: "u", Address: server.Listener.Addr().String(), Slots: 1024}}, time.Second)
 	handler := &forward.Handler{
-		Codec: dialect{}, State: &fixedState{table: table, pool: pool}, Client: &upstream.Client{},
+		Codec: testCodec{}, State: &fixedState{table: table, pool: pool}, Client: &upstream.Client{},
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	front := httptest.NewServer(handler)
--- a/forward/caller.go
+++ b/forward/caller.go
@@ -15,8 +15,8 @@
 // callerConnKey is the context key of a caller's connection.
 type callerConnKey struct{}
 
-// WithCaller adds a caller's connection to the context of its requests, so that a Handler can tell
-// whether the caller has disconnected. Use it as the server's ConnContext.
+// WithCaller adds a caller's connection to the context of its requests, so that a Handler can
+// detect that the caller has disconnected. Use it as the server's ConnContext.
 func WithCaller(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, conn)
 }
--- a/forward/caller_test.go
+++ b/forward/caller_test.go
@@ -15,7 +15,7 @@
 // Guards against forwarding a request whose caller has already disconnected. A router short of
 // processor time read such requests seconds late. The end of the connection was queued behind the
 // request, and the goroutine that would have read it ran too late, so an upstream worked in vain.
-func TestRequestOfACallerThatHasLeftIsNotPassedOn(t *testing.T) {
+func TestRequestOfADisconnectedCallerIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	f := start(t, answersOK)
 	left := make(chan struct{})
@@ -37,8 +37,8 @@
 	require.Zero(t, f.count())
 }
 
-// Checks that callers are served that wait for their answer or send several requests on a
-// connection.
+// A caller that waits for its answer, or sends several requests on one connection, must not be
+// taken for disconnected.
 func TestCallerThatWaitsIsServed(t *testing.T) {
 	t.Parallel()
 	f := start(t, answersOK)
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -28,7 +28,7 @@
 	if j.handler.Quarantine == nil {
 		return nil
 	}
-	left := j.handler.Quarantine.Refuses(time.Now(), j.fingerprint())
+	left := j.handler.Quarantine.RefusedFor(time.Now(), j.fingerprint())
 	if left <= 0 {
 		return nil
 	}
@@ -45,7 +45,7 @@
 // recordServed reports to the quarantine that an upstream has answered the request.
 func (j *job) recordServed() {
 	if j.handler.Quarantine != nil {
-		j.handler.Quarantine.Served(time.Now(), j.fingerprint())
+		j.handler.Quarantine.RecordServed(time.Now(), j.fingerprint())
 	}
 }
 
@@ -53,7 +53,7 @@
 // request.
 func (j *job) recordBroken(ticket home.Ticket) {
 	if j.handler.Quarantine != nil {
-		j.handler.Quarantine.Broken(j.fingerprint(), ticket.Upstream(), j.sentAt)
+		j.handler.Quarantine.RecordBroken(j.fingerprint(), ticket.Upstream(), j.sentAt)
 	}
 }
 
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -19,47 +19,47 @@
 	mu sync.Mutex
 	// refused and onProbation apply to all requests.
 	refused, onProbation bool
-	// refusesBroken makes requests refused once one has broken off.
-	refusesBroken bool
-	served        int
-	broken        []fleet.UpstreamID
+	// refusesAfterBreak sets refused once a request has broken off.
+	refusesAfterBreak bool
+	served            int
+	broken            []fleet.UpstreamID
 }
 
-func (n *recordingQuarantine) Refuses(time.Time, quarantine.Fingerprint) time.Duration {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.refused {
+func (q *recordingQuarantine) RefusedFor(time.Time, quarantine.Fingerprint) time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.refused {
 		return time.Minute
 	}
 	return 0
 }
 
-func (n *recordingQuarantine) IsOnProbation(time.Time, quarantine.Fingerprint) bool {
-	return n.onProbation
+func (q *recordingQuarantine) IsOnProbation(time.Time, quarantine.Fingerprint) bool {
+	return q.onProbation
 }
 
-func (n *recordingQuarantine) Served(time.Time, quarantine.Fingerprint) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.served++
+func (q *recordingQuarantine) RecordServed(time.Time, quarantine.Fingerprint) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.served++
 }
 
-func (n *recordingQuarantine) Broken(_ quarantine.Fingerprint, u registry.Upstream, _ time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.broken = append(n.broken, u.ID)
-	n.refused = n.refused || n.refusesBroken
+func (q *recordingQuarantine) RecordBroken(_ quarantine.Fingerprint, u registry.Upstream, _ time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.broken = append(q.broken, u.ID)
+	q.refused = q.refused || q.refusesAfterBreak
 }
 
 // startWithQuarantine starts a router with a recording quarantine and two upstreams that run fn.
-func startWithQuarantine(t *testing.T, fn http.HandlerFunc, n *recordingQuarantine) *fixture {
+func startWithQuarantine(t *testing.T, fn http.HandlerFunc, q *recordingQuarantine) *fixture {
 	t.Helper()
 	f := start(t, fn, fn)
-	f.handler.Quarantine = n
+	f.handler.Quarantine = q
 	return f
 }
 
-// Guards against a quarantined request that is sent, or is refused without saying that it wasn't
+// Guards against a quarantined request that is sent, or whose refusal doesn't state that it wasn't
 // run.
 func TestQuarantinedRequestIsRefusedAsNotRun(t *testing.T) {
 	t.Parallel()
@@ -75,7 +75,7 @@
 // Guards against a request reported as not run though its first attempt may have run it.
 func TestRequestQuarantinedAfterItsRunIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
-	f := startWithQuarantine(t, resets, &recordingQuarantine{refusesBroken: true})
+	f := startWithQuarantine(t, resets, &recordingQuarantine{refusesAfterBreak: true})
 	status, _, _, err := f.post(t, "/read/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, status)
@@ -83,7 +83,7 @@
 }
 
 // Guards against a request on probation that crashes a second upstream when it is retried.
-func TestRequestOnProbationIsNotRepeated(t *testing.T) {
+func TestRequestOnProbationIsNotRetried(t *testing.T) {
 	t.Parallel()
 	f := startWithQuarantine(t, resets, &recordingQuarantine{onProbation: true})
 	status, _, _, err := f.post(t, "/read/1")
@@ -103,7 +103,7 @@
 		"\r\nContent-Type: text/event-stream\r\n\r\nid: 1\ndata: a\n\nid: 2\nda")
 }
 
-func TestQuarantineIsToldWhatBecameOfARequest(t *testing.T) {
+func TestQuarantineRecordsTheOutcomeOfARequest(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name           string
@@ -120,12 +120,12 @@
 		{"a time-out", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, "/short/1", 0, 0},
 	}
 	for _, c := range cases {
-		n := &recordingQuarantine{}
-		f := startWithQuarantine(t, c.fn, n)
-		_, _, _, _ = f.post(t, c.path) //nolint:dogsled // what the caller gets is tested elsewhere
-		n.mu.Lock()
-		require.Equal(t, c.served, n.served, c.name)
-		require.Len(t, n.broken, c.broken, c.name)
-		n.mu.Unlock()
+		q := &recordingQuarantine{}
+		f := startWithQuarantine(t, c.fn, q)
+		_, _, _, _ = f.post(t, c.path) //nolint:dogsled // the answer is checked by other tests
+		q.mu.Lock()
+		require.Equal(t, c.served, q.served, c.name)
+		require.Len(t, q.broken, c.broken, c.name)
+		q.mu.Unlock()
 	}
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,10 +1,10 @@
 // Package forward serves client requests on the routes of a configuration: it finds the route and
 // the account, waits for a turn, forwards the request to an upstream and relays the answer.
 //
-// It guarantees, whatever fails: the caller is told "not run" only when no upstream has run the
-// request and none will; a non-idempotent request is sent again only in that case; an answer reaches its
-// caller complete and unchanged, or is visibly broken off; when a caller disconnects, its work at
-// the upstream is cancelled.
+// It guarantees, whatever fails: a request is reported as not run only when no upstream has run it
+// and none will; a non-idempotent request is sent again only in that case; an answer reaches its
+// caller complete and unchanged, or is visibly broken off; when a caller disconnects, its request
+// to the upstream is cancelled.
 package forward
 
 import (
@@ -28,37 +28,37 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// RequestInfo holds what a caller's header says about its request.
+// RequestInfo holds the values parsed from a caller's header.
 type RequestInfo struct {
 	ID fleet.RequestID
 	// Key is the account's API key, empty when the caller sent none.
 	Key string
 	// Timeout is the caller's timeout; zero when it states none.
 	Timeout time.Duration
-	// Beginnings identify the prefixes of the prompt, from short to long.
-	Beginnings []turn.Prefix
-	// InputTokens is the number of prompt tokens and Output the expected number of generated tokens; both
-	// are zero when the request has no prompt.
+	// Prefixes are the prefixes of the prompt, from short to long.
+	Prefixes []turn.Prefix
+	// InputTokens is the number of prompt tokens, and OutputTokens the expected number of generated
+	// tokens; both are zero when the request has no prompt.
 	InputTokens  int
 	OutputTokens int
 }
 
-// AttemptInfo holds what an upstream is told in addition to the request.
+// AttemptInfo holds the values that an attempt adds to the request's header.
 type AttemptInfo struct {
 	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
 	Account  fleet.AccountID
-	// Upstream is the upstream, and its life, that the request is sent to.
+	// Upstream is the upstream that the request is sent to.
 	Upstream registry.Upstream
 	// LastEventID is the id of the last event that was relayed to the caller. It is empty when there is
 	// none or when the caller sent Last-Event-ID itself.
 	LastEventID string
-	// FetchFrom is the address of an upstream whose cache holds the beginning of the prompt, to be
-	// copied from there; empty for none.
+	// FetchFrom is the address of an upstream from whose cache a prefix of the prompt is to be
+	// copied; empty for none.
 	FetchFrom string
 }
 
-// AnswerInfo holds what an answer's header says about the handling of the request.
+// AnswerInfo holds the values parsed from the status and header of an upstream's answer.
 type AnswerInfo struct {
 	// NotRun is true when the upstream states that it hasn't run the request and never will.
 	NotRun bool
@@ -73,7 +73,7 @@
 	// StripReserved removes the key, and the fields that callers may not set for upstreams.
 	StripReserved(header http.Header)
 	// SetUpstreamHeader sets the fields of the request that is sent to an upstream.
-	SetUpstreamHeader(header http.Header, passing AttemptInfo)
+	SetUpstreamHeader(header http.Header, info AttemptInfo)
 	// ParseAnswer parses the status and header of an upstream's answer.
 	ParseAnswer(status int, header http.Header) AnswerInfo
 }
@@ -85,27 +85,27 @@
 	Table() *route.Table
 	// Turn waits for a request's turn at a service. The error is *turn.RefusedError when the turn
 	// can't come in time, or the error of ctx.
-	Turn(ctx context.Context, service fleet.ServiceID, demand turn.Request) (home.Ticket, error)
+	Turn(ctx context.Context, service fleet.ServiceID, request turn.Request) (home.Ticket, error)
 	// Retries returns the retry policy of a service.
 	Retries(service fleet.ServiceID) retry.Policy
 }
 
 // Quarantine tracks requests that crash the upstreams that run them. It is safe for concurrent use.
 type Quarantine interface {
-	// Refuses returns how long a request will still be refused, zero if it isn't refused.
-	Refuses(now time.Time, request quarantine.Fingerprint) time.Duration
+	// RefusedFor returns how long a request will still be refused, zero if it isn't refused.
+	RefusedFor(now time.Time, request quarantine.Fingerprint) time.Duration
 	// IsOnProbation reports whether a request was refused recently, so that it isn't retried after
 	// a broken connection.
 	IsOnProbation(now time.Time, request quarantine.Fingerprint) bool
-	// Served records that an upstream has answered a request.
-	Served(now time.Time, request quarantine.Fingerprint)
-	// Broken records that an upstream closed its connection while it ran a request that was sent at
-	// began.
-	Broken(request quarantine.Fingerprint, upstream registry.Upstream, began time.Time)
+	// RecordServed records that an upstream has answered a request.
+	RecordServed(now time.Time, request quarantine.Fingerprint)
+	// RecordBroken records that an upstream closed its connection while it ran a request that was
+	// sent at startedAt.
+	RecordBroken(request quarantine.Fingerprint, upstream registry.Upstream, startedAt time.Time)
 }
 
-// Handler is the http.Handler for callers. All fields are required but Routine, Crowded, Takes,
-// Shed, Quarantine, Guard and Latency.
+// Handler is the http.Handler for callers. All fields are required but RoutineLog,
+// TooManyConnections, HasCapacity, OnShed, Quarantine, Guard and SchedulingLatency.
 type Handler struct {
 	Codec   HeaderCodec
 	State   RoutingState
@@ -116,14 +116,14 @@
 	Log *slog.Logger
 	// RoutineLog gets the lines on all other requests, of which there may be many; nil means Log.
 	RoutineLog *slog.Logger
-	// TooManyConnections reports whether connections should be closed after their answer because too many are
-	// open; nil means never.
+	// TooManyConnections reports whether so many connections are open that each should be closed
+	// after its answer; nil means never.
 	TooManyConnections func() bool
-	// HasCapacity reports whether the router has processor time for a request of an account that has just
-	// arrived; nil means always.
+	// HasCapacity reports whether the router has processor time for an account's request that has
+	// just arrived; nil means always.
 	HasCapacity func(now time.Time, account fleet.AccountID) bool
-	// OnShed is called for each request that Takes refused, with the request's cost in tokens; it may
-	// be nil.
+	// OnShed is called for each request refused for lack of capacity, with the request's cost in
+	// tokens; it may be nil.
 	OnShed func(service fleet.ServiceID, account fleet.AccountID, tokens float64)
 	// Quarantine may be nil.
 	Quarantine Quarantine
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -24,28 +24,28 @@
 	"nutmeglock.example/nutmeglock/upstream"
 )
 
-// dialect is a simple Dialect for tests.
-type dialect struct{}
+// testCodec is a simple HeaderCodec for tests.
+type testCodec struct{}
 
-func (dialect) ParseRequest(h http.Header) forward.RequestInfo {
-	in := forward.RequestInfo{ID: fleet.RequestID(h.Get("X-Id")), Key: h.Get("X-Key")}
-	if left, err := time.ParseDuration(h.Get("X-Left")); err == nil {
-		in.Timeout = left
+func (testCodec) ParseRequest(h http.Header) forward.RequestInfo {
+	info := forward.RequestInfo{ID: fleet.RequestID(h.Get("X-Id")), Key: h.Get("X-Key")}
+	if timeout, err := time.ParseDuration(h.Get("X-Left")); err == nil {
+		info.Timeout = timeout
 	}
-	return in
+	return info
 }
-func (dialect) StripReserved(h http.Header) { h.Del("X-Key") }
+func (testCodec) StripReserved(h http.Header) { h.Del("X-Key") }
 
-func (dialect) SetUpstreamHeader(h http.Header, p forward.AttemptInfo) {
-	h.Set("X-Upstream", string(p.Upstream.ID))
-	h.Set("X-Account", string(p.Account))
-	h.Set("X-Left", p.TimeLeft.String())
-	if p.LastEventID != "" {
-		h.Set("Last-Event-Id", p.LastEventID)
+func (testCodec) SetUpstreamHeader(h http.Header, info forward.AttemptInfo) {
+	h.Set("X-Upstream", string(info.Upstream.ID))
+	h.Set("X-Account", string(info.Account))
+	h.Set("X-Left", info.TimeLeft.String())
+	if info.LastEventID != "" {
+		h.Set("Last-Event-Id", info.LastEventID)
 	}
 }
 
-func (dialect) ParseAnswer(_ int, h http.Header) forward.AnswerInfo {
+func (testCodec) ParseAnswer(_ int, h http.Header) forward.AnswerInfo {
 	return forward.AnswerInfo{NotRun: h.Get("X-Not-Run") != "", Signed: h.Get("X-Signed") != ""}
 }
 
@@ -117,7 +117,7 @@
 	t.Cleanup(client.Close)
 	f.state = &fixedState{table: table, pool: pool}
 	f.handler = &forward.Handler{
-		Codec: dialect{}, State: f.state, Client: client,
+		Codec: testCodec{}, State: f.state, Client: client,
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	f.router = httptest.NewUnstartedServer(f.handler)
@@ -227,7 +227,7 @@
 	require.Equal(t, http.StatusOK, status)
 }
 
-// A router that has just started has no configuration. If it said that a route or a key doesn't
+// A router that has just started has no configuration. If it answered that a route or a key doesn't
 // exist, the caller would not retry.
 func TestRouterWithoutConfigurationIsUnavailable(t *testing.T) {
 	t.Parallel()
@@ -249,12 +249,12 @@
 		status  int
 		reached int
 	}{
-		{"one says not run, the other serves", []http.HandlerFunc{answersNotRun, answersOK}, http.StatusOK, -1},
-		{"all say not run", []http.HandlerFunc{answersNotRun, answersNotRun}, http.StatusServiceUnavailable, 2},
+		{"one answers not run, the other serves", []http.HandlerFunc{answersNotRun, answersOK}, http.StatusOK, -1},
+		{"all answer not run", []http.HandlerFunc{answersNotRun, answersNotRun}, http.StatusServiceUnavailable, 2},
 		{"reset after it was read", []http.HandlerFunc{resets, resets}, http.StatusBadGateway, 1},
 		{"own error", []http.HandlerFunc{answersError, answersError}, http.StatusInternalServerError, 1},
 		{"success without signature", []http.HandlerFunc{func(http.ResponseWriter, *http.Request) {}}, http.StatusBadGateway, 1},
-		{"busy without saying that it wasn't run", []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }}, http.StatusBadGateway, 1},
+		{"busy without stating that it wasn't run", []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }}, http.StatusBadGateway, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -285,7 +285,7 @@
 
 // An idempotent request is retried after an upstream's error. If all upstreams fail, the caller
 // gets the error of the last one.
-func TestReadsAreRepeated(t *testing.T) {
+func TestIdempotentRequestsAreRetried(t *testing.T) {
 	t.Parallel()
 	for range 4 {
 		f := start(t, answersError, answersOK)
@@ -328,22 +328,22 @@
 
 // Callers that retry on new connections and keep the old ones open can exhaust the process's file
 // descriptors. Above a bound each answer closes its connection.
-func TestCrowdedRouterClosesConnectionsAfterTheirAnswer(t *testing.T) {
+func TestRouterWithTooManyConnectionsClosesThemAfterTheirAnswer(t *testing.T) {
 	t.Parallel()
 	f := start(t, answersOK)
-	for _, crowded := range []bool{false, true} {
-		f.handler.TooManyConnections = func() bool { return crowded }
+	for _, tooMany := range []bool{false, true} {
+		f.handler.TooManyConnections = func() bool { return tooMany }
 		answer, err := http.DefaultClient.Do(f.request(t, http.MethodPost, "/read/1", "body"))
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
 		require.Equal(t, http.StatusOK, answer.StatusCode)
-		require.Equal(t, crowded, answer.Close)
+		require.Equal(t, tooMany, answer.Close)
 	}
 }
 
 // A request for which the router has no processor time is refused at once, with a Retry-After, and
-// reaches no upstream. Shed must be called, or the account would seem to get everything that it
-// asks for.
+// reaches no upstream. OnShed must be called, or the account would seem to get all the service that
+// it requests.
 func TestRequestWithoutProcessorTimeIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	f := start(t, answersOK)
--- a/forward/held.go
+++ b/forward/held.go
@@ -14,51 +14,52 @@
 	idle               chan struct{}
 }
 
-func (h *shutdownState) begin() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.inFlight++
+func (s *shutdownState) begin() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inFlight++
 }
 
-func (h *shutdownState) end() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.inFlight--
-	if h.inFlight == 0 && h.idle != nil {
-		close(h.idle)
-		h.idle = nil
+func (s *shutdownState) end() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inFlight--
+	if s.inFlight == 0 && s.idle != nil {
+		close(s.idle)
+		s.idle = nil
 	}
 }
 
-func (h *shutdownState) isClosingConnections() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.closingConnections
+func (s *shutdownState) isClosingConnections() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.closingConnections
 }
 
-func (h *shutdownState) isRefusing() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.refusing
+func (s *shutdownState) isRefusing() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.refusing
 }
 
 // whenIdle returns a channel that is closed once no request is in flight.
-func (h *shutdownState) whenIdle() <-chan struct{} {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.idle == nil {
-		h.idle = make(chan struct{})
+func (s *shutdownState) whenIdle() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.idle == nil {
+		s.idle = make(chan struct{})
 	}
-	idle := h.idle
-	if h.inFlight == 0 {
-		close(h.idle)
-		h.idle = nil
+	idle := s.idle
+	if s.inFlight == 0 {
+		close(s.idle)
+		s.idle = nil
 	}
 	return idle
 }
 
-// DisableKeepAlives makes each answer close its connection, so that callers reconnect to another router.
-// Requests are still served, because the balancer sends new connections here until it notices.
+// DisableKeepAlives makes each answer close its connection, so that callers reconnect to another
+// router. Requests are still served, because the balancer sends new connections here until it
+// notices.
 func (h *Handler) DisableKeepAlives() {
 	h.shutdown.mu.Lock()
 	defer h.shutdown.mu.Unlock()
--- a/forward/job.go
+++ b/forward/job.go
@@ -48,7 +48,7 @@
 	request *http.Request
 	arrived time.Time
 
-	intake   RequestInfo
+	info     RequestInfo
 	version  fleet.Version
 	route    *route.Route
 	service  fleet.ServiceID
@@ -67,7 +67,7 @@
 	tried        []turn.Instance
 	// ticket is the turn of the latest attempt, nil before the first.
 	ticket home.Ticket
-	// nextTicket is the turn at another upstream that made the last attempt end, if any.
+	// nextTicket is the turn at another upstream for which the last attempt was ended, if any.
 	nextTicket home.Ticket
 	// silence describes how long the last attempt's upstream was silent.
 	silence silence
@@ -145,18 +145,18 @@
 
 func (h *Handler) retries(j *job) retry.Policy { return h.State.Retries(j.service) }
 
-// demand returns the request's demand for its next turn.
-func (j *job) demand() turn.Request {
-	d := turn.Request{
-		Account: j.account, Prefixes: j.intake.Beginnings, Tried: j.tried,
-		Input: max(j.intake.InputTokens, 1), Output: j.intake.OutputTokens, Target: j.route.LatencyTarget,
+// turnRequest returns the turn.Request for the next turn.
+func (j *job) turnRequest() turn.Request {
+	request := turn.Request{
+		Account: j.account, Prefixes: j.info.Prefixes, Tried: j.tried,
+		Input: max(j.info.InputTokens, 1), Output: j.info.OutputTokens, Target: j.route.LatencyTarget,
 	}
-	d.Patience = max(min(j.maxWait(), time.Until(j.deadline)), 0)
-	return d
+	request.Patience = max(min(j.maxWait(), time.Until(j.deadline)), 0)
+	return request
 }
 
 // cost returns the tokens that the request counts towards its account's service.
-func (j *job) cost() float64 { return turn.Cost(max(j.intake.InputTokens, 1), j.intake.OutputTokens) }
+func (j *job) cost() float64 { return turn.Cost(max(j.info.InputTokens, 1), j.info.OutputTokens) }
 
 // maxWait returns how long the request may wait for its next turn, before its account's share and
 // its deadline are taken into account.
@@ -190,9 +190,9 @@
 
 // awaitTurn waits for a turn and adds the wait to queueTime.
 func (j *job) awaitTurn(ctx context.Context) (home.Ticket, *refusal.Error) {
-	asked := time.Now()
-	ticket, err := j.waitInQueue(ctx, j.demand())
-	j.queueTime += time.Since(asked)
+	start := time.Now()
+	ticket, err := j.waitInQueue(ctx, j.turnRequest())
+	j.queueTime += time.Since(start)
 	switch {
 	case err == nil:
 		return ticket, nil
@@ -203,11 +203,11 @@
 }
 
 // waitInQueue waits for a turn while the request counts in the queue of its account.
-func (j *job) waitInQueue(ctx context.Context, demand turn.Request) (home.Ticket, error) {
+func (j *job) waitInQueue(ctx context.Context, request turn.Request) (home.Ticket, error) {
 	j.handler.queues.Enter(time.Now(), j.queueKey())
 	granted := false
 	defer func() { j.handler.queues.Leave(time.Now(), j.queueKey(), granted) }() // also if Turn panics
-	ticket, err := j.handler.State.Turn(ctx, j.service, demand)
+	ticket, err := j.handler.State.Turn(ctx, j.service, request)
 	granted = err == nil
 	return ticket, err
 }
--- a/forward/log.go
+++ b/forward/log.go
@@ -57,7 +57,7 @@
 	to := ticket.Upstream()
 	by, why := j.attemptEnd(ctx, f)
 	j.handler.Log.Warn("attempt failed",
-		"request", j.intake.ID, "upstream", to.ID, "address", to.Address, "life", to.StartTime, "reason", f.reason,
+		"request", j.info.ID, "upstream", to.ID, "address", to.Address, "life", to.StartTime, "reason", f.reason,
 		"ended-by", by, "decision", why, "fingerprint", j.fingerprint(), "sent", f.sent, "not-run", f.notRun,
 		"attempt", j.sends, "events", j.eventCount, "last-event", j.lastEventID, "unread-tokens", ticket.PendingPrefill(),
 		"age-ms", ms(time.Since(j.arrived)), "attempt-ms", ms(time.Since(j.sentAt)), "left-ms", ms(time.Until(j.deadline)),
@@ -79,20 +79,21 @@
 	log := j.handler.Log
 	if j.sends == 0 {
 		kind := refusal.Kind{Reason: e.Reason, Account: j.account, Route: j.routeName()}
-		if j.handler.refusals.Add(time.Now(), kind, j.intake.ID, time.Since(j.arrived)) {
+		if j.handler.refusals.Add(time.Now(), kind, j.info.ID, time.Since(j.arrived)) {
 			return
 		}
-		log = j.handler.routine()
+		log = j.handler.routineLogger()
 	}
 	log.Warn("request refused",
-		"request", j.intake.ID, "reason", e.Reason, "outcome", e.Outcome, "detail", e.Detail,
+		"request", j.info.ID, "reason", e.Reason, "outcome", e.Outcome, "detail", e.Detail,
 		"route", j.routeName(), "service", j.service, "account", j.account, "configuration", j.version,
 		"sends", j.sends, "runs", j.possibleRuns, "events", j.eventCount, "waited-ms", ms(j.queueTime),
 		"age-ms", ms(time.Since(j.arrived)), "retry-after-ms", ms(e.RetryAfter), "cause", errorText(e.Cause))
 }
 
 // LogRefusals logs a summary of the refusals since the last call that got no line of their own.
-// Call it once a second. The summaries go to Log, not Routine, since each stands for many requests.
+// Call it once a second. The summaries go to Log, not RoutineLog, since each stands for many
+// requests.
 func (h *Handler) LogRefusals() {
 	for _, summary := range h.refusals.Take() {
 		h.Log.Warn("requests refused", "reason", summary.Reason, "account", summary.Account, "route", summary.Route,
@@ -100,8 +101,8 @@
 	}
 }
 
-// routine returns the log for requests that were answered or never sent.
-func (h *Handler) routine() *slog.Logger {
+// routineLogger returns the log for requests that were answered or never sent.
+func (h *Handler) routineLogger() *slog.Logger {
 	if h.RoutineLog == nil {
 		return h.Log
 	}
@@ -117,8 +118,8 @@
 		return
 	}
 	to := ticket.Upstream()
-	h.routine().LogAttrs(j.request.Context(), slog.LevelInfo, "request answered",
-		slog.String("request", string(j.intake.ID)), slog.Bool("late", late), slog.String("route", j.route.Name),
+	h.routineLogger().LogAttrs(j.request.Context(), slog.LevelInfo, "request answered",
+		slog.String("request", string(j.info.ID)), slog.Bool("late", late), slog.String("route", j.route.Name),
 		slog.String("account", string(j.account)), slog.String("upstream", string(to.ID)), slog.Int("sends", j.sends),
 		slog.Uint64("configuration", uint64(j.version)), slog.Int("unread-tokens", ticket.PendingPrefill()),
 		slog.Float64("waited-ms", ms(j.queueTime)), slog.Float64("first-ms", ms(firstByte)),
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -16,10 +16,10 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// panickingDialect panics when it parses an upstream's answer.
-type panickingDialect struct{ dialect }
+// panickingCodec panics when it parses an upstream's answer.
+type panickingCodec struct{ testCodec }
 
-func (panickingDialect) ParseAnswer(int, http.Header) forward.AnswerInfo {
+func (panickingCodec) ParseAnswer(int, http.Header) forward.AnswerInfo {
 	panic("a fault of the router")
 }
 
@@ -38,7 +38,7 @@
 	t.Parallel()
 	f := start(t, answersOK)
 	log, panics := f.recoverPanics()
-	f.handler.Codec = panickingDialect{}
+	f.handler.Codec = panickingCodec{}
 	for range 20 { // more than the upstream has slots
 		status, body, header, err := f.post(t, "/order/1")
 		require.NoError(t, err)
@@ -48,8 +48,8 @@
 	}
 	require.EqualValues(t, 20, panics.Load())
 	require.Contains(t, log.String(), `"request":"id-1"`)
-	require.Contains(t, log.String(), "panickingDialect.Verdict")
-	f.handler.Codec = dialect{}
+	require.Contains(t, log.String(), "panickingCodec.ParseAnswer")
+	f.handler.Codec = testCodec{}
 	status, _, _, err := f.post(t, "/order/1")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
--- a/forward/refused_test.go
+++ b/forward/refused_test.go
@@ -27,7 +27,8 @@
 
 // Measures the cost of refusing a request that arrives on its own connection with a long prompt,
 // which limits the flood that a small router withstands. "line" is a refusal before the body is
-// read, because the account's queue is full; "turn" is one after asking for a turn.
+// read, because the account's queue is full; "turn" is a refusal of
+// the request for a turn.
 func BenchmarkRefused(b *testing.B) {
 	b.Run("line", func(b *testing.B) {
 		f := startFlood(b, occupied(b))
@@ -79,7 +80,7 @@
 		configuration.Accounts = append(configuration.Accounts, account)
 	}
 	handler := &forward.Handler{
-		Codec: dialect{}, State: &fixedState{table: route.NewTable(configuration), pool: pool}, Client: &upstream.Client{},
+		Codec: testCodec{}, State: &fixedState{table: route.NewTable(configuration), pool: pool}, Client: &upstream.Client{},
 		Metrics: metric.New(prometheus.NewRegistry()), Log: slog.New(slog.DiscardHandler),
 	}
 	front := httptest.NewUnstartedServer(handler)
@@ -90,8 +91,8 @@
 }
 
 // fillQueue sends requests until the account's queue is full. Each connection stays open: a request
-// that was given up counts for a moment longer, so the queue would seem full and the next request
-// would wait in it for ever.
+// whose caller has disconnected counts for a moment longer, so the queue would seem full and the
+// next request would wait in it for ever.
 func (f *flood) fillQueue(b *testing.B, key string) {
 	b.Helper()
 	require.Eventually(b, func() bool {
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -86,10 +86,10 @@
 	fn := streamWithPauses(0, overlongPause)
 	f := start(t, fn, fn)
 	var returned atomic.Int32
-	asks := 0
+	turns := 0
 	f.state.turn = func(ctx context.Context, d turn.Request) (home.Ticket, error) {
-		asks++
-		if asks == 1 {
+		turns++
+		if turns == 1 {
 			return home.AwaitLocal(ctx, f.state.pool, d)
 		}
 		time.Sleep(overlongPause) // an event arrives meanwhile
--- a/forward/state_test.go
+++ b/forward/state_test.go
@@ -10,7 +10,7 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// fixedState is a State with a fixed configuration.
+// fixedState is a RoutingState with a fixed configuration.
 type fixedState struct {
 	table *route.Table
 	pool  *turn.Pool
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -46,7 +46,7 @@
 
 // A stream that breaks off within an event is resumed at another upstream after the last complete
 // event, and the caller gets each event once.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamIsResumedAtAnotherUpstream(t *testing.T) {
 	t.Parallel()
 	var once sync.Once
 	first := func(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +103,7 @@
 }
 
 // A stream that isn't resumable is not sent again, and its caller sees that it broke off.
-func TestStreamThatMayNotGoOnBreaksOffVisibly(t *testing.T) {
+func TestStreamThatIsNotResumableBreaksOffVisibly(t *testing.T) {
 	t.Parallel()
 	f := start(t, events(1, 3, false), events(1, 3, false))
 	_, body, _, err := f.post(t, "/once/1")
@@ -112,9 +112,9 @@
 	require.Equal(t, 1, f.count())
 }
 
-// When an upstream accepts a request and stays silent, a resumable stream moves to another one
+// When an upstream accepts a request and stays silent, a resumable stream moves to another upstream
 // while its caller still waits.
-func TestSilentEngineIsLeft(t *testing.T) {
+func TestStreamMovesAwayFromASilentUpstream(t *testing.T) {
 	t.Parallel()
 	var once sync.Once
 	silent := func(w http.ResponseWriter, r *http.Request) {
@@ -135,7 +135,7 @@
 }
 
 // When a caller disconnects in the middle of a stream, the upstream's request is cancelled at once.
-func TestCallerThatLeavesStopsItsEngine(t *testing.T) {
+func TestCallerDisconnectCancelsTheUpstreamRequest(t *testing.T) {
 	t.Parallel()
 	stopped := make(chan time.Time, 1)
 	f := start(t, func(w http.ResponseWriter, r *http.Request) {
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -149,12 +149,12 @@
 }
 
 // otherUpstreamFinder returns the finder of an attempt's watch. It runs concurrently with the
-// attempt, so the demand is copied.
+// attempt, so it uses a turn request of its own.
 func (j *job) otherUpstreamFinder() ticketFinder {
-	demand := j.demand()
-	demand.Patience = resumeMaxWait
+	request := j.turnRequest()
+	request.Patience = resumeMaxWait
 	return func(ctx context.Context) home.Ticket {
-		ticket, err := j.waitInQueue(ctx, demand)
+		ticket, err := j.waitInQueue(ctx, request)
 		if err != nil {
 			j.logSilentKept(ctx, err)
 			return nil
@@ -185,6 +185,6 @@
 	if ctx.Err() != nil {
 		return
 	}
-	j.handler.Log.Info("silent upstream is kept", "request", j.intake.ID, "service", j.service,
+	j.handler.Log.Info("silent upstream is kept", "request", j.info.ID, "service", j.service,
 		"age-ms", ms(time.Since(j.arrived)), "reason", reason)
 }
