--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -122,7 +122,7 @@
 	for _, c := range cases {
 		q := &recordingQuarantine{}
 		f := startWithQuarantine(t, c.fn, q)
-		_, _, _, _ = f.post(t, c.path) //nolint:dogsled // the answer is checked by other tests
+		_, _, _, _ = f.post(t, c.path) //nolint:dogsled // what the caller gets is tested elsewhere
 		q.mu.Lock()
 		require.Equal(t, c.served, q.served, c.name)
 		require.Len(t, q.broken, c.broken, c.name)
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -103,7 +103,7 @@
 	}{
 		"other stream": {func(e *fakeEngine) { e.name = "other" }, new(*stream.WrongStreamError)},
 		"unnamed":      {func(e *fakeEngine) { e.name = "" }, new(*stream.WrongStreamError)},
-		"gap":          {func(e *fakeEngine) { e.skip = 1 }, new(*stream.OrderError)},
+		"hole":         {func(e *fakeEngine) { e.skip = 1 }, new(*stream.OrderError)},
 		"repeat":       {func(e *fakeEngine) { e.skip = -1 }, new(*stream.OrderError)},
 		"gone":         {func(e *fakeEngine) { e.gone = true }, new(*stream.GoneError)},
 	} {
