--- /dev/null
+++ b/socket/readable_other.go
@@ -0,0 +1,8 @@
+//go:build !linux
+
+package socket
+
+import "syscall"
+
+// Readable always returns false: this system has no check without reading.
+func Readable(syscall.RawConn) bool { return false }
