--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -35,7 +35,7 @@
 	ErrRateLimited = errors.New("the platform's rate limit is reached")
 )
 
-// Platform implements store.Table, store.Objects and store.VMs.
+// Platform implements store.Table, store.ObjectStore and store.VMLister.
 // Create it with New. It is safe for concurrent use.
 type Platform struct {
 	// Faults are the active faults. Supported kinds: down, slow, request-lost,
@@ -78,8 +78,8 @@
 	p.writeLimit = tokenBucket{rate: writes}
 }
 
-// SetVMs replaces the list of VMs. Readers see it after the lag, but the first
-// list at once.
+// SetVMs replaces the list of VMs. Readers see it after the lag; the first list
+// is visible at once.
 func (p *Platform) SetVMs(vms ...store.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -286,7 +286,7 @@
 }
 
 // injectReadFault applies a fault before a read. A read has no effect, so a
-// failed one never returns *store.IndefiniteError.
+// failed one never returns *store.UnknownOutcomeError.
 func (p *Platform) injectReadFault(ctx context.Context, operation string, f fault.Fault) error {
 	if f.Kind == fault.Down {
 		return &store.UnavailableError{Operation: operation, Cause: ErrDown}
@@ -325,8 +325,8 @@
 	}
 }
 
-// slowWrite applies a write after the fault's delay, even if the caller has
-// given up by then: the store has received the request and can't know that.
+// slowWrite applies a write after the fault's delay, even if the caller cancels
+// it meanwhile: a store that has received a request does not notice that.
 func (p *Platform) slowWrite(ctx context.Context, operation string, f fault.Fault, apply func() error) error {
 	select {
 	case err := <-p.applyAfterDelay(operation, f, apply):
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -84,15 +84,15 @@
 func TestFaultsOfACommit(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		kind       fault.Kind
-		indefinite bool
-		atOnce     string
-		afterDelay string
+		kind           fault.Kind
+		unknownOutcome bool
+		atOnce         string
+		afterDelay     string
 	}{
 		{kind: fault.Down},
-		{kind: fault.RequestLost, indefinite: true},
-		{kind: fault.ReplyLost, indefinite: true, atOnce: "1", afterDelay: "1"},
-		{kind: fault.Late, indefinite: true, afterDelay: "1"},
+		{kind: fault.RequestLost, unknownOutcome: true},
+		{kind: fault.ReplyLost, unknownOutcome: true, atOnce: "1", afterDelay: "1"},
+		{kind: fault.Late, unknownOutcome: true, afterDelay: "1"},
 	}
 	for _, test := range tests {
 		t.Run(string(test.kind), func(t *testing.T) {
@@ -103,10 +103,10 @@
 
 			err := p.Commit(t.Context(), store.Txn{Writes: []store.Write{set("a/1", "1")}})
 
-			var indefinite *store.UnknownOutcomeError
+			var unknownOutcome *store.UnknownOutcomeError
 			var unavailable *store.UnavailableError
-			require.Equal(t, test.indefinite, errors.As(err, &indefinite))
-			require.Equal(t, !test.indefinite, errors.As(err, &unavailable))
+			require.Equal(t, test.unknownOutcome, errors.As(err, &unknownOutcome))
+			require.Equal(t, !test.unknownOutcome, errors.As(err, &unavailable))
 			require.Equal(t, test.atOnce, rowValue(t, p, "a/1"))
 			clock.Advance(time.Second)
 			require.Equal(t, test.afterDelay, rowValue(t, p, "a/1"))
@@ -128,8 +128,8 @@
 	require.Eventually(t, func() bool { return len(p.Faults.All()) == 1 && p.PendingWrites() == 1 }, time.Minute, time.Millisecond)
 	cancel()
 
-	var indefinite *store.UnknownOutcomeError
-	require.ErrorAs(t, <-result, &indefinite)
+	var unknownOutcome *store.UnknownOutcomeError
+	require.ErrorAs(t, <-result, &unknownOutcome)
 	require.Empty(t, rowValue(t, p, "a"))
 	clock.Advance(100 * time.Millisecond)
 	require.Equal(t, "1", rowValue(t, p, "a"))
@@ -181,7 +181,7 @@
 	require.Equal(t, []string{"r2"}, names())
 }
 
-func TestLimitRefusesWithoutEffect(t *testing.T) {
+func TestRateLimitRefusesWithoutEffect(t *testing.T) {
 	t.Parallel()
 	clock := timer.NewFake(time.Unix(1, 0))
 	p := memory.New(clock)
--- a/store/memory/stale_test.go
+++ b/store/memory/stale_test.go
@@ -18,7 +18,7 @@
 
 // Compares reads and scans that are stale by any number of commits with a copy
 // of the whole table taken after each commit.
-func TestStaleReadsAgreeWithKeptCopies(t *testing.T) {
+func TestStaleReadsMatchSnapshots(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		p := memory.New(timer.NewFake(time.Unix(1, 0)))
--- a/store/memory/table.go
+++ b/store/memory/table.go
@@ -152,7 +152,8 @@
 }
 
 // staleCommit returns the commit whose state a stale read returns: the one that
-// the fault names, a number of commits back, or the latest as old as its delay.
+// the fault names, the one a number of commits back, or the latest one that is
+// at least as old as the fault's delay.
 func (t *table) staleCommit(f fault.Fault, now time.Time) uint64 {
 	if f.AtCommit > 0 {
 		return min(t.lastCommit, uint64(f.AtCommit))
@@ -160,11 +161,11 @@
 	if f.CommitsBehind > 0 {
 		return t.lastCommit - min(t.lastCommit, uint64(f.CommitsBehind))
 	}
-	seen := uint64(0)
+	visible := uint64(0)
 	for _, c := range t.commitTimes {
 		if now.Sub(c.committedAt) >= f.Delay() {
-			seen = c.commit
+			visible = c.commit
 		}
 	}
-	return seen
+	return visible
 }
--- a/store/store.go
+++ b/store/store.go
@@ -52,15 +52,15 @@
 	// and is greater than after. It fails with *UnavailableError.
 	Scan(ctx context.Context, prefix, after Key, limit int) ([]Row, error)
 	// Commit applies a transaction. It fails with *ConflictError if a check
-	// failed, *UnavailableError if nothing was applied, and *IndefiniteError if
-	// the transaction may have been applied or may still be applied later.
+	// failed, *UnavailableError if nothing was applied, and *UnknownOutcomeError
+	// if the transaction may have been applied or may still be applied later.
 	Commit(ctx context.Context, txn Txn) error
 }
 
 // ObjectStore is the platform's object store.
 type ObjectStore interface {
 	// Put stores or replaces an object atomically. It fails with
-	// *UnavailableError or *IndefiniteError.
+	// *UnavailableError or *UnknownOutcomeError.
 	Put(ctx context.Context, name string, data []byte) error
 	// Get returns an object. It fails with *NotFoundError or *UnavailableError.
 	Get(ctx context.Context, name string) ([]byte, error)
@@ -86,7 +86,7 @@
 	Leaving    bool
 }
 
-// VMLister is the platform's list of live and leaving VMs, which lags behind.
+// VMLister lists the platform's live and leaving VMs. The list lags behind.
 type VMLister interface {
 	// List returns the VMs known to the platform. It fails with *UnavailableError.
 	List(ctx context.Context) ([]VM, error)
