--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -23,8 +23,8 @@
 	Clock timer.Service
 	// TimeScale multiplies every duration below; zero means 1.
 	TimeScale float64
-	// StepBase and StepSlope determine the duration of a batch step: StepBase +
-	// StepSlope × requests in the batch. Zero means 20 ms and 0.5 ms.
+	// StepBase and StepPerRequest determine the duration of a batch step: StepBase +
+	// StepPerRequest × requests in the batch. Zero means 20 ms and 0.5 ms.
 	StepBase       time.Duration
 	StepPerRequest time.Duration
 	// MaxBatch is the maximum number of requests that run at once; zero means 32.
@@ -39,7 +39,7 @@
 	ReportLag time.Duration
 	// EventLag is the delay after which a cache event becomes visible; zero means 2 s.
 	EventLag time.Duration
-	// DropEveryNthEvent drops every EventGap-th cache event; zero drops none.
+	// DropEveryNthEvent is n if every nth cache event is dropped; zero drops none.
 	DropEveryNthEvent int
 	// Retention is how long a stream without a reader is kept; zero means 10 s.
 	Retention time.Duration
@@ -49,14 +49,14 @@
 
 // The defaults of Options.
 const (
-	defaultStepBase     = 20 * time.Millisecond
-	defaultStepSlope    = 500 * time.Microsecond
-	defaultMaxBatch     = 32
-	defaultPrefillChunk = 512
-	defaultCacheBlocks  = 4096
-	defaultReportLag    = time.Second
-	defaultEventLag     = 2 * time.Second
-	defaultRetention    = 10 * time.Second
+	defaultStepBase       = 20 * time.Millisecond
+	defaultStepPerRequest = 500 * time.Microsecond
+	defaultMaxBatch       = 32
+	defaultPrefillChunk   = 512
+	defaultCacheBlocks    = 4096
+	defaultReportLag      = time.Second
+	defaultEventLag       = 2 * time.Second
+	defaultRetention      = 10 * time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -70,7 +70,7 @@
 	o.PrefillChunk = valueOr(o.PrefillChunk, defaultPrefillChunk)
 	o.CacheBlocks = valueOr(o.CacheBlocks, defaultCacheBlocks)
 	o.StepBase = o.scaled(o.StepBase, defaultStepBase)
-	o.StepPerRequest = o.scaled(o.StepPerRequest, defaultStepSlope)
+	o.StepPerRequest = o.scaled(o.StepPerRequest, defaultStepPerRequest)
 	o.ReportLag = o.scaled(o.ReportLag, defaultReportLag)
 	o.EventLag = o.scaled(o.EventLag, defaultEventLag)
 	o.Retention = o.scaled(o.Retention, defaultRetention)
@@ -160,8 +160,8 @@
 	e.updateLoad()
 }
 
-// Restore ends a crash. The engine comes back without streams and with an empty
-// cache, as after a restart.
+// Restore ends a crash or a drain. After a crash the engine has no streams and an
+// empty cache, as after a restart.
 func (e *Engine) Restore() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -18,7 +18,8 @@
 const (
 	// Down fails the operation at once, without effect.
 	Down Kind = "down"
-	// Slow delays the operation, which takes effect even if its caller gives up.
+	// Slow delays the operation. Writes to the platform and calls to an application
+	// take effect even if the caller cancels them.
 	Slow Kind = "slow"
 	// RequestLost drops the operation without effect or reply.
 	RequestLost Kind = "request-lost"
@@ -49,7 +50,7 @@
 	// CommitsBehind is the number of commits that a Stale read is behind.
 	CommitsBehind int `json:"commits,omitempty"`
 	// AtCommit is the number, from one, of the commit whose state a Stale read
-	// returns. It takes precedence over Commits and DelayMs.
+	// returns. It takes precedence over CommitsBehind and DelayMs.
 	AtCommit int `json:"commit,omitempty"`
 	// AfterEvents is the number of events after which BreakAfterEvents aborts the connection.
 	AfterEvents int `json:"events,omitempty"`
--- a/standin/fault/fault_test.go
+++ b/standin/fault/fault_test.go
@@ -11,7 +11,7 @@
 	"nutmeglock.example/nutmeglock/timer"
 )
 
-func TestFaultHoldsForItsTimesAndItsKeys(t *testing.T) {
+func TestFaultAppliesToItsTimesAndKeys(t *testing.T) {
 	t.Parallel()
 	var faults fault.List
 	faults.Set(
--- a/standin/lag/lag.go
+++ b/standin/lag/lag.go
@@ -37,8 +37,8 @@
 // AsOf returns the latest time at which a value that readers see at now is
 // known to have been current: now minus delay, or setAt if that is later.
 func AsOf(now, setAt time.Time, delay time.Duration) time.Time {
-	if taken := now.Add(-delay); taken.After(setAt) {
-		return taken
+	if latest := now.Add(-delay); latest.After(setAt) {
+		return latest
 	}
 	return setAt
 }
--- a/standin/lag/lag_test.go
+++ b/standin/lag/lag_test.go
@@ -12,11 +12,11 @@
 
 // A reader sees the newest value set at least the delay ago, and until there is
 // one the first value, regardless of earlier calls.
-func TestReaderSeesTheNewestValueOfTheLag(t *testing.T) {
+func TestReaderSeesNewestVisibleValue(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		by := time.Duration(rapid.IntRange(0, 5).Draw(t, "lag")) * time.Second
-		value := lag.Value[int]{Delay: by}
+		delay := time.Duration(rapid.IntRange(0, 5).Draw(t, "delay")) * time.Second
+		value := lag.Value[int]{Delay: delay}
 		now := time.Unix(1, 0)
 		var times []time.Time
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -27,7 +27,7 @@
 			}
 			expected := min(1, len(times))
 			for i, at := range times {
-				if !at.Add(by).After(now) {
+				if !at.Add(delay).After(now) {
 					expected = i + 1
 				}
 			}
