--- a/fairness/gap.go
+++ b/fairness/gap.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Widest returns the largest difference so far.
+// Widest returns the largest gap so far.
 func (g *Gap) Widest() float64 { return g.widest }
 
-// WidestPair returns the two accounts between which it occurred.
+// WidestPair returns the two accounts with the largest gap.
 func (g *Gap) WidestPair() (first, second int) { return g.first, g.second }
--- a/fairness/gap_test.go
+++ b/fairness/gap_test.go
@@ -20,5 +20,5 @@
 
 	gap.Sample([]float64{900, 40}, []bool{true, false})
 	gap.Sample([]float64{905, 40}, both)
-	require.InDelta(t, 30, gap.Widest(), 0, "an account without waiting work is not owed service")
+	require.InDelta(t, 30, gap.Widest(), 0, "service received while the other account has no work waiting does not count")
 }
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -39,7 +39,8 @@
 type Fleet struct {
 	Name    string `json:"name,omitempty"`
 	Routers int    `json:"routers"`
-	// ModelUpstreams and Plain are the numbers of upstreams that served each kind of service.
+	// ModelUpstreams and PlainUpstreams are the numbers of upstreams that served
+	// each kind of service.
 	ModelUpstreams int `json:"models"`
 	PlainUpstreams int `json:"plain"`
 	// OneWayDelayMicroseconds is the one-way delay between data centres.
@@ -52,15 +53,15 @@
 
 // Record describes one request.
 type Record struct {
-	// ArrivalMs is the arrival of the request, in milliseconds since Header.Begun.
+	// ArrivalMs is the arrival of the request, in milliseconds since Header.StartTime.
 	ArrivalMs int64             `json:"at-ms"`
 	Account   fleet.AccountID   `json:"account"`
 	Service   fleet.ServiceID   `json:"service"`
 	Kind      fleet.ServiceKind `json:"kind"`
 	// RouterIndex is the index, from 0, of the router that received the request.
 	RouterIndex int `json:"router"`
-	// InputTokens and Output are the tokens of a request to a model. Prefix identifies
-	// the prefix of its prompt, which has PrefixTokens tokens.
+	// InputTokens and OutputTokens are the tokens of a request to a model. PrefixID
+	// identifies the prefix of its prompt, which has PrefixTokens tokens.
 	InputTokens  int    `json:"input-tokens,omitempty"`
 	OutputTokens int    `json:"output-tokens,omitempty"`
 	PrefixID     uint64 `json:"prefix,omitempty"`
@@ -73,7 +74,7 @@
 	// Outcome is Answered or the reason for the refusal. It is empty in a
 	// synthetic trace, which was never run.
 	Outcome string `json:"outcome,omitempty"`
-	// QueueMs, FirstToken and Total are times in milliseconds since the arrival.
+	// QueueMs, FirstTokenMs and TotalMs are times in milliseconds since the arrival.
 	QueueMs      int64 `json:"queue-ms,omitempty"`
 	FirstTokenMs int64 `json:"first-token-ms,omitempty"`
 	TotalMs      int64 `json:"total-ms,omitempty"`
