--- a/experiment/asking.go
+++ b/experiment/asking.go
@@ -31,15 +31,15 @@
 	}
 }
 
-// needsAsk reports whether the last sent count differs from the number of
+// needsAsk reports whether the count in the last ask differs from the number of
 // waiting requests by a quarter or more, or at all while few wait.
-func needsAsk(lastSent, waiting int) bool {
+func needsAsk(lastAsked, waiting int) bool {
 	const few = 4
-	off := max(lastSent-waiting, waiting-lastSent)
-	if waiting <= few || lastSent == 0 {
-		return off > 0
+	difference := max(lastAsked-waiting, waiting-lastAsked)
+	if waiting <= few || lastAsked == 0 {
+		return difference > 0
 	}
-	return off*few >= waiting
+	return difference*few >= waiting
 }
 
 // rankTargets returns the routers to ask, dispatchers of the oldest request's
@@ -80,8 +80,8 @@
 		message.WaitedMs = uint32((r.sim.clock.elapsed - oldest.arrived).Milliseconds())
 		message.Preferred = oldest.preferred
 	}
-	// A dispatcher that knows of waiting requests keeps granting, so only the
-	// first ask is urgent.
+	// A dispatcher that knows of waiting requests continues to grant slots, so
+	// only the first ask is urgent.
 	delay := urgentDelay
 	if q.lastAsked[target] > 0 {
 		delay = lazyDelay
@@ -101,8 +101,8 @@
 	batch.Asks = append(batch.Asks, message)
 }
 
-// widenAsks asks further dispatchers for queues whose oldest request has waited
-// longer than expected with the dispatchers asked so far.
+// widenAsks asks further dispatchers for the queues for which package fanout
+// returns more dispatchers than are asked.
 func (r *router) widenAsks() {
 	changed := false
 	for _, q := range r.queues {
--- a/experiment/deployment.go
+++ b/experiment/deployment.go
@@ -49,9 +49,9 @@
 
 // delay returns the one-way network delay between two routers.
 func (d Deployment) delay(from, to int) time.Duration {
-	const sameDataCenter = 4
+	const sameDataCenterDivisor = 4
 	if from%dataCenters == to%dataCenters {
-		return d.Delay / sameDataCenter
+		return d.Delay / sameDataCenterDivisor
 	}
 	return d.Delay
 }
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// startJob runs a plain call, or the prefill of a model request and then its
-// token generation.
+// startJob runs a plain call, or runs the prefill of a model request and then
+// starts its token generation.
 func (e *engine) startJob(j *job) {
 	if j.plainDuration > 0 {
 		e.clock.runAfter(time.Duration(float64(j.plainDuration)/e.speed), func() {
@@ -162,12 +162,12 @@
 	if len(e.generatingJobs) == 0 {
 		return
 	}
-	plan := e.scheduleID
-	left := max(e.generatingJobs[0].endStep-e.steps, 0)
+	id := e.scheduleID
+	stepsLeft := max(e.generatingJobs[0].endStep-e.steps, 0)
 	// The added nanosecond compensates for rounding down.
-	delay := time.Duration(left*float64(e.stepTime())) + 1
+	delay := time.Duration(stepsLeft*float64(e.stepTime())) + 1
 	e.clock.runAfter(delay, func() {
-		if e.scheduleID == plan {
+		if e.scheduleID == id {
 			e.finishDue()
 		}
 	})
--- a/experiment/entry.go
+++ b/experiment/entry.go
@@ -94,11 +94,11 @@
 		total += other.len()
 	}
 	deadline := epoch.Add(request.deadline)
-	if refusal := r.sim.admission.Admit(now, deadline, admission.Queue{
+	if refused := r.sim.admission.Admit(now, deadline, admission.Queue{
 		AccountWaiting: q.len(), AccountBound: maxWaiting, TotalWaiting: total, TotalBound: maxWaitingTotal,
 		DrainRate: q.drain.MaxRate(now),
-	}); refusal != nil {
-		r.refuse(q, request, refusal.Reason, q.len())
+	}); refused != nil {
+		r.refuse(q, request, refused.Reason, q.len())
 		return
 	}
 	item := q.items.Push(q.key, request, now, deadline)
@@ -147,8 +147,8 @@
 	}
 }
 
-// countFalseRefusals counts the refused requests that would have been started
-// before their deadline.
+// countFalseRefusals counts the start of a request, and the refused requests that
+// would have been started by now and before their deadline.
 func (q *queue) countFalseRefusals(now time.Duration, m *metrics) {
 	q.starts++
 	remaining := q.lateRefusals[:0]
@@ -230,8 +230,8 @@
 	sim.clock.runAfter(upstreamDelay, func() { request.engine.submit(&request.job) })
 }
 
-// reportBegin tells the granting router that an answer has begun, for an
-// upstream that is warming up.
+// reportBegin reports to the granting router that an answer has begun. The grant
+// requests this while the upstream is warming up.
 func (r *router) reportBegin(granter int, grant *schema.Grant) {
 	message := &schema.Held{
 		Upstream: grant.GetUpstream(), Ids: []uint64{uint64(dispatcher.NewGrantID(grant.GetId(), uint16(granter)))},
--- a/experiment/experiment.go
+++ b/experiment/experiment.go
@@ -2,7 +2,7 @@
 // loads, and measures the service that each client account gets.
 //
 // Scheduling runs the production code: packages share, inflight, placement,
-// admission, estimate, dispatcher and keeper, and the control messages of
+// admission, estimate, fanout, dispatcher and keeper, and the control messages of
 // package schema, whose encoded size is counted. The rest is modelled: router
 // queues, message batching with the delays of package scheduler, network delay,
 // engines whose token rate falls as their batch grows, plain upstreams and
@@ -23,7 +23,7 @@
 	"nutmeglock.example/nutmeglock/fleet"
 )
 
-// Options select the runs. The zero value selects every load and policy at the
+// Options selects the runs. The zero value selects every load and policy at the
 // users' deployments.
 type Options struct {
 	// Deployments, Loads and Policies are run in every combination. Empty lists
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 	require.Equal(t, first, second)
 }
 
-// A few large accounts ask for five times their share. Served in order of
+// A few large accounts request five times their share. With service in order of
 // arrival, or with slots divided among the routers, they get a multiple of the
 // others' service although all accounts have requests waiting.
 func TestLargeAccountsGetNoMoreThanTheOthers(t *testing.T) {
@@ -75,7 +75,7 @@
 // One account takes every slot of an empty fleet; the others start a second
 // later. If the others were compensated in full for its lead, none of its
 // requests would be started for a minute and a half.
-func TestFirstComerIsNotHeldBackForItsLead(t *testing.T) {
+func TestFirstComerIsNotStarvedForItsLead(t *testing.T) {
 	t.Parallel()
 	result := run(t, "first-comer", "fair")
 	require.LessOrEqual(t, result.LaterGapMultiple, 2.5)
@@ -104,7 +104,7 @@
 	require.Greater(t, run(t, "slow-upstream", "fcfs").GapMultiple, 20.0)
 }
 
-// Half of the accounts ask for answers twenty times as long. If service were
+// Half of the accounts request answers twenty times as long. If service were
 // counted in requests, they would get twenty times the tokens.
 func TestLongAnswersCountByTheirTokens(t *testing.T) {
 	t.Parallel()
@@ -145,8 +145,8 @@
 		allowed := 3000.0
 		if result.Load == "prefix-heavy" {
 			// Answers are short, so there are twice as many requests as in the
-			// other loads. The goal of 3 KB/s is missed here, as the page says;
-			// this bound keeps the figure from growing.
+			// other loads. The goal of 3 KB/s is missed here, as the documentation
+			// states; this bound detects a further increase.
 			allowed = 4000.0
 		}
 		require.Less(t, result.Control.Total, allowed, "%s %s", result.Deployment.Name, result.Load)
--- a/experiment/load.go
+++ b/experiment/load.go
@@ -255,8 +255,8 @@
 		Name:  "prefix-heavy",
 		About: "each account's prompts have one of two prefixes of 3,000 tokens; an engine caches eight; without cache hits the fleet is nearly full",
 		clients: func(d Deployment) []client {
-			// uncachedResidence is in seconds; an uncached prompt takes 0.4 s more
-			// than a cached one.
+			// uncachedResidence is in seconds. A cached prompt takes 0.3 s less: its
+			// 3000 prefix tokens at prefillPerToken.
 			const uncachedResidence = 3.7
 			var clients []client
 			for account := range d.Accounts {
--- a/experiment/measure.go
+++ b/experiment/measure.go
@@ -21,8 +21,8 @@
 	// utilisation and service.
 	utilisationInterval = 20 * time.Millisecond
 	gapInterval         = 250 * time.Millisecond
-	// queuedAfter is the wait after which a request counts as queued. Even with
-	// free slots, a grant takes a round trip between data centres and batching.
+	// queuedAfter is the wait after which a request counts as queued. Even with free
+	// slots, a grant takes a round trip between data centres plus batching delays.
 	queuedAfter = 10 * time.Millisecond
 )
 
--- a/experiment/page.go
+++ b/experiment/page.go
@@ -16,7 +16,8 @@
 	goalControl      = 3000.0
 	goalSmallAccount = 1.5
 	// minJudgedQueued is the least QueuedFraction at which utilisation is judged.
-	// Below it the samples only caught hand-overs that take a few milliseconds.
+	// Below it, the samples only include hand-overs of slots, which take a few
+	// milliseconds.
 	minJudgedQueued = 0.01
 )
 
@@ -34,10 +35,10 @@
 	p.line("- **Control**: bytes per second and router, each counted once at its sender: messages, a TCP and IP header for each, and load reports over HTTP.")
 	p.line("- Several seeds: mean / worst.")
 	p.line("")
-	p.compareGoals()
-	p.compareSmallAccount(r)
-	p.scaling()
-	p.deployments()
+	p.writeGoals()
+	p.writeSmallAccount(r)
+	p.writeScaling()
+	p.writeDeployments()
 	_, err := io.WriteString(w, p.text.String())
 	return err
 }
@@ -133,12 +134,12 @@
 	return strings.Join(parts, ", ")
 }
 
-// label returns the name and the number of routers, which tells scaled
-// deployments apart.
+// label returns the name and the number of routers, which distinguishes scaled
+// deployments.
 func (d Deployment) label() string { return fmt.Sprintf("%s, %d routers", d.Name, d.Routers) }
 
-// compareGoals writes the table that compares the first policy's figures with the goals.
-func (p *page) compareGoals() {
+// writeGoals writes the table that compares the first policy's figures with the goals.
+func (p *page) writeGoals() {
 	p.line("## Goals, by the fair policy")
 	p.line("")
 	p.line("Bold figures miss their goal. Utilisation is not judged where work had queued for less than a hundredth of the time.")
@@ -156,8 +157,8 @@
 	p.line("")
 }
 
-// scaling writes the table of figures by number of routers.
-func (p *page) scaling() {
+// writeScaling writes the table of figures by number of routers.
+func (p *page) writeScaling() {
 	if !slices.ContainsFunc(p.rows, row.isScaled) {
 		return
 	}
@@ -187,9 +188,9 @@
 	return "**" + text + "**"
 }
 
-// compareSmallAccount writes the table of the small account's queue times with
+// writeSmallAccount writes the table of the small account's queue times with
 // and without the flood.
-func (p *page) compareSmallAccount(r Report) {
+func (p *page) writeSmallAccount(r Report) {
 	if !slices.ContainsFunc(p.rows, func(r row) bool { return r.first().Load == flood().Name }) {
 		return
 	}
@@ -230,8 +231,8 @@
 	return Result{}, false
 }
 
-// deployments writes a table of all figures for each of the users' deployments.
-func (p *page) deployments() {
+// writeDeployments writes a table of all figures for each of the users' deployments.
+func (p *page) writeDeployments() {
 	name := ""
 	for _, r := range p.rows {
 		if r.isScaled() {
--- a/experiment/policy.go
+++ b/experiment/policy.go
@@ -12,8 +12,8 @@
 	Name string
 	// About describes the policy in one phrase.
 	About string
-	// order returns the order in which a dispatcher serves accounts.
-	order func() share.Policy[fleet.ShortID]
+	// sharePolicy returns a new sharing policy for a dispatcher.
+	sharePolicy func() share.Policy[fleet.ShortID]
 	// limiter returns the limiter of an upstream, given the slots of its release note.
 	limiter   func(slots int) inflight.Limiter
 	placement placement.Policy
@@ -21,7 +21,7 @@
 	static bool
 }
 
-func fairOrder() share.Policy[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
+func fairPolicy() share.Policy[fleet.ShortID] { return &share.Fair[fleet.ShortID]{} }
 
 func adaptiveLimiter(slots int) inflight.Limiter { return &inflight.Adaptive{Max: slots} }
 
@@ -31,20 +31,20 @@
 func Policies() []Policy {
 	return []Policy{
 		{
-			Name:  "fair",
-			About: "one dispatcher per upstream, fair order by fleet-wide service, adaptive limits",
-			order: fairOrder, limiter: adaptiveLimiter, placement: placement.CacheAffinity{},
+			Name:        "fair",
+			About:       "one dispatcher per upstream, fair order by fleet-wide service, adaptive limits",
+			sharePolicy: fairPolicy, limiter: adaptiveLimiter, placement: placement.CacheAffinity{},
 		},
 		{
-			Name:    "fcfs",
-			About:   "one dispatcher per upstream, first come first served, adaptive limits",
-			order:   func() share.Policy[fleet.ShortID] { return &share.FirstCome[fleet.ShortID]{} },
-			limiter: adaptiveLimiter, placement: placement.LeastLoaded{},
+			Name:        "fcfs",
+			About:       "one dispatcher per upstream, first come first served, adaptive limits",
+			sharePolicy: func() share.Policy[fleet.ShortID] { return &share.FirstCome[fleet.ShortID]{} },
+			limiter:     adaptiveLimiter, placement: placement.LeastLoaded{},
 		},
 		{
-			Name:  "static-share",
-			About: "each router has a fixed part of each upstream's real batch, and its own fair order",
-			order: fairOrder, limiter: fixedLimiter, placement: placement.CacheAffinity{}, static: true,
+			Name:        "static-share",
+			About:       "each router has a fixed part of each upstream's real batch, and its own fair order",
+			sharePolicy: fairPolicy, limiter: fixedLimiter, placement: placement.CacheAffinity{}, static: true,
 		},
 	}
 }
@@ -53,20 +53,20 @@
 func Variants() []Policy {
 	return []Policy{
 		{
-			Name:  "fair-least-loaded",
-			About: "as fair, but ignoring prefix caches",
-			order: fairOrder, limiter: adaptiveLimiter, placement: placement.LeastLoaded{},
+			Name:        "fair-least-loaded",
+			About:       "as fair, but ignoring prefix caches",
+			sharePolicy: fairPolicy, limiter: adaptiveLimiter, placement: placement.LeastLoaded{},
 		},
 		{
-			Name:  "fair-fixed",
-			About: "as fair, but with the slots of the release note as a fixed limit",
-			order: fairOrder, limiter: fixedLimiter, placement: placement.CacheAffinity{},
+			Name:        "fair-fixed",
+			About:       "as fair, but with the slots of the release note as a fixed limit",
+			sharePolicy: fairPolicy, limiter: fixedLimiter, placement: placement.CacheAffinity{},
 		},
 		{
-			Name:    "deficit-robin",
-			About:   "one dispatcher per upstream, deficit round robin at each, adaptive limits",
-			order:   func() share.Policy[fleet.ShortID] { return &share.DeficitRoundRobin[fleet.ShortID]{} },
-			limiter: adaptiveLimiter, placement: placement.CacheAffinity{},
+			Name:        "deficit-robin",
+			About:       "one dispatcher per upstream, deficit round robin at each, adaptive limits",
+			sharePolicy: func() share.Policy[fleet.ShortID] { return &share.DeficitRoundRobin[fleet.ShortID]{} },
+			limiter:     adaptiveLimiter, placement: placement.CacheAffinity{},
 		},
 	}
 }
--- a/experiment/replay.go
+++ b/experiment/replay.go
@@ -41,7 +41,7 @@
 	case f.PlainUpstreams < 1 || f.PlainUpstreams > maxUpstreams:
 		return Result{}, &SizeError{"fleet.plain", f.PlainUpstreams, maxUpstreams}
 	}
-	accounts, numbers := accountsOf(records)
+	accounts, indexes := accountsOf(records)
 	sim := newSimulation(Deployment{
 		Name: f.Name, Routers: f.Routers, Models: f.ModelUpstreams, Plain: f.PlainUpstreams,
 		Accounts: len(accounts), Delay: time.Duration(f.OneWayDelayMicroseconds) * time.Microsecond,
@@ -52,7 +52,7 @@
 	for _, record := range records {
 		at := time.Duration(record.ArrivalMs) * time.Millisecond
 		last = max(last, at)
-		sim.clock.runAfter(at, func() { sim.replayRecord(record, numbers[record.Account]) })
+		sim.clock.runAfter(at, func() { sim.replayRecord(record, indexes[record.Account]) })
 	}
 	duration := last + replayTail
 	sim.clock.runUntil(duration)
@@ -72,11 +72,11 @@
 	}
 	slices.Sort(accounts)
 	accounts = slices.Compact(accounts)
-	numbers := make(map[fleet.AccountID]int, len(accounts))
+	indexes := make(map[fleet.AccountID]int, len(accounts))
 	for i, account := range accounts {
-		numbers[account] = i
+		indexes[account] = i
 	}
-	return accounts, numbers
+	return accounts, indexes
 }
 
 // replayRecord sends the request of a trace record.
--- a/experiment/router.go
+++ b/experiment/router.go
@@ -73,7 +73,7 @@
 		queueByKey: make(map[queueKey]*queue), grantedThrough: make([]uint64, len(sim.routerIDs)),
 	}
 	r.dispatcher = dispatcher.New(dispatcher.Options[share.Policy[fleet.ShortID], inflight.Limiter, placement.Policy]{
-		SharePolicy: sim.policy.order, Limiter: sim.policy.limiter, Placement: sim.policy.placement,
+		SharePolicy: sim.policy.sharePolicy, Limiter: sim.policy.limiter, Placement: sim.policy.placement,
 		Weight: func(account fleet.ShortID) uint32 { return sim.weight(int(account)) },
 		Warmup: !sim.policy.static, Nonce: uint16(index),
 	})
@@ -92,7 +92,7 @@
 	r.sim.clock.runEvery(offset, reviewInterval, r.reviewDeadlines)
 }
 
-// batchTo returns the batch for another router and has it sent within delay.
+// batchTo returns the batch for another router, which is sent within delay.
 func (r *router) batchTo(router int, delay time.Duration) *schema.Batch {
 	out := r.outgoing[router]
 	due := r.sim.clock.elapsed + delay
@@ -103,9 +103,9 @@
 	if due < out.due {
 		out.due = due
 		out.scheduleID++
-		plan := out.scheduleID
+		id := out.scheduleID
 		r.sim.clock.runAfter(delay, func() {
-			if out.scheduleID == plan && out.batch != nil {
+			if out.scheduleID == id && out.batch != nil {
 				r.sendBatch(router)
 			}
 		})
@@ -242,7 +242,7 @@
 }
 
 // announceIdleSlots announces idle slots to a few random routers if no request
-// asks for them. In small fleets routers ask all dispatchers anyway.
+// waits for them. In small fleets routers ask all dispatchers anyway.
 func (r *router) announceIdleSlots() {
 	const recipients = 5
 	if r.sim.policy.static || len(r.sim.routerIDs) <= fanout.MaxDispatchers {
