--- a/scenario/call.go
+++ b/scenario/call.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// expectations are the options that state what a reply has to be.
+// expectations are the options against which a reply is checked.
 var expectations = []string{"status", "reason", "outcome", "retry-after", "equal", "contains", "header", "broken", "refused"}
 
 // callOptions are the options of a call other than expectations.
--- a/scenario/fleet.go
+++ b/scenario/fleet.go
@@ -166,7 +166,7 @@
 	for _, name := range a.listOption("leaving") {
 		leaving[name] = true
 	}
-	reply := standin.VMsRequest{VMs: []standin.VM{}}
+	list := standin.VMsRequest{VMs: []standin.VM{}}
 	for _, name := range a.positional[1:] {
 		p, err := s.findProcess(name)
 		if err != nil {
@@ -176,9 +176,9 @@
 		if p.kind == routerKind {
 			vm.Role, vm.Address = store.RouterVM, p.peer
 		}
-		reply.VMs = append(reply.VMs, vm)
+		list.VMs = append(list.VMs, vm)
 	}
-	return s.sendOrder(a.positional[0], http.MethodPut, standin.VMsPath, reply)
+	return s.sendControlRequest(a.positional[0], http.MethodPut, standin.VMsPath, list)
 }
 
 // setFault replaces the injected faults of a stand-in with one, or none:
@@ -196,17 +196,17 @@
 	if err != nil {
 		return err
 	}
-	orders := fault.SetRequest{Faults: []fault.Fault{}}
+	faults := fault.SetRequest{Faults: []fault.Fault{}}
 	if a.positional[1] != "clear" {
-		orders.Faults = append(orders.Faults, fault.Fault{
+		faults.Faults = append(faults.Faults, fault.Fault{
 			Kind: fault.Kind(a.positional[1]), Operation: a.options["operation"], Prefix: a.options["prefix"],
 			Times: n[0], DelayMs: n[1], CommitsBehind: n[2], AtCommit: n[3], AfterEvents: n[4],
 		})
 	}
-	return s.sendOrder(a.positional[0], http.MethodPut, standin.FaultsPath, orders)
+	return s.sendControlRequest(a.positional[0], http.MethodPut, standin.FaultsPath, faults)
 }
 
-// limits sets the maximum operations per second of a platform:
+// limits sets the maximum operations per second of a platform; zero means unlimited:
 //
 //	limits PLATFORM [reads=N] [writes=N]
 func limits(s *script, a arguments) error {
@@ -217,32 +217,32 @@
 	if err != nil {
 		return err
 	}
-	return s.sendOrder(a.positional[0], http.MethodPut, standin.LimitsPath, standin.RateLimits{Reads: float64(n[0]), Writes: float64(n[1])})
+	return s.sendControlRequest(a.positional[0], http.MethodPut, standin.LimitsPath, standin.RateLimits{Reads: float64(n[0]), Writes: float64(n[1])})
 }
 
-// drain tells upstreams to refuse new work and finish their current work:
+// drain makes upstreams refuse new work and finish their current work:
 //
 //	drain UPSTREAM...
 func drain(s *script, a arguments) error {
-	return s.forEachProcess(a, func(p *process) error { return s.sendOrder(p.name, http.MethodPost, "/drain", nil) })
+	return s.forEachProcess(a, func(p *process) error { return s.sendControlRequest(p.name, http.MethodPost, "/drain", nil) })
 }
 
 // crash breaks an engine's connections and drops its streams, until restore:
 //
 //	crash ENGINE...
 func crash(s *script, a arguments) error {
-	return s.forEachProcess(a, func(p *process) error { return s.sendOrder(p.name, http.MethodPost, "/crash", nil) })
+	return s.forEachProcess(a, func(p *process) error { return s.sendControlRequest(p.name, http.MethodPost, "/crash", nil) })
 }
 
-// restore ends a crash:
+// restore ends a crash or a drain:
 //
 //	restore ENGINE...
 func restore(s *script, a arguments) error {
-	return s.forEachProcess(a, func(p *process) error { return s.sendOrder(p.name, http.MethodPost, "/restore", nil) })
+	return s.forEachProcess(a, func(p *process) error { return s.sendControlRequest(p.name, http.MethodPost, "/restore", nil) })
 }
 
-// sendOrder sends a control request to a stand-in.
-func (s *script) sendOrder(name, method, path string, message any) error {
+// sendControlRequest sends a control request to a stand-in.
+func (s *script) sendControlRequest(name, method, path string, message any) error {
 	p, err := s.findProcess(name)
 	if err != nil {
 		return err
--- a/scenario/load.go
+++ b/scenario/load.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// callUntilFinal makes one call, and repeats it while checkReply says so or, if
-// the caller is stubborn, once after an unknown outcome.
+// callUntilFinal makes one call, and repeats it while checkReply requires it or,
+// if the caller is stubborn, once after an unknown outcome.
 func (l *load) callUntilFinal(key, body string) error {
 	deadline := time.Now().Add(waitTimeout)
 	unknown := false
--- a/scenario/note.go
+++ b/scenario/note.go
@@ -70,7 +70,7 @@
 	return request{method: http.MethodPost, url: "http://" + p.admin + "/v1/notes", body: text, key: operatorKey}, err
 }
 
-// checkPublish checks the status of a publish reply and that its body contains
+// checkPublish checks the status of a publish reply, and that the body contains
 // a text.
 func checkPublish(r reply, status int, text string) error {
 	if r.err != nil {
