--- a/live/caller.go
+++ b/live/caller.go
@@ -106,7 +106,7 @@
 	return refused.Error.Reason
 }
 
-// retryAfter returns the pause that a refusal's Retry-After header asks for.
+// retryAfter returns the pause given by a refusal's Retry-After header.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil {
--- a/live/live.go
+++ b/live/live.go
@@ -16,7 +16,7 @@
 	"nutmeglock.example/nutmeglock/standin/engine"
 )
 
-// Options configure a measurement. Zero values mean the defaults.
+// Options configures a measurement. Zero values mean the defaults.
 type Options struct {
 	Routers int
 	Engines int
--- a/live/load.go
+++ b/live/load.go
@@ -8,7 +8,7 @@
 // Load describes the requests that accounts send during a run.
 type Load struct {
 	Name string
-	// slowOneIn makes one in so many engines slow; zero means none.
+	// slowOneIn is n if one engine in n is slow; zero means that none is.
 	slowOneIn int
 	// clients returns the behaviour of each account.
 	clients func(options Options) []client
@@ -113,7 +113,7 @@
 	return clients
 }
 
-// saturation makes all accounts ask for eight times their fair share.
+// saturation makes all accounts request eight times their fair share.
 func saturation(options Options) []client {
 	const times = 4
 	clients := make([]client, accountCount)
@@ -132,7 +132,7 @@
 	return clients
 }
 
-// longAmongShort gives one account in four long answers.
+// longAmongShort gives long answers to every fourth account.
 func longAmongShort(options Options) []client {
 	const every = 4
 	clients := make([]client, accountCount)
--- a/live/measure.go
+++ b/live/measure.go
@@ -19,8 +19,8 @@
 
 const (
 	sampleInterval = 50 * time.Millisecond
-	// backloggedAfter is the wait after which a request counts as waiting. Even
-	// with free slots, a grant can take a round trip between routers.
+	// backloggedAfter is the wait after which a request makes its account backlogged.
+	// Even with free slots, a grant can take a round trip between routers.
 	backloggedAfter = 10 * time.Millisecond
 )
 
@@ -48,7 +48,7 @@
 	answers            map[string]int64
 	firstByteTimes     *hdrhistogram.Histogram
 	smallAccountTimes  *hdrhistogram.Histogram
-	// controlSent is the control bytes sent during the measurement, by kind of
+	// controlSent holds the control bytes sent during the measurement, by kind of
 	// receiver.
 	controlSent map[string]float64
 }
--- a/local/bytes_test.go
+++ b/local/bytes_test.go
@@ -17,7 +17,7 @@
 )
 
 // A caller on a slow connection reads an answer more slowly than the engine
-// sends it, so that the buffers of the router and the machine fill and writes
+// sends it, so that the buffers of the router and the kernel fill and writes
 // block. The answer has to equal the engine's byte for byte, because a client
 // that joins the events by itself would not notice a missing one.
 func TestAnswerEqualsThatOfADirectCall(t *testing.T) {
--- a/local/local.go
+++ b/local/local.go
@@ -35,7 +35,7 @@
 	PlainService fleet.ServiceID = "orders"
 )
 
-// Options configure a Fleet. Zero counts mean one.
+// Options configures a Fleet. Zero counts mean one.
 type Options struct {
 	Routers      int
 	Engines      int
@@ -68,7 +68,7 @@
 	Platform *memory.Platform
 	// RouterAddresses holds the addresses of the routers.
 	RouterAddresses []daemon.Addresses
-	// EngineAddresses and Applications hold the addresses of the upstreams.
+	// EngineAddresses and ApplicationAddresses hold the addresses of the upstreams.
 	EngineAddresses      []string
 	ApplicationAddresses []string
 
--- a/local/once_test.go
+++ b/local/once_test.go
@@ -195,6 +195,6 @@
 		}
 	}
 	if onlyNotRun {
-		require.Zero(t, runs, "all answers say that the order was not run")
+		require.Zero(t, runs, "every answer is not-run, but the order was run")
 	}
 }
--- a/local/stop_test.go
+++ b/local/stop_test.go
@@ -14,8 +14,8 @@
 )
 
 // A router is stopped while it streams an answer, as in every rolling restart.
-// The caller gets the complete answer. Callers that the load balancer still
-// sends there are told that their request was not run, and when to retry.
+// The caller gets the complete answer. Requests that the load balancer still
+// sends there are refused as not run, with a Retry-After.
 func TestGracefulStopEndsNoStreamAndRefusesNewRequests(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -43,7 +43,7 @@
 // A router is stopped while a request waits there for a slot. The request was
 // admitted, so it is still served completely, although the router has handed
 // its own upstreams over to the others.
-func TestGracefulStopServesWhatWaits(t *testing.T) {
+func TestGracefulStopServesWaitingRequests(t *testing.T) {
 	t.Parallel()
 	for routers := 1; routers <= 3; routers++ {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -89,10 +89,10 @@
 	}
 }
 
-// A caller closes its connection during an answer, like a telephone that loses
-// its network. Otherwise the engine would continue to generate tokens that
-// nobody reads, in a slot that other requests wait for.
-func TestCallerThatGoesAwayEndsItsStreamAtTheEngine(t *testing.T) {
+// A caller disconnects during an answer, such as a phone that loses its network.
+// Unless the router cancels the stream, the engine continues to generate unread
+// tokens in a slot that other requests wait for.
+func TestDisconnectedCallerCancelsStreamAtEngine(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
--- a/local/trace_test.go
+++ b/local/trace_test.go
@@ -74,8 +74,8 @@
 }
 
 // The directory of the trace file does not exist. The router has to fail at the
-// start, not at the end of the day that was to be recorded.
-func TestTraceFileThatCannotBeOpenedIsAnErrorAtTheStart(t *testing.T) {
+// start, or the missing trace would be noticed only after the recording.
+func TestUnopenableTraceFileFailsStart(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "missing", "trace.jsonl")
 	_, err := local.Start(t.Context(), local.Options{
