--- a/standin/lag/lag_test.go
+++ b/standin/lag/lag_test.go
@@ -15,7 +15,7 @@
 func TestReaderSeesNewestVisibleValue(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		delay := time.Duration(rapid.IntRange(0, 5).Draw(t, "delay")) * time.Second
+		delay := time.Duration(rapid.IntRange(0, 5).Draw(t, "lag")) * time.Second
 		value := lag.Value[int]{Delay: delay}
 		now := time.Unix(1, 0)
 		var times []time.Time
