--- a/forward/job.go
+++ b/forward/job.go
@@ -38,7 +38,7 @@
 	errCallerGone     = eris.New("the caller has disconnected")
 	errUpstreamSilent = eris.New("the upstream was silent for too long")
 	// errRetryBudget is logged when a request stays at a silent upstream for lack of retries.
-	errRetryBudget = eris.New("the retry budget is used up")
+	errRetryBudget = eris.New("the budget for retries is used up")
 )
 
 // job is the state of one request that is being handled. It is used by one goroutine.
@@ -285,5 +285,5 @@
 		j.answerOrRefuse(&refusal.Error{Reason: refusal.UpstreamBusy, Outcome: refusal.NotRun, Detail: "no upstream took the request", RetryAfter: after, Cause: f.cause})
 		return
 	}
-	j.answerOrRefuse(&refusal.Error{Reason: refusal.UpstreamFailed, Outcome: refusal.Unknown, Detail: "the upstream gave no complete answer", Cause: f.cause})
+	j.answerOrRefuse(&refusal.Error{Reason: refusal.UpstreamFailed, Outcome: refusal.Unknown, Detail: "the upstream gave no whole answer", Cause: f.cause})
 }
--- a/note/replica.go
+++ b/note/replica.go
@@ -259,7 +259,7 @@
 	defer cancel()
 	err := step(stepCtx)
 	if err != nil && ctx.Err() == nil {
-		r.log.Warn("updating release notes failed", "version", r.Version(), "reason", err)
+		r.log.Warn("release notes not brought up to date", "version", r.Version(), "reason", err)
 	}
 	return err == nil
 }
