--- a/call/request.go
+++ b/call/request.go
@@ -39,8 +39,8 @@
 	IdempotencyKey string
 	// EstimatedCost is the expected cost.
 	EstimatedCost fleet.Tokens
-	// Prefix holds the ids of the prompt's prefixes, as in dispatch.Request.
-	Prefix   []uint64
+	// Prefixes holds the ids of the prompt's prefixes, as in dispatch.Request.
+	Prefixes []uint64
 	Deadline time.Time
 }
 
@@ -57,6 +57,6 @@
 func (r *Request) dispatchRequest(avoided []fleet.UpstreamID) dispatch.Request {
 	return dispatch.Request{
 		ID: r.ID, Account: r.Account, Service: r.Service, Estimate: r.EstimatedCost,
-		Prefixes: r.Prefix, Deadline: r.Deadline, AvoidedUpstreams: avoided,
+		Prefixes: r.Prefixes, Deadline: r.Deadline, AvoidedUpstreams: avoided,
 	}
 }
--- a/claim/forward.go
+++ b/claim/forward.go
@@ -66,9 +66,9 @@
 	store.Table
 	Self  fleet.RouterID
 	Peers Peers
-	// Group commits this router's own writes while the fleet is small, or if a
+	// Committer commits this router's own writes while the fleet is small, or if a
 	// collector does not answer.
-	Group *GroupCommitter
+	Committer *GroupCommitter
 	// Timer is the clock; nil means the system clock.
 	Timer timer.Service
 
@@ -96,18 +96,18 @@
 func (t *ForwardingTable) Commit(ctx context.Context, txn store.Txn) error {
 	write, ok := newClaimWrite(txn)
 	if !ok {
-		return t.Group.Commit(ctx, txn)
+		return t.Committer.Commit(ctx, txn)
 	}
 	to := t.collector(write.GetClaim())
 	switch to {
 	case "":
-		return t.Group.Commit(ctx, txn)
+		return t.Committer.Commit(ctx, txn)
 	case t.Self:
 		return t.committerAsCollector().Commit(ctx, txn)
 	}
 	verdict := t.forward(ctx, to, write)
 	if verdict == nil {
-		return secondCommitError(t.Group.Commit(ctx, txn))
+		return secondCommitError(t.Committer.Commit(ctx, txn))
 	}
 	return verdictError(verdict, txn.Checks[0])
 }
--- a/claim/group_test.go
+++ b/claim/group_test.go
@@ -113,7 +113,7 @@
 		id := fleet.RouterID(fmt.Sprintf("router-%03d", i))
 		forwarding := &claim.ForwardingTable{
 			Table: table, Self: id, Peers: networkPeers{n, id},
-			Group: &claim.GroupCommitter{Table: table},
+			Committer: &claim.GroupCommitter{Table: table},
 		}
 		n.routers[id] = forwarding
 		stores = append(stores, &claim.Store{Table: forwarding, Router: id})
--- a/daemon/calls.go
+++ b/daemon/calls.go
@@ -29,7 +29,7 @@
 	}
 	table := &claim.ForwardingTable{
 		Table: p.Platform, Self: p.Self, Peers: p.Peers,
-		Group: &claim.GroupCommitter{Table: p.Platform, Delay: claimBatchDelay},
+		Committer: &claim.GroupCommitter{Table: p.Platform, Delay: claimBatchDelay},
 	}
 	p.Peers.OnBatch(table.Receive)
 	store := &claim.Store{Table: table, Objects: p.Platform, Router: p.Self, Timer: p.Timer}
--- a/deployment/members.go
+++ b/deployment/members.go
@@ -184,9 +184,9 @@
 	s.Apply([]Member{{ID: c.Router, Address: c.Address}}, 0)
 }
 
-// Lost and Regained do nothing: routers stay connected to those they know.
-func (*memberSink) Lost(error) {}
-func (*memberSink) Regained()  {}
+// SetUnavailable and SetAvailable do nothing: routers stay connected to those they know.
+func (*memberSink) SetUnavailable(error) {}
+func (*memberSink) SetAvailable()        {}
 
 // register writes the router's own entry, retrying until it is written, and returns when ctx
 // ends.
--- a/deployment/mesh.go
+++ b/deployment/mesh.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// setStoreLost records and announces whether this router has lost the store.
+// setStoreLost records and announces whether this router can't read the store.
 func (m *mesh) setStoreLost(lost bool) {
-	m.group.SetLost(lost)
+	m.group.SetStoreLost(lost)
 	m.announce()
 }
 
--- a/deployment/sink.go
+++ b/deployment/sink.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// Lost and Regained do nothing: the configuration in force stays.
-func (configurationSink) Lost(error) {}
-func (configurationSink) Regained()  {}
+// SetUnavailable and SetAvailable do nothing: the configuration in force stays.
+func (configurationSink) SetUnavailable(error) {}
+func (configurationSink) SetAvailable()        {}
 
 // upstreamSink applies the changes of the list of upstreams that the store delivers.
 type upstreamSink struct {
@@ -39,14 +39,15 @@
 	s.state.ApplyUpstreams(rows, storeSource)
 }
 
-// Lost also announces the loss to the other routers, which may rely on this one.
-func (s upstreamSink) Lost(error) {
+// SetUnavailable also announces to the other routers, which may rely on this one, that it
+// can't read the store.
+func (s upstreamSink) SetUnavailable(error) {
 	s.state.SetUpstreamsUnavailable()
 	s.mesh.setStoreLost(true)
 }
 
-// Regained reverts the effect of Lost, and announces it too.
-func (s upstreamSink) Regained() {
+// SetAvailable reverts the effect of SetUnavailable and announces that as well.
+func (s upstreamSink) SetAvailable() {
 	s.state.SetUpstreamsAvailable()
 	s.mesh.setStoreLost(false)
 }
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -72,10 +72,10 @@
 	Replace(rows []R, revision V)
 	// Apply is called with changes and the revision after them.
 	Apply(rows []R, revision V)
-	// Lost is called when the store doesn't answer.
-	Lost(cause error)
-	// Regained is called when the store answers again.
-	Regained()
+	// SetUnavailable is called when the store doesn't answer.
+	SetUnavailable(cause error)
+	// SetAvailable is called when the store answers again.
+	SetAvailable()
 }
 
 // Follower passes the rows of a Feed on to a Sink.
@@ -91,10 +91,10 @@
 	PollInterval func() time.Duration
 	Log          *slog.Logger
 
-	// lostAt is when the store was found not to answer, zero while it does, and
+	// unavailableSince is when the store was found not to answer, zero while it does, and
 	// failedCalls counts the calls without an answer since then.
-	lostAt      time.Time
-	failedCalls int
+	unavailableSince time.Time
+	failedCalls      int
 	// lastCall is when the latest call to the store began.
 	lastCall time.Time
 }
@@ -128,7 +128,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		}
-		f.setLost(err)
+		f.setUnavailable(err)
 		sleep(ctx, jitter(pause))
 		pause = min(2*pause, maxBackoff)
 	}
@@ -162,7 +162,7 @@
 	if err != nil {
 		return revision, err
 	}
-	f.setRegained()
+	f.setAvailable()
 	f.Sink.Replace(rows, revision)
 	return revision, nil
 }
@@ -175,7 +175,7 @@
 	if err != nil {
 		return after, err
 	}
-	f.setRegained()
+	f.setAvailable()
 	if len(rows) > 0 {
 		f.Sink.Apply(rows, revision)
 	}
@@ -187,7 +187,7 @@
 // its end by the wait, while the router uses outdated rows.
 func (f *Follower[R, V]) wait() time.Duration {
 	switch {
-	case !f.lostAt.IsZero(), f.PollInterval != nil && f.PollInterval() > 0:
+	case !f.unavailableSince.IsZero(), f.PollInterval != nil && f.PollInterval() > 0:
 		return 0
 	case f.Wait > 0:
 		return f.Wait
@@ -196,31 +196,32 @@
 	}
 }
 
-func (f *Follower[R, V]) setLost(cause error) {
+func (f *Follower[R, V]) setUnavailable(cause error) {
 	f.failedCalls++
-	if !f.lostAt.IsZero() {
+	if !f.unavailableSince.IsZero() {
 		return
 	}
-	f.lostAt = time.Now()
+	f.unavailableSince = time.Now()
 	f.Log.Warn("dependency lost", "dependency", "store", "table", f.Name, "waited-ms", time.Since(f.lastCall).Milliseconds(), "error", cause)
-	f.Sink.Lost(cause)
+	f.Sink.SetUnavailable(cause)
 }
 
-// setRegained records an answer of the store. The log line has the duration of the
+// setAvailable records an answer of the store. The log line has the duration of the
 // outage, the number of failed calls and the duration of the successful one, so that a
 // call that timed out late can be distinguished from a long outage.
-func (f *Follower[R, V]) setRegained() {
-	if f.lostAt.IsZero() {
+func (f *Follower[R, V]) setAvailable() {
+	if f.unavailableSince.IsZero() {
 		return
 	}
-	f.Log.Info("dependency regained", "dependency", "store", "table", f.Name, "lost-ms", time.Since(f.lostAt).Milliseconds(),
+	f.Log.Info("dependency regained", "dependency", "store", "table", f.Name, "lost-ms", time.Since(f.unavailableSince).Milliseconds(),
 		"failed-calls", f.failedCalls, "waited-ms", time.Since(f.lastCall).Milliseconds())
-	f.lostAt = time.Time{}
+	f.unavailableSince = time.Time{}
 	f.failedCalls = 0
-	f.Sink.Regained()
+	f.Sink.SetAvailable()
 }
 
-// jitter spreads the calls of routers that lost the store at the same time.
+// jitter spreads the calls of routers for which the store became unavailable at the same
+// time.
 func jitter(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause)
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -57,8 +57,8 @@
 	r.events = append(r.events, append([]string{"whole"}, rows...)...)
 }
 func (r *recordingSink) Apply(rows []string, _ int) { r.events = append(r.events, rows...) }
-func (r *recordingSink) Lost(error)                 { r.events = append(r.events, "lost") }
-func (r *recordingSink) Regained()                  { r.events = append(r.events, "regained") }
+func (r *recordingSink) SetUnavailable(error)       { r.events = append(r.events, "lost") }
+func (r *recordingSink) SetAvailable()              { r.events = append(r.events, "regained") }
 
 func runFollower(t *testing.T, s *scriptedFeed, duration time.Duration) *recordingSink {
 	t.Helper()
--- a/follow/group.go
+++ b/follow/group.go
@@ -84,8 +84,8 @@
 	g.statuses[from] = s
 }
 
-// SetLost records whether this router can't read the store.
-func (g *Group) SetLost(lost bool) {
+// SetStoreLost records whether this router can't read the store.
+func (g *Group) SetStoreLost(lost bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.storeLost = lost
--- a/follow/group_test.go
+++ b/follow/group_test.go
@@ -40,7 +40,7 @@
 	for range 20 {
 		for id, g := range all {
 			if g.OwnStatus().Follows {
-				g.SetLost(unavailable)
+				g.SetStoreLost(unavailable)
 			}
 			for other, h := range all {
 				if other != id {
@@ -102,7 +102,7 @@
 	for range 5 {
 		for id, g := range all {
 			if refused[id] {
-				g.SetLost(true)
+				g.SetStoreLost(true)
 			}
 			for other, h := range all {
 				if other != id {
--- a/follow/silence_test.go
+++ b/follow/silence_test.go
@@ -90,8 +90,8 @@
 	}
 }
 func (a *arrivals) Replace(rows []int, revision int) { a.Apply(rows, revision) }
-func (a *arrivals) Lost(error)                       {}
-func (a *arrivals) Regained()                        {}
+func (a *arrivals) SetUnavailable(error)             {}
+func (a *arrivals) SetAvailable()                    {}
 
 // Guards against a call that began in an outage of the store and times out long after it.
 // All routers of a data centre used a configuration more than two seconds after it was
--- a/overload/shedder.go
+++ b/overload/shedder.go
@@ -62,8 +62,8 @@
 	mu sync.Mutex
 	// refusedShare is the share of requests that are refused, from 0 to 1.
 	refusedShare float64
-	// fairLevel is the recent request count up to which accounts are admitted in full.
-	fairLevel float64
+	// fairLimit is the recent request count up to which accounts are admitted in full.
+	fairLimit float64
 	filter    spikeFilter
 	// peakAdmitted is the recent peak of the admitted share.
 	peakAdmitted rate.Peak
@@ -107,7 +107,7 @@
 		admitted *= s.growthFactor(now, admitted)
 	}
 	s.refusedShare = 1 - min(max(admitted, minAdmittedShare), 1)
-	s.updateLevel(now)
+	s.updateFairLimit(now)
 	return s.updateShedding()
 }
 
@@ -169,8 +169,8 @@
 	return counted
 }
 
-// updateLevel sets the max-min level and drops accounts without recent requests.
-func (s *Shedder[K]) updateLevel(now time.Time) {
+// updateFairLimit sets the max-min limit and drops accounts without recent requests.
+func (s *Shedder[K]) updateFairLimit(now time.Time) {
 	counts := make([]float64, 0, len(s.accounts))
 	total := 0.0
 	for key, a := range s.accounts {
@@ -182,7 +182,7 @@
 		counts = append(counts, count)
 		total += count
 	}
-	s.fairLevel = share.MaxMinLimit(counts, (1-s.refusedShare)*total)
+	s.fairLimit = share.MaxMinLimit(counts, (1-s.refusedShare)*total)
 }
 
 // Admit counts a request that has just arrived and reports whether it is admitted.
@@ -210,7 +210,7 @@
 	if s.refusedShare == 0 {
 		return true
 	}
-	a.credit += min(s.fairLevel/a.recent.At(now, arrivalTimeConstant), 1)
+	a.credit += min(s.fairLimit/a.recent.At(now, arrivalTimeConstant), 1)
 	if a.credit < 1 {
 		return false
 	}
--- a/router/chat.go
+++ b/router/chat.go
@@ -39,7 +39,7 @@
 	}
 	request := parsed.callRequest(c, service)
 	request.Idempotent = c.Request().Header.Get(HeaderNonIdempotent) != "true"
-	request.Prefix = prefixHashes(chat.Messages)
+	request.Prefixes = prefixHashes(chat.Messages)
 	request.EstimatedCost = r.Estimator.EstimateChat(parsed.account, service, len(parsed.body), chat.maxOutputTokens())
 	return r.passToRunner(c, request)
 }
