--- a/admission/admission.go
+++ b/admission/admission.go
@@ -46,8 +46,8 @@
 	// unknownRetryAfter is used while the drain rate is unknown. Within a few seconds
 	// there are enough starts to know it.
 	unknownRetryAfter = 5 * time.Second
-	// retryQueuePart is the divisor for the part of a full queue that should have drained
-	// when callers retry, so that they don't all compete for a single free place.
+	// 1/retryQueuePart is the fraction of a full queue that should have drained when callers
+	// retry, so that they don't all compete for a single free place.
 	retryQueuePart = 4
 	// jitter is the largest amount added to a retry time, as a fraction of it. It keeps
 	// callers that were refused together from retrying together.
--- a/claim/final.go
+++ b/claim/final.go
@@ -47,7 +47,7 @@
 }
 
 // end marks the claim as ended before it writes the row, so that the request is
-// not sent after its row says not-run.
+// not sent after its row is in state not-run.
 func (c *Claim) end(ctx context.Context, state schema.ClaimState, answer *schema.KeptAnswer) {
 	if c.ended {
 		return
--- a/deployment/state.go
+++ b/deployment/state.go
@@ -201,7 +201,7 @@
 }
 
 // SetUpstreamsAvailable records that the list of upstreams can be read again. Entries that
-// lapsed meanwhile and don't return are dropped later.
+// vanished in the outage are removed later if they don't return.
 func (s *State) SetUpstreamsAvailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,14 +209,14 @@
 	s.scheduleRemoval()
 }
 
-// scheduleRemoval schedules removeDue for when the first lapsed entry is due, if there is one.
+// scheduleRemoval schedules removeDue for the time of the next pending removal, if there is one.
 func (s *State) scheduleRemoval() {
 	if due, ok := s.directory.NextRemoval(); ok {
 		time.AfterFunc(time.Until(due)+time.Millisecond, func() { s.options.Guard.RunControl(s.removeDue) })
 	}
 }
 
-// removeDue drops the entries that lapsed and did not return in time.
+// removeDue removes the entries that vanished in an outage and did not return in time.
 func (s *State) removeDue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/deployment/work.go
+++ b/deployment/work.go
@@ -14,7 +14,7 @@
 	"nutmeglock.example/nutmeglock/turn"
 )
 
-// hashID returns the hash that stands for an ID in reports. Two IDs of one service with the same
+// hashID returns the hash that replaces an ID in reports. Two IDs of one service with the same
 // hash share their figures, which is harmless and rarer than one in a million.
 func hashID[K ~string](id K) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -4,7 +4,7 @@
 // It handles the load of client accounts that are spread unevenly over routers.
 // Model engines accept every request that they are sent. With independent queues
 // at the routers, six routers would send an engine six times what it can take,
-// in no fair order between accounts. With a fixed part of the slots for each
+// in no fair order between accounts. With a fixed share of the slots for each
 // router, the slots of a router without requests would stay unused. One
 // dispatcher for each upstream sees all requests that wait for it.
 //
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -178,7 +178,7 @@
 	for _, g := range d.Grant(start) {
 		require.NotEqual(t, granted[0].Upstream, g.Upstream)
 	}
-	// Its load report says that it accepts work again.
+	// A later load report shows that it accepts work again.
 	d.UpdateLoad(start, granted[0].Upstream, inflight.Load{MeasuredAt: start.Add(time.Second)})
 	require.NotEmpty(t, d.Grant(start))
 	setUpstreams(d, 2, 2, true)
--- a/dispatcher/events.go
+++ b/dispatcher/events.go
@@ -12,7 +12,7 @@
 )
 
 // Release frees the slot of a grant. An unknown id has no effect: the message was
-// repeated, or the grant was given up before.
+// repeated, or the grant was removed earlier, for example by Reconcile.
 func (d *Dispatcher[O, L, P]) Release(now time.Time, from fleet.RouterID, message *schema.Release) {
 	key := grantKey{from, GrantID(message.GetForeignId())}
 	if message.GetId() > 0 {
--- a/dispatcher/simulation_test.go
+++ b/dispatcher/simulation_test.go
@@ -79,7 +79,7 @@
 
 // grantAndCheck makes the dispatcher grant slots and checks the invariant of each
 // step: it grants only slots that are free as far as it can know. The limit may be
-// exceeded while a grant that was given up as lost is in use after all.
+// exceeded while a grant that was removed as lost is in use after all.
 func (f *simulatedFleet) grantAndCheck(t require.TestingT) {
 	before := make(map[fleet.ShortID]int)
 	for i := range f.upstreams {
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -90,8 +90,8 @@
 	return false
 }
 
-// retryAfter returns the refusal's Retry-After, limited to a part of the time that the caller has
-// left.
+// retryAfter returns the refusal's Retry-After, limited to a fraction of the time until the
+// request's deadline.
 func (j *job) retryAfter(e *refusal.Error) time.Duration {
 	if e.RetryAfter <= 0 || j.deadline.IsZero() {
 		return e.RetryAfter
--- a/forward/job.go
+++ b/forward/job.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// streamWaitFraction is the part of the route's target that a stream may wait for its turn; the
-	// account's share shortens or lengthens it. The rest is for reading the prompt and for the
+	// streamWaitFraction is the fraction of the route's target that a stream may wait for its turn;
+	// the account's share shortens or lengthens it. The rest is for reading the prompt and for the
 	// network. Requests that wait longer are answered late and take the place of ones that would be
 	// in time.
 	streamWaitFraction = 0.25
--- a/forward/log.go
+++ b/forward/log.go
@@ -92,7 +92,7 @@
 }
 
 // LogRefusals logs a summary of the refusals since the last call that got no line of their own.
-// Call it once a second. The summaries go to Log, not RoutineLog, since each stands for many
+// Call it once a second. The summaries go to Log, not RoutineLog, since each covers many
 // requests.
 func (h *Handler) LogRefusals() {
 	for _, summary := range h.refusals.Take() {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -4,7 +4,7 @@
 // VMs are replaced at any time, the list lags and may be unavailable, and the
 // network is partitioned at times. Connections therefore take precedence over
 // the list: a connected router is a member even if the list does not show it
-// yet, and a disconnected one is not, whatever the list says, because its
+// yet, and a disconnected one is not, even if the list shows it, because its
 // dispatchers can't be reached. The list, and the addresses that other routers
 // report, only determine which routers to connect to.
 //
--- a/outlier/outlier.go
+++ b/outlier/outlier.go
@@ -1,7 +1,7 @@
 // Package outlier ejects upstreams that fail more often than others, judged by the
 // outcomes of their requests.
 //
-// It protects against an upstream that fails a part of its requests, hangs or resets
+// It protects against an upstream that fails some of its requests, hangs or resets
 // connections while its health check passes. Because failing is quick, a router that
 // relies on health checks or on the shortest queue sends such an upstream more than
 // its share, and callers see errors at a rate far above the upstream's share of the
--- a/overload/shedder.go
+++ b/overload/shedder.go
@@ -144,7 +144,8 @@
 	return s.shedding != before
 }
 
-// IsShedding reports whether the router refuses a part of its requests.
+// IsShedding reports whether the router sheds load. Shedding begins when the share of
+// refused requests exceeds a threshold and ends when all requests are admitted.
 func (s *Shedder[K]) IsShedding() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -4,7 +4,8 @@
 // has the prefix cached skips that part of the work. Without cache affinity, each upstream
 // computes every prefix, and prefixes evict each other from the small caches. With cache
 // affinity alone, a popular prefix fills one upstream while the others idle. CacheAffinity
-// weighs cache against load: a cached prompt is worth a fixed part of the upstream's limit.
+// weighs cache against load: a cached prompt is worth a fixed fraction of the upstream's
+// limit.
 package placement
 
 import (
@@ -17,7 +18,7 @@
 	Upstream fleet.ShortID
 	InFlight int
 	Limit    int
-	// Affinity is the part of the prompt, from 0 to 1, that the upstream probably has
+	// Affinity is the fraction of the prompt, from 0 to 1, that the upstream probably has
 	// cached.
 	Affinity float64
 }
@@ -43,8 +44,8 @@
 // CacheAffinity picks the candidate with the lowest load relative to its limit, minus the
 // value of its cache. Its zero value is ready to use.
 type CacheAffinity struct {
-	// CacheWeight is the part of an upstream's limit that a fully cached prompt outweighs;
-	// zero means 0.5.
+	// CacheWeight is the fraction of an upstream's limit that a fully cached prompt
+	// outweighs; zero means 0.5.
 	CacheWeight float64
 }
 
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Affinity returns the part of a prompt, from 0 to 1, that the upstream probably has
+// Affinity returns the fraction of a prompt, from 0 to 1, that the upstream probably has
 // cached. Prefixes are the hashes of the prompt's prefixes from short to long.
 func (x *Index) Affinity(now time.Time, upstream fleet.ShortID, prefixes []uint64) float64 {
 	c := x.upstreams[upstream]
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,6 @@
 // Package router serves the HTTP API for callers. It authenticates and
 // validates requests, and returns either the upstream's complete response or a
-// typed refusal that says whether the request was run.
+// typed refusal that states whether the request was run.
 package router
 
 import (
--- a/router/stop.go
+++ b/router/stop.go
@@ -56,7 +56,7 @@
 //
 // The listener must stay open meanwhile. Otherwise callers that the load
 // balancer still routes here would get a refused connection in place of a
-// refusal that says when to retry.
+// refusal that states when to retry.
 func (r *Router) Stop(ctx context.Context) error {
 	select {
 	case <-r.active.drain():
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -52,7 +52,7 @@
 const (
 	// FleetWide shares all slots: each upstream has one dispatcher, which serves all routers.
 	FleetWide Sharing = iota
-	// StaticShare gives each router a fixed part of each upstream's slots,
+	// StaticShare gives each router a fixed share of each upstream's slots,
 	// without messages between routers. It is a baseline for comparison.
 	StaticShare
 )
--- a/settings/contradiction.go
+++ b/settings/contradiction.go
@@ -97,7 +97,7 @@
 }
 
 // checkOperatorKeys finds operators with the same name, whose changes the
-// history could not tell apart, and operators with the same key, of which only
+// history could not distinguish, and operators with the same key, of which only
 // one could be authenticated.
 func checkOperatorKeys(d *settingsDocument) {
 	names, keys := map[string]int{}, map[string]int{}
--- a/turn/account.go
+++ b/turn/account.go
@@ -77,14 +77,14 @@
 	maxBacklogFactor = 1.5
 	backlogSlope     = 3
 	minBacklogFactor = 0.1
-	// fullPressure is the unserved part of the demand from which backlogAtShare applies in
+	// fullPressure is the unserved fraction of the demand from which backlogAtShare applies in
 	// full. At lower pressure, for example when a large account briefly has unmet demand
 	// under low load, less room has to be kept free.
 	fullPressure = 0.25
 )
 
-// backlogFactor returns the part of the usual prefill backlog up to which an account's
-// requests may start.
+// backlogFactor returns the factor by which the usual limit of the prefill backlog is
+// multiplied for an account's requests.
 //
 // It keeps service fair between accounts whose requests arrive at different routers. A
 // router knows first of the room that its own prompts free at an engine. Without the factor
--- a/turn/large_test.go
+++ b/turn/large_test.go
@@ -48,8 +48,8 @@
 }
 
 // floodedRouterConfig overloads one small router: it gets all requests of an account and
-// has processor time for a part of them. Another account asks for as much at many routers,
-// and small ones send a few requests.
+// has processor time for only some of them. Another account asks for as much at many
+// routers, and small ones send a few requests.
 func floodedRouterConfig(seed uint64, acceptRate float64) simConfig {
 	config := simConfig{
 		routers: 67, engines: 60, prefillSpeed: 54.6, target: 500 * time.Millisecond, duration: 14 * time.Second,
@@ -69,8 +69,9 @@
 	return config
 }
 
-// minFairShare is the part of its due below which an account is treated unfairly: users
-// require that no waiting account gets less than half of what another one gets.
+// minFairShare is the fraction of its fair share below which an account is treated
+// unfairly: users require that no waiting account gets less than half of what another one
+// gets.
 const minFairShare = 0.5
 
 // Guards against an account that got 13 million of the 58 million tokens that it requested
--- a/turn/load.go
+++ b/turn/load.go
@@ -34,10 +34,10 @@
 	return Load{PendingPrefill: l.PendingPrefill + other.PendingPrefill, InFlight: l.InFlight + other.InFlight, WaitingTokens: l.WaitingTokens + other.WaitingTokens}
 }
 
-// Key is a hash that stands for the ID of an upstream or an account in reports.
+// Key is the hash by which reports identify an upstream or an account.
 type Key uint32
 
-// KeyOf returns the key of an ID.
+// KeyOf returns the Key of an ID.
 func KeyOf[K ~string](id K) Key { return Key(xxhash.Sum64String(string(id))) }
 
 // Usage is one account's usage at one router.
--- a/turn/placement.go
+++ b/turn/placement.go
@@ -41,8 +41,8 @@
 	DataCenter fleet.DataCenterID
 	// Target is the target time to the first event of the strictest route.
 	Target time.Duration
-	// BacklogFactor is the part of the usual prefill backlog that the request's account may
-	// use.
+	// BacklogFactor multiplies the usual limit of the prefill backlog for the request's
+	// account.
 	BacklogFactor float64
 }
 
@@ -57,7 +57,7 @@
 type CacheAffinity struct {
 	// Owners is the number of upstreams that own a prefix; zero means 2.
 	Owners int
-	// BacklogFraction is the part of the target within which an upstream must read its
+	// BacklogFraction is the fraction of the target within which an upstream must read its
 	// pending prompts; zero means 0.35. The rest is left for the network, the wait here and
 	// the engine's batch steps.
 	BacklogFraction float64
@@ -90,8 +90,8 @@
 	return defaultOwners
 }
 
-// switchPenalty is the part of the target by which the second owner has to be faster to be
-// chosen. A prefix that alternates between owners is read or copied twice and evicts
+// switchPenalty is the fraction of the target by which the second owner has to be faster
+// to be chosen. A prefix that alternates between owners is read or copied twice and evicts
 // others.
 const switchPenalty = 0.3
 
@@ -185,7 +185,7 @@
 // Choices returns zero: a request may go to any upstream.
 func (LeastLoaded) Choices() int { return 0 }
 
-// Score returns the part of the slots in use, less sameDataCenterBonus in this router's
+// Score returns the fraction of the slots in use, less sameDataCenterBonus in this router's
 // data centre.
 func (LeastLoaded) Score(v *View, e *engine, _ *Request, _ int) float64 {
 	load := float64(e.fleetInFlight()) / float64(max(e.upstream.Slots, 1))
--- a/turn/service_cap.go
+++ b/turn/service_cap.go
@@ -13,7 +13,7 @@
 	// an account that its router throttles. Users require that no waiting account gets less
 	// than half of what another one gets.
 	maxServiceRatio = 1.7
-	// guaranteedFraction is the part of its fair share that an account may always get, so
+	// guaranteedFraction is the fraction of its fair share that an account may always get, so
 	// that a router that serves almost nothing can't stop the fleet.
 	guaranteedFraction = 0.25
 	// peakMemory is the time constant over which the observed peak service decays. Shares
--- a/turn/ticket.go
+++ b/turn/ticket.go
@@ -114,7 +114,8 @@
 const (
 	// Served requests were answered.
 	Served Outcome = iota + 1
-	// Unsent requests were never sent and say nothing about the upstream.
+	// Unsent requests were never sent. They count neither as successes nor as failures of
+	// the upstream.
 	Unsent
 	// Abandoned requests were abandoned by their callers.
 	Abandoned
--- a/turn/turn.go
+++ b/turn/turn.go
@@ -5,9 +5,9 @@
 // prefill, the reading of prompts: a request sent to a busy engine waits behind all earlier
 // prompts of any account, and is read for nothing when its caller has left. Requests are
 // therefore queued in the routers: an engine is sent only as many prompt tokens as it reads
-// within a part of the target time to the first event. In the queue the account with the
-// least recent service goes first, and a request that couldn't start in time is refused at
-// once.
+// within a fraction of the target time to the first event. In the queue the account
+// with the least recent service goes first, and a request that couldn't start in time is
+// refused at once.
 //
 // A request's turn is the permission to send it to an upstream, granted by its Ticket. A
 // Pool uses no network and no clock; times are passed in.
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -41,8 +41,8 @@
 	// defaultIdleTime is how long a connection is kept whose upstream didn't announce a keep-alive
 	// timeout.
 	defaultIdleTime = 4 * time.Second
-	// idleFraction is the part of the announced keep-alive timeout that is used, so that a request
-	// doesn't cross the upstream's close.
+	// idleFraction is the fraction of the announced keep-alive timeout that is used, so that a
+	// request doesn't cross the upstream's close.
 	idleFraction = 0.75
 	// checkIdleTime is how long a connection is kept that was only opened by CheckReachable.
 	checkIdleTime = time.Second
--- a/upstream/error.go
+++ b/upstream/error.go
@@ -21,8 +21,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// StrayAnswersError is the cause of an exchange that was given up because too many answers to other
-// requests arrived.
+// StrayAnswersError is the cause of an exchange that was aborted because too many answers to other
+// requests arrived, or one whose body is too large or of unknown length.
 type StrayAnswersError struct{ Count int }
 
 // Error states how many arrived.
