--- a/deployment/router.go
+++ b/deployment/router.go
@@ -81,8 +81,8 @@
 	// retries of the whole fleet beyond that.
 	RetryRatio float64
 	RetryBurst float64
-	// RecoveryTime is the time after a disturbance of the store within which its updates have to
-	// be in force; zero means follow.DefaultRecovery.
+	// RecoveryTime is the time after an outage of the store within which its updates have to be in
+	// force; zero means follow.DefaultRecovery.
 	RecoveryTime time.Duration
 	// MaxConnections is the number of callers' connections above which each answer closes its
 	// connection.
@@ -340,7 +340,7 @@
 }
 
 // Run serves until ctx ends, then shuts down gracefully and returns nil. It returns an error
-// if an actor ended before that.
+// if a part of the router ended before that.
 func (r *Router) Run(ctx context.Context) error {
 	r.options.Log.Info("started", "router", r.options.Self, "data-centre", r.options.DataCenter,
 		"callers", r.options.CallerAddress, "readiness", r.options.ReadyAddress, "metrics", r.options.MetricsAddress)
--- a/deployment/state.go
+++ b/deployment/state.go
@@ -84,8 +84,8 @@
 	return s.pools[service]
 }
 
-// Turn waits for a request's turn at a service. It returns *turn.RefusedError if the turn
-// can't come in time, or the error of ctx.
+// Turn waits for a request's turn at a service. It returns *turn.RefusedError if the
+// request can't get its turn in time, or the error of ctx.
 func (s *State) Turn(ctx context.Context, service fleet.ServiceID, request turn.Request) (home.Ticket, error) {
 	pool := s.Pool(service)
 	switch {
@@ -288,7 +288,7 @@
 	s.options.Log.Warn("upstream taken out", "upstream", u.ID, "service", u.Service, "address", u.Address, "life", u.StartTime)
 }
 
-// HasAddress reports whether address is that of an upstream that takes requests.
+// HasAddress reports whether address is that of an upstream that accepts new requests.
 func (s *State) HasAddress(address string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -298,5 +298,6 @@
 // Upstream returns the latest change of an upstream's entry, and whether there is one.
 func (s *State) Upstream(id fleet.UpstreamID) (registry.Change, bool) { return s.directory.Get(id) }
 
-// Upstreams returns the latest change of each entry, removed ones included.
+// Upstreams returns the latest change of each entry, removals included, except for entries whose
+// removal is pending.
 func (s *State) Upstreams() []registry.Change { return s.directory.Changes() }
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -35,7 +35,7 @@
 	// routers report to a new dispatcher what they have in flight.
 	DefaultTakeoverWait = 200 * time.Millisecond
 	// DefaultGrace is how long an engine may continue a stream after its router
-	// has died. It equals the engines' own setting of 10 s.
+	// has crashed. It equals the engines' own setting of 10 s.
 	DefaultGrace = 10 * time.Second
 	// DefaultAckTimeout is how long a grant counts as in transit. It is many
 	// round trips and short compared with the duration of a request.
@@ -180,7 +180,7 @@
 // SetUpstreams replaces the upstreams that this dispatcher is responsible for. If
 // others is true, a new upstream gets no requests for TakeoverWait, because other
 // routers may have requests in flight there that they have not reported yet. Grants
-// at a removed upstream are kept until they are released or given up.
+// at a removed upstream are kept until they are released or removed as lost.
 func (d *Dispatcher[O, L, P]) SetUpstreams(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.ShortID, others bool) {
 	keep := make(map[fleet.ShortID]bool, len(owned))
 	for _, s := range d.services {
--- a/dispatcher/events.go
+++ b/dispatcher/events.go
@@ -151,8 +151,8 @@
 
 // HandleDisconnect handles the loss of a router. Its grants keep their slots until
 // the upstream's load report shows that they have ended, at most for Grace: an
-// engine continues a stream for a while after its reader died, and a router that is
-// only cut off from this one still reads it.
+// engine continues a stream for a while after its reader has crashed, and a router
+// that has only lost its connection to this one still reads its streams.
 func (d *Dispatcher[O, L, P]) HandleDisconnect(now time.Time, router fleet.RouterID) {
 	d.dropAsks(router)
 	for key, g := range d.grants {
--- a/follow/group.go
+++ b/follow/group.go
@@ -28,11 +28,12 @@
 )
 
 // Group decides which routers of a fleet follow the store for all others. The zero
-// value is a router that knows no others, and follows. It is safe for concurrent use.
+// value is the Group of a router that knows no others and so follows the store. It is
+// safe for concurrent use.
 //
 // It reduces the load on the store: if each of 88 routers waits for changes, one change
 // is answered 88 times, and a store that is unavailable gets a hundred calls a second.
-// So the store answers four of them, which pass the change on to the rest within a few
+// So only four routers follow the store, and pass each change on to the rest within a few
 // milliseconds. A router that is cut off from the others follows the store itself.
 type Group struct {
 	Self fleet.RouterID
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -3,7 +3,7 @@
 //
 // It guarantees, whatever fails: a request is reported as not run only when no upstream has run it
 // and none will; a non-idempotent request is sent again only in that case; an answer reaches its
-// caller complete and unchanged, or is visibly broken off; when a caller disconnects, its request
+// caller complete and unchanged, or is visibly truncated; when a caller disconnects, its request
 // to the upstream is cancelled.
 package forward
 
@@ -83,8 +83,8 @@
 type RoutingState interface {
 	// Table returns the configuration in force, nil when none is known.
 	Table() *route.Table
-	// Turn waits for a request's turn at a service. The error is *turn.RefusedError when the turn
-	// can't come in time, or the error of ctx.
+	// Turn waits for a request's turn at a service. The error is *turn.RefusedError when the
+	// request can't get its turn in time, or the error of ctx.
 	Turn(ctx context.Context, service fleet.ServiceID, request turn.Request) (home.Ticket, error)
 	// Retries returns the retry policy of a service.
 	Retries(service fleet.ServiceID) retry.Policy
--- a/forward/log.go
+++ b/forward/log.go
@@ -91,7 +91,7 @@
 		"age-ms", ms(time.Since(j.arrived)), "retry-after-ms", ms(e.RetryAfter), "cause", errorText(e.Cause))
 }
 
-// LogRefusals logs a summary of the refusals since the last call that got no line of their own.
+// LogRefusals logs a summary of the refusals since the last call that weren't logged one by one.
 // Call it once a second. The summaries go to Log, not RoutineLog, since each covers many
 // requests.
 func (h *Handler) LogRefusals() {
--- a/home/home.go
+++ b/home/home.go
@@ -59,7 +59,7 @@
 	Self fleet.RouterID
 	// Send sends a batch to another router, or drops it if that router isn't connected.
 	Send func(to fleet.RouterID, batch *schema.Batch)
-	// Pool returns the upstreams of a service, or nil if the service is unknown.
+	// Pool returns the pool of a service, or nil if the service is unknown.
 	Pool func(service fleet.ServiceID) *turn.Pool
 	Log  *slog.Logger
 	// Guard recovers panics; if it is nil they aren't recovered.
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -37,8 +37,8 @@
 	return t.refusals.remaining(now, request)
 }
 
-// IsOnProbation reports whether a request was recently refused. Such a request is sent
-// upstream, but not retried if it fails.
+// IsOnProbation reports whether the term of a request's refusal ended recently. Such a
+// request is sent upstream, but not retried if it fails.
 func (t *Tracker) IsOnProbation(now time.Time, request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +61,7 @@
 
 // RecordCrash records that an upstream crashed while it ran a request of this router. It
 // returns the crash to report to the counting routers or, if the request was on probation
-// and is refused again, a verdict to broadcast.
+// and is refused again, a verdict to broadcast instead.
 func (t *Tracker) RecordCrash(now time.Time, crash Crash) (Crash, Verdict) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -84,7 +84,7 @@
 	// TakeoverWait and Grace are passed to the dispatcher; zero means its defaults.
 	TakeoverWait time.Duration
 	Grace        time.Duration
-	// Warmup raises the load of an upstream that joins or recovers step by step.
+	// Warmup gradually raises the load of an upstream that joins or recovers.
 	Warmup bool
 }
 
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -49,7 +49,8 @@
 	Account fleet.AccountID
 	Service fleet.ServiceID
 	Waiting int
-	// DrainRate is the requests started per second while some waited; zero if unknown.
+	// DrainRate is the number of requests started per second while some waited; zero if
+	// it is unknown.
 	DrainRate float64
 	// Dispatchers are the routers that were asked for slots.
 	Dispatchers []fleet.RouterID
--- a/share/fair.go
+++ b/share/fair.go
@@ -190,8 +190,7 @@
 // Len returns the number of known accounts.
 func (f *Fair[K]) Len() int { return len(f.accounts) }
 
-// Forget removes key. An account that returns after this starts with the service per
-// weight of those that wait, as any new account does.
+// Forget removes key. An account that returns after this is lifted like a new account.
 func (f *Fair[K]) Forget(key K) {
 	a := f.accounts[key]
 	if a == nil {
--- a/share/share.go
+++ b/share/share.go
@@ -14,16 +14,14 @@
 // at the end, an account could start many requests before the first one counted. If the
 // whole estimate counted from the start and nothing more until the end, accounts whose
 // requests are nearly finished would look the same as those whose requests have just
-// begun, and the gap between accounts would be twice as wide. A larger outstanding part
-// starts requests in larger bursts, and with a smaller one an account fills slots before
-// their service is counted. Of a quarter, a half, three quarters, one and one and a half,
-// a half was best or nearly so.
+// begun, and the gap between accounts would be twice as wide. A larger fraction than
+// half starts requests in larger bursts, and with a smaller one an account fills slots
+// before their service is counted. Of 0.25, 0.5, 0.75, 1 and 1.5, 0.5 was best or nearly so.
 //
-// An account that returns from idle is lifted to the service per weight of the accounts
-// that wait. Otherwise it would accumulate credit while idle, and the others would wait
-// until the credit was spent. The lift leaves out the outstanding part of the
-// others: the slots that a flood took before the account returned must not make it wait
-// until it has been given as many.
+// An account that returns from idle is lifted to the service per weight of the waiting
+// account that is next. Otherwise it would accumulate credit while idle, and the others
+// would wait until the credit was spent. The lift doesn't include the others' outstanding
+// cost, so that the slots that a flood took before the account returned don't delay it.
 //
 // # Bound
 //
@@ -32,7 +30,7 @@
 //
 //	|S(i)/w(i) - S(j)/w(j)| <= 2 * (C + E + L) / min(w(i), w(j))
 //
-// C is the cost of the largest request, which is started whole and can't be interrupted.
+// C is the cost of the largest request, since a started request can't be interrupted.
 // E is the largest error in the service counted for an account's requests in flight: at
 // most its slots times the largest request, and zero where every token is reported. L is
 // the service from other dispatchers that this one hasn't observed: at most
@@ -60,7 +58,7 @@
 type Backlog struct {
 	// Weight is the account's share relative to other accounts, at least 1.
 	Weight uint32
-	// Requests is how many wait. With zero the account isn't chosen.
+	// Requests is the number of waiting requests. With zero the account isn't chosen.
 	Requests int
 	// Estimate is the expected cost of the next request.
 	Estimate fleet.Tokens
--- a/turn/load.go
+++ b/turn/load.go
@@ -15,11 +15,12 @@
 
 // Load is the load that one router puts on one upstream.
 type Load struct {
-	// PendingPrefill is the prompt tokens that were sent and not yet read.
+	// PendingPrefill is the number of prompt tokens that were sent and not yet read.
 	PendingPrefill int
 	// InFlight is the number of requests in flight.
 	InFlight int
-	// WaitingTokens is the tokens queued at the router that prefer this upstream.
+	// WaitingTokens is the number of tokens of the requests that are queued at the router and
+	// prefer this upstream.
 	WaitingTokens int
 	// NewPrefixes lists the hashes of shared prefixes that the router sent to the upstream
 	// since its last report.
@@ -44,12 +45,12 @@
 type Usage struct {
 	// Served is the account's recent service, in tokens.
 	Served float64
-	// WaitingTokens is the tokens of its queued requests.
+	// WaitingTokens is the number of tokens of its queued requests.
 	WaitingTokens int
-	// Refused is the tokens of its recently refused requests.
+	// Refused is the number of tokens of its recently refused requests.
 	Refused float64
-	// Shed is the tokens of requests that the overloaded router recently refused before it
-	// requested their turns.
+	// Shed is the number of tokens of requests that the overloaded router recently refused
+	// before it requested their turns.
 	Shed float64
 }
 
--- a/turn/placement.go
+++ b/turn/placement.go
@@ -47,7 +47,7 @@
 }
 
 // CacheAffinity sends a request to one of the few upstreams that own its shared prompt
-// prefix: the one that will have read the prompt first.
+// prefix: the one that is expected to finish reading the prompt first.
 //
 // It suits traffic with many prefixes that are each used often. Without affinity each
 // engine reads each prefix again, and engines are limited by prefill. All routers agree on
@@ -154,7 +154,8 @@
 }
 
 // HasRoom reports whether an upstream can read its backlog and the request's prompt in
-// time. An idle upstream accepts any request; otherwise the largest would never start.
+// time. An idle upstream accepts a request of any size; otherwise the largest would never
+// start.
 func (a CacheAffinity) HasRoom(v *View, e *engine, r *Request) bool {
 	return a.canTakeIdle(v, e) || v.speed.duration(a.prefillWork(v, e, r)) <= a.maxBacklog(v)
 }
--- a/turn/ticket.go
+++ b/turn/ticket.go
@@ -49,15 +49,16 @@
 // the waiting ticket is removed. Cancel needn't be called then.
 func (t *Ticket) Refused() <-chan *RefusedError { return t.refused }
 
-// Upstream returns where the request goes. It may be called once the ticket is granted.
+// Upstream returns the upstream that the request is sent to. It must not be called before
+// the ticket is granted.
 func (t *Ticket) Upstream() registry.Upstream { return t.upstream }
 
 // PendingPrefill returns the tokens that the upstream had to read before the request's first
 // event, as of the time of the grant.
 func (t *Ticket) PendingPrefill() int { return t.prefillAhead }
 
-// FetchFrom returns the address of the upstream whose cache has more of the prompt, empty
-// when there is none or fetching isn't worth it.
+// FetchFrom returns the address of an upstream whose cache has more of the prompt than that
+// of the request's own upstream, empty when there is none or fetching isn't worth it.
 func (t *Ticket) FetchFrom() string { return t.fetchFrom }
 
 // Cancel ends the wait of a ticket. It returns nil when the ticket was granted meanwhile.
@@ -86,7 +87,7 @@
 }
 
 // RecordFirstEvent records the request's first event, which shows that its prompt has been
-// read. It does nothing before the grant, since another router may send it by mistake.
+// read. It does nothing before the grant, when another router may report one by mistake.
 func (t *Ticket) RecordFirstEvent(now time.Time) {
 	p := t.pool
 	p.mu.Lock()
--- a/turn/turn.go
+++ b/turn/turn.go
@@ -3,11 +3,10 @@
 //
 // Model engines accept every request and run them in order of arrival. Their bottleneck is
 // prefill, the reading of prompts: a request sent to a busy engine waits behind all earlier
-// prompts of any account, and is read for nothing when its caller has left. Requests are
-// therefore queued in the routers: an engine is sent only as many prompt tokens as it reads
-// within a fraction of the target time to the first event. In the queue the account
-// with the least recent service goes first, and a request that couldn't start in time is
-// refused at once.
+// prompts of any account, and is read even if its caller has left. Requests are therefore
+// queued in the routers: an engine is sent only as many prompt tokens as it reads within a
+// fraction of the target time to the first event. In the queue the account with the least
+// recent service goes first, and a request that couldn't start in time is refused at once.
 //
 // A request's turn is the permission to send it to an upstream, granted by its Ticket. A
 // Pool uses no network and no clock; times are passed in.
@@ -45,7 +44,8 @@
 	// Prefixes are the prefixes of the prompt from short to long. The last is the whole
 	// prompt.
 	Prefixes []Prefix
-	// Input is the prompt tokens, and Output the expected tokens of the answer.
+	// Input is the number of prompt tokens, and Output the expected number of tokens of the
+	// answer.
 	Input  int
 	Output int
 	// Target is the caller's target time to the first event.
@@ -77,9 +77,9 @@
 
 // RefusedError is returned for a request that can't get its turn in time.
 type RefusedError struct {
-	// Wait is the expected time until its turn.
+	// Wait is the expected time until the request's turn.
 	Wait time.Duration
-	// Waited is how long it has waited.
+	// Waited is how long the request has waited.
 	Waited time.Duration
 	// RetryAfter is the delay after which a retry should be granted at once.
 	RetryAfter time.Duration
