--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -4,7 +4,7 @@
 // It handles the load of client accounts that are spread unevenly over routers.
 // Model engines accept every request that they are sent. With independent queues
 // at the routers, six routers would send an engine six times what it can take,
-// in no fair order between accounts. With a fixed part of the slots for each
+// in no fair order between accounts. With a fixed share of the slots for each
 // router, the slots of a router without requests would stay unused. One
 // dispatcher for each upstream sees all requests that wait for it.
 //
@@ -35,7 +35,7 @@
 	// routers report to a new dispatcher what they have in flight.
 	DefaultTakeoverWait = 200 * time.Millisecond
 	// DefaultGrace is how long an engine may continue a stream after its router
-	// has died. It equals the engines' own setting of 10 s.
+	// has crashed. It equals the engines' own setting of 10 s.
 	DefaultGrace = 10 * time.Second
 	// DefaultAckTimeout is how long a grant counts as in transit. It is many
 	// round trips and short compared with the duration of a request.
@@ -180,7 +180,7 @@
 // SetUpstreams replaces the upstreams that this dispatcher is responsible for. If
 // others is true, a new upstream gets no requests for TakeoverWait, because other
 // routers may have requests in flight there that they have not reported yet. Grants
-// at a removed upstream are kept until they are released or given up.
+// at a removed upstream are kept until they are released or removed as lost.
 func (d *Dispatcher[O, L, P]) SetUpstreams(now time.Time, owned []*schema.Upstream, services map[fleet.ServiceID]fleet.ShortID, others bool) {
 	keep := make(map[fleet.ShortID]bool, len(owned))
 	for _, s := range d.services {
--- a/forward/log.go
+++ b/forward/log.go
@@ -91,8 +91,8 @@
 		"age-ms", ms(time.Since(j.arrived)), "retry-after-ms", ms(e.RetryAfter), "cause", errorText(e.Cause))
 }
 
-// LogRefusals logs a summary of the refusals since the last call that got no line of their own.
-// Call it once a second. The summaries go to Log, not RoutineLog, since each stands for many
+// LogRefusals logs a summary of the refusals since the last call that weren't logged one by one.
+// Call it once a second. The summaries go to Log, not RoutineLog, since each covers many
 // requests.
 func (h *Handler) LogRefusals() {
 	for _, summary := range h.refusals.Take() {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -52,7 +52,7 @@
 const (
 	// FleetWide shares all slots: each upstream has one dispatcher, which serves all routers.
 	FleetWide Sharing = iota
-	// StaticShare gives each router a fixed part of each upstream's slots,
+	// StaticShare gives each router a fixed share of each upstream's slots,
 	// without messages between routers. It is a baseline for comparison.
 	StaticShare
 )
@@ -84,7 +84,7 @@
 	// TakeoverWait and Grace are passed to the dispatcher; zero means its defaults.
 	TakeoverWait time.Duration
 	Grace        time.Duration
-	// Warmup raises the load of an upstream that joins or recovers step by step.
+	// Warmup gradually raises the load of an upstream that joins or recovers.
 	Warmup bool
 }
 
--- a/turn/load.go
+++ b/turn/load.go
@@ -15,11 +15,12 @@
 
 // Load is the load that one router puts on one upstream.
 type Load struct {
-	// PendingPrefill is the prompt tokens that were sent and not yet read.
+	// PendingPrefill is the number of prompt tokens that were sent and not yet read.
 	PendingPrefill int
 	// InFlight is the number of requests in flight.
 	InFlight int
-	// WaitingTokens is the tokens queued at the router that prefer this upstream.
+	// WaitingTokens is the number of tokens of the requests that are queued at the router and
+	// prefer this upstream.
 	WaitingTokens int
 	// NewPrefixes lists the hashes of shared prefixes that the router sent to the upstream
 	// since its last report.
@@ -34,22 +35,22 @@
 	return Load{PendingPrefill: l.PendingPrefill + other.PendingPrefill, InFlight: l.InFlight + other.InFlight, WaitingTokens: l.WaitingTokens + other.WaitingTokens}
 }
 
-// Key is a hash that stands for the ID of an upstream or an account in reports.
+// Key is the hash by which reports identify an upstream or an account.
 type Key uint32
 
-// KeyOf returns the key of an ID.
+// KeyOf returns the Key of an ID.
 func KeyOf[K ~string](id K) Key { return Key(xxhash.Sum64String(string(id))) }
 
 // Usage is one account's usage at one router.
 type Usage struct {
 	// Served is the account's recent service, in tokens.
 	Served float64
-	// WaitingTokens is the tokens of its queued requests.
+	// WaitingTokens is the number of tokens of its queued requests.
 	WaitingTokens int
-	// Refused is the tokens of its recently refused requests.
+	// Refused is the number of tokens of its recently refused requests.
 	Refused float64
-	// Shed is the tokens of requests that the overloaded router recently refused before it
-	// requested their turns.
+	// Shed is the number of tokens of requests that the overloaded router recently refused
+	// before it requested their turns.
 	Shed float64
 }
 
