--- a/turn/share.go
+++ b/turn/share.go
@@ -29,7 +29,7 @@
 	unmetAccounts int
 	// pressure is the unserved part of the recent demand.
 	pressure float64
-	// throttled are the accounts throttled by their routers. While there are any, peakLevel
+	// throttled are the accounts throttled by their routers. While there are any, peakLimit
 	// is the fair limit for the recent peak service.
 	throttled []accountDemand
 	peakLimit float64
